--- a/crates/core/src/admission/drain.rs
+++ b/crates/core/src/admission/drain.rs
@@ -47,7 +47,7 @@
         let passed = now.since(self.at);
         self.at = self.at.max(now);
         if self.busy {
-            let decay = passed.fading(HALF_LIFE);
+            let decay = passed.decay_factor(HALF_LIFE);
             self.cleared *= decay;
             self.span = self.span * decay + passed.0 as f64;
             self.total += passed;
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -37,7 +37,7 @@
     pub const MAX: Self = Self(u64::MAX);
 
     /// What is left after this span of something that falls by half in each half-life.
-    pub fn fading(self, half_life: Self) -> f64 {
+    pub fn decay_factor(self, half_life: Self) -> f64 {
         0.5_f64.powf(self.as_secs_f64() / half_life.as_secs_f64())
     }
 
--- a/crates/core/src/endpoint_state/record.rs
+++ b/crates/core/src/endpoint_state/record.rs
@@ -155,7 +155,7 @@
     }
 
     fn score_at(&self, settings: &Settings, now: Millis) -> f64 {
-        self.score * now.since(self.scored).fading(settings.half_life)
+        self.score * now.since(self.scored).decay_factor(settings.half_life)
     }
 
     pub fn state(&self, settings: &Settings, now: Millis) -> EndpointState {
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -113,7 +113,7 @@
         let Some(lost) = self.lost else {
             return last;
         };
-        let kept = now.since(lost).fading(RAMP);
+        let kept = now.since(lost).decay_factor(RAMP);
         last * kept + even * (1.0 - kept)
     }
 }
--- a/crates/core/src/placement/load/view.rs
+++ b/crates/core/src/placement/load/view.rs
@@ -291,7 +291,7 @@
 
 /// What is left of a sum of this age, from 1 down to 0.
 fn fading(age: Millis) -> f64 {
-    age.since(STALE).fading(FADE)
+    age.since(STALE).decay_factor(FADE)
 }
 
 impl EndpointView {
--- a/crates/core/src/routing/exchange/hot.rs
+++ b/crates/core/src/routing/exchange/hot.rs
@@ -48,7 +48,7 @@
 
     /// Lets counts fade.
     pub fn fade(&mut self, now: Millis) {
-        let left = now.since(self.at).fading(HALF_LIFE);
+        let left = now.since(self.at).decay_factor(HALF_LIFE);
         self.at = now;
         self.total *= left;
         self.prefixes.retain(|_, count| {
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -101,7 +101,7 @@
         if self.failures == 0.0 {
             return 0.0;
         }
-        self.failures * now.since(self.at).fading(HALF_LIFE)
+        self.failures * now.since(self.at).decay_factor(HALF_LIFE)
     }
 
     fn answer(&mut self, failure: f64, now: Millis) {
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -183,7 +183,7 @@
         };
         let age = now.since(work.at);
         let (own, others) = (f64::from(work.own), f64::from(work.others));
-        let fading = age.fading(HALF_LIFE);
+        let fading = age.decay_factor(HALF_LIFE);
         let heard = work.at > Millis::ZERO;
         Estimate {
             told: own + others * fading,
