--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -23,7 +23,7 @@
 use crate::clock::Millis;
 use crate::ids::AttemptId;
 use crate::reason::Reason;
-use crate::retry::LONGEST_PAUSE;
+use crate::retry::MAX_PAUSE;
 use crate::units::Tokens;
 
 use bound::Bound;
@@ -206,7 +206,7 @@
         };
         let pause = match ending {
             Ending::Full => Some(FULL_HOLD),
-            Ending::Paused(pause) => Some(pause.min(LONGEST_PAUSE)),
+            Ending::Paused(pause) => Some(pause.min(MAX_PAUSE)),
             Ending::Done | Ending::Failed => None,
         };
         if let Some(pause) = pause {
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -17,7 +17,7 @@
 
 /// Longest pause that an endpoint is given when it asks for one; a longer one is most likely a
 /// mistake.
-pub const LONGEST_PAUSE: Millis = Millis::from_secs(600);
+pub const MAX_PAUSE: Millis = Millis::from_secs(600);
 /// Retries that a first try pays for.
 const SHARE: f64 = 0.1;
 /// Retries that may be spent without first tries, at once and then one a second.
--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::Millis;
 use crate::ids::EndpointId;
-use crate::retry::LONGEST_PAUSE;
+use crate::retry::MAX_PAUSE;
 use crate::routing::endpoint::InstanceId;
 
 /// For how long an endpoint that isn't listed any more may come back as the same process, as it
@@ -96,7 +96,7 @@
         let known = known.filter(|known| known.is_of(id));
         let (was_leaving, before) =
             known.map_or((false, Millis::ZERO), |known| (known.leaving, known.until));
-        let until = now + notice.pause.min(LONGEST_PAUSE);
+        let until = now + notice.pause.min(MAX_PAUSE);
         let record = Record {
             id: id.clone(),
             leaving: notice.leaving || was_leaving,
