--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -85,7 +85,7 @@
     /// Whether what is known may be acted on at `now`, read from the clock just before acting.
     ///
     /// A pause since the last tick shows here before the next tick notices it.
-    pub fn fresh(&self, now: Millis) -> bool {
+    pub fn is_fresh(&self, now: Millis) -> bool {
         self.until().is_some_and(|until| now <= until)
     }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -181,8 +181,8 @@
     }
 
     /// Whether what is known may be acted on at `now`, read just before acting.
-    pub fn fresh(&self, now: Millis) -> bool {
-        self.fresh.fresh(now)
+    pub fn is_fresh(&self, now: Millis) -> bool {
+        self.fresh.is_fresh(now)
     }
 
     /// Until when what is known may be acted on; see [`Freshness::until`].
--- a/crates/core/tests/membership/faults.rs
+++ b/crates/core/tests/membership/faults.rs
@@ -79,7 +79,7 @@
     let mut fleet = joined(100, 3, 14);
     for at in [30, 60, 90] {
         fleet.restart(at);
-        let fresh = |f: &Fleet| f.nodes[at].machine.fresh(f.clock(at));
+        let fresh = |f: &Fleet| f.nodes[at].machine.is_fresh(f.clock(at));
         assert_that!(fleet.until(20_000, fresh), some(le(3000)));
         let known = fleet.nodes[at].machine.live(&Scope::Fleet).count();
         expect_that!(known, eq(100));
@@ -259,7 +259,7 @@
             check_order(&mut self.told[at], &seen);
             let cut = self.fleet.cuts.iter().any(|(a, b)| *a == at || *b == at);
             let machine = &self.fleet.nodes[at].machine;
-            let fresh = machine.fresh(self.fleet.clock(at));
+            let fresh = machine.is_fresh(self.fleet.clock(at));
             if cut || self.fleet.nodes[at].health != Health::Up || !fresh {
                 self.whole[at] = now;
             }
--- a/crates/core/tests/membership/pause.rs
+++ b/crates/core/tests/membership/pause.rs
@@ -15,7 +15,7 @@
 }
 
 fn fresh(fleet: &Fleet, at: usize) -> bool {
-    fleet.nodes[at].machine.fresh(fleet.clock(at))
+    fleet.nodes[at].machine.is_fresh(fleet.clock(at))
 }
 
 #[gtest]
@@ -94,9 +94,9 @@
     freshness.settle(0);
     expect_that!(freshness.tick(Millis(200), Millis(500_200)), is_false());
     expect_that!(freshness.tick(Millis(300), Millis(500_300)), is_false());
-    expect_that!(freshness.fresh(Millis(300)), is_true());
+    expect_that!(freshness.is_fresh(Millis(300)), is_true());
     expect_that!(freshness.until(), some(eq(Millis(1300))));
-    expect_that!(freshness.fresh(Millis(1301)), is_false());
+    expect_that!(freshness.is_fresh(Millis(1301)), is_false());
     freshness.tick(Millis(1400), Millis(501_400));
     expect_that!(freshness.until(), none());
 }
--- a/crates/core/tests/membership/single.rs
+++ b/crates/core/tests/membership/single.rs
@@ -218,9 +218,9 @@
     let doubted = machine.members().filter(|m| m.doubt != Doubt::Trusted);
     expect_that!(doubted.count(), eq(0));
     answer(&mut machine, &others, &before, &[], 5001);
-    expect_that!(machine.fresh(Millis(5002)), is_false());
+    expect_that!(machine.is_fresh(Millis(5002)), is_false());
     answer(&mut machine, &others, &after, &[], 5003);
-    expect_that!(machine.fresh(Millis(5004)), is_true());
+    expect_that!(machine.is_fresh(Millis(5004)), is_true());
 }
 
 #[gtest]
@@ -228,13 +228,13 @@
     let (mut machine, others) = met();
     let first = probes(&mut machine, 100);
     answer(&mut machine, &others, &first, &[1; 16], 101);
-    expect_that!(machine.fresh(Millis(102)), is_false());
+    expect_that!(machine.is_fresh(Millis(102)), is_false());
     let mut second = Vec::new();
     for now in (200..1000).step_by(100) {
         second.extend(probes(&mut machine, now));
     }
     answer(&mut machine, &others, &second, &[], 901);
-    expect_that!(machine.fresh(Millis(902)), is_true());
+    expect_that!(machine.is_fresh(Millis(902)), is_true());
 }
 
 #[gtest]
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -159,7 +159,7 @@
     }
 
     fn publish(&mut self) {
-        let fresh = self.membership.fresh(now());
+        let fresh = self.membership.is_fresh(now());
         if self.version == self.membership.version() && self.fresh == fresh {
             return;
         }
