--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -165,9 +165,9 @@
 
     /// The members in `scope` that homes and claims are placed on, in the order of their names.
     ///
-    /// A suspect is among them until it is gone; see [`Member::is_place`].
+    /// A suspect is among them until it is gone; see [`Member::is_eligible`].
     pub fn live(&self, scope: &Scope) -> impl Iterator<Item = &Member> {
-        self.members().filter(|m| m.is_place() && scope.holds(m))
+        self.members().filter(|m| m.is_eligible() && scope.holds(m))
     }
 
     /// The member of this name, if it is known.
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -131,7 +131,7 @@
     /// Whether it is a place for homes and claims: it takes part, and isn't gone.
     ///
     /// A suspect still is one, so that a lost probe moves no home.
-    pub fn is_place(&self) -> bool {
+    pub fn is_eligible(&self) -> bool {
         self.announced == Announced::Live && self.doubt != Doubt::Gone
     }
 
--- a/crates/core/tests/membership/pause.rs
+++ b/crates/core/tests/membership/pause.rs
@@ -66,7 +66,7 @@
         fleet.run(6000);
         let doubts = fleet.nodes[2].seen[before..].iter().filter(|(_, action)| {
             let own = fleet.nodes[2].machine.own();
-            matches!(action, Action::Changed(m) if m.daemon != own.daemon && !m.is_place())
+            matches!(action, Action::Changed(m) if m.daemon != own.daemon && !m.is_eligible())
         });
         expect_that!(doubts.count(), eq(0));
         expect_that!(fleet.until(20_000, Fleet::agreed), some(anything()));
--- a/crates/daemon/src/fleet/view.rs
+++ b/crates/daemon/src/fleet/view.rs
@@ -55,7 +55,7 @@
 impl FleetView {
     /// The view of a membership.
     pub fn new(membership: &Membership, fresh: bool) -> Self {
-        let places = membership.members().filter(|member| member.is_place());
+        let places = membership.members().filter(|member| member.is_eligible());
         let placement = Fleet::new(places.map(daemon));
         let reachable = membership.members().filter(|member| !member.is_gone());
         let peers: BTreeMap<_, _> = reachable
