--- a/crates/core/src/admission/event.rs
+++ b/crates/core/src/admission/event.rs
@@ -67,7 +67,7 @@
     #[default]
     Ready,
     /// The endpoint hasn't answered this home yet. It may be leaving, so that requests wait.
-    Unheard,
+    Unconfirmed,
     /// The endpoint takes no new work; what runs goes on.
     Leaving,
     /// The endpoint can't be reached or the evidence about it is too old.
@@ -79,7 +79,7 @@
 impl State {
     /// Whether requests may wait for the endpoint.
     pub const fn admits(self) -> bool {
-        matches!(self, Self::Ready | Self::Unheard)
+        matches!(self, Self::Ready | Self::Unconfirmed)
     }
 }
 
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -245,7 +245,7 @@
 fn nothing_is_sent_before_the_endpoint_has_answered() {
     for (state, sent) in [(State::Ready, 2), (State::Leaving, 0)] {
         let mut home = open_home(settings(), 1);
-        home.handle(Event::State(State::Unheard), Millis(10));
+        home.handle(Event::State(State::Unconfirmed), Millis(10));
         let before = home.handle(Event::Offer(offer(0, "a", "a1")), Millis(10));
         expect_that!(before, is_empty());
         home.handle(Event::Offer(offer(1, "a", "a1")), Millis(11));
--- a/crates/daemon/src/home/show.rs
+++ b/crates/daemon/src/home/show.rs
@@ -105,7 +105,7 @@
     }
     match own.map(|slot| slot.home.state()) {
         Some(State::Ready) => "ready",
-        Some(State::Unheard) => "unknown",
+        Some(State::Unconfirmed) => "unknown",
         Some(State::Leaving) => "leaving",
         Some(State::Unreachable) => "unreachable",
         Some(State::Moved) => "moved",
--- a/crates/daemon/src/home/slot.rs
+++ b/crates/daemon/src/home/slot.rs
@@ -131,7 +131,7 @@
         // Who stands in for a home doesn't know whether the endpoint is leaving. Where nobody
         // waited, 3 of 14 runs with a frozen home sent to one that was; so, none of 24.
         if !self.own && self.heard.is_none() {
-            return State::Unheard;
+            return State::Unconfirmed;
         }
         State::Ready
     }
--- a/crates/daemon/src/home/view.rs
+++ b/crates/daemon/src/home/view.rs
@@ -141,7 +141,7 @@
             view.set_own(endpoint, slot.occupancy(now), now);
         }
         let state = match slot.home.state() {
-            State::Ready | State::Unheard | State::Moved => EndpointState::Ready,
+            State::Ready | State::Unconfirmed | State::Moved => EndpointState::Ready,
             State::Leaving if slot.drained => EndpointState::Drained,
             State::Leaving => EndpointState::Leaving,
             State::Unreachable => EndpointState::Unknown,
