--- a/crates/core/examples/membership.rs
+++ b/crates/core/examples/membership.rs
@@ -140,7 +140,7 @@
     while !all(fleet) && fleet.now < start + MINUTE {
         fleet.run(5);
         for node in &mut fleet.nodes {
-            let heard = |(_, a): &(Millis, Action)| matches!(a, Action::GenerationHeard { .. });
+            let heard = |(_, a): &(Millis, Action)| matches!(a, Action::NewerGeneration { .. });
             if node.seen.iter().any(heard) {
                 node.machine.set_generation(Generation(9));
             }
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -101,14 +101,14 @@
     /// A member that was gone is no longer known.
     Forgotten(DaemonId),
     /// A peer has a later configuration in force than this daemon.
-    GenerationHeard {
+    NewerGeneration {
         /// The peer.
         from: DaemonId,
         /// Its generation.
         generation: Generation,
     },
     /// Load of the endpoints that a peer of this data centre is home to.
-    LoadHeard {
+    LoadReceived {
         /// The peer.
         from: DaemonId,
         /// When it was so, on the monotonic clock.
@@ -117,7 +117,7 @@
         pools: Vec<PoolLoad>,
     },
     /// Load of another data centre of the region.
-    SumsHeard {
+    SumsReceived {
         /// The data centre.
         data_centre: DataCentreId,
         /// By pool.
@@ -130,7 +130,7 @@
     /// The platform is about to take this VM away.
     ListedLeaving,
     /// Peers know that this daemon is leaving.
-    LeaveHeard {
+    LeaveAcknowledged {
         /// How many have acknowledged it.
         peers: usize,
     },
--- a/crates/core/src/membership/farewell.rs
+++ b/crates/core/src/membership/farewell.rs
@@ -47,7 +47,7 @@
         if peers >= wanted || now.since(farewell.since) >= PATIENCE {
             let action = match farewell.last {
                 true => Action::Departed { peers },
-                false => Action::LeaveHeard { peers },
+                false => Action::LeaveAcknowledged { peers },
             };
             self.out.push(action);
             self.farewell = None;
--- a/crates/core/src/membership/load.rs
+++ b/crates/core/src/membership/load.rs
@@ -111,7 +111,7 @@
             };
             self.loads.heard.insert(from.daemon.clone(), heard);
             let from = from.daemon.clone();
-            self.out.push(Action::LoadHeard { from, at, pools });
+            self.out.push(Action::LoadReceived { from, at, pools });
         }
         if message.sums.is_empty() {
             return;
@@ -119,7 +119,7 @@
         if let Some(entry) = self.table.get(from.incarnation) {
             let data_centre = entry.member.data_centre.clone();
             let sums = std::mem::take(&mut message.sums);
-            self.out.push(Action::SumsHeard { data_centre, sums });
+            self.out.push(Action::SumsReceived { data_centre, sums });
         }
     }
 }
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -163,7 +163,7 @@
         self.table.set_generation(from.incarnation, generation);
         if generation > self.table.own().generation {
             let from = from.daemon.clone();
-            self.out.push(Action::GenerationHeard { from, generation });
+            self.out.push(Action::NewerGeneration { from, generation });
         }
     }
 
--- a/crates/core/tests/membership/faults.rs
+++ b/crates/core/tests/membership/faults.rs
@@ -324,7 +324,7 @@
     let heard = |f: &Fleet, wanted: fn(&Action) -> bool| {
         f.nodes[5].seen.iter().any(|(_, action)| wanted(action))
     };
-    let left = |a: &Action| matches!(a, Action::LeaveHeard { peers } if *peers >= 3);
+    let left = |a: &Action| matches!(a, Action::LeaveAcknowledged { peers } if *peers >= 3);
     expect_that!(fleet.until(5000, |f| heard(f, left)), some(le(2000)));
     expect_that!(fleet.until(5000, |f| f.removed(5)), some(le(2000)));
     fleet.run(30_000);
--- a/crates/core/tests/membership/single.rs
+++ b/crates/core/tests/membership/single.rs
@@ -273,7 +273,7 @@
         fleet.nodes[at].machine.set_generation(Generation(4));
     }
     let heard = |f: &Fleet| {
-        let wanted = |a: &Action| matches!(a, Action::GenerationHeard { generation, .. } if *generation == Generation(4));
+        let wanted = |a: &Action| matches!(a, Action::NewerGeneration { generation, .. } if *generation == Generation(4));
         f.nodes[8].seen.iter().any(|(_, a)| wanted(a))
     };
     expect_that!(fleet.until(5000, heard), some(le(2000)));
@@ -299,11 +299,11 @@
     let mut centres = std::collections::BTreeMap::new();
     for (seen, action) in &fleet.nodes[0].seen {
         match action {
-            Action::LoadHeard { from: name, at, .. } => {
+            Action::LoadReceived { from: name, at, .. } => {
                 expect_that!(seen.since(*at), le(Millis(1300)));
                 from.insert(name.clone(), at);
             }
-            Action::SumsHeard { data_centre, sums } => {
+            Action::SumsReceived { data_centre, sums } => {
                 centres.insert(data_centre.clone(), sums.clone());
             }
             _ => {}
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -115,8 +115,10 @@
     fn act(&self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, message),
-            Action::LoadHeard { from, at, pools } => self.outlets.home.load_heard(from, at, pools),
-            Action::GenerationHeard { from, generation } => {
+            Action::LoadReceived { from, at, pools } => {
+                self.outlets.home.load_heard(from, at, pools)
+            }
+            Action::NewerGeneration { from, generation } => {
                 // The configuration task ends only with the daemon.
                 let _ = self.outlets.generation.send((from, generation));
             }
@@ -129,13 +131,13 @@
             Action::ListedLeaving => {
                 log::warn!(target: "fleet", "fleet: the platform takes this VM away")
             }
-            Action::LeaveHeard { peers } | Action::Departed { peers } => {
+            Action::LeaveAcknowledged { peers } | Action::Departed { peers } => {
                 self.outlets.farewell.send_replace(peers);
             }
             Action::Replaced { by } => {
                 log::error!(target: "fleet", "fleet: {by} runs under this daemon's name");
             }
-            Action::SumsHeard { .. } => {}
+            Action::SumsReceived { .. } => {}
         }
     }
 
