--- a/crates/core/examples/membership.rs
+++ b/crates/core/examples/membership.rs
@@ -158,7 +158,7 @@
         .is_some()
     {
         let now = fleet.clock(1);
-        let actions = fleet.nodes[1].machine.ask_generation(Generation(9), now);
+        let actions = fleet.nodes[1].machine.probe_lagging(Generation(9), now);
         fleet.act(1, actions);
         fleet.run(200);
     }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -227,7 +227,7 @@
     /// Asks lagging members for their generation; for a caller that waits, about once a second.
     ///
     /// Their answers are seen by [`Membership::lagging`].
-    pub fn ask_generation(&mut self, generation: Generation, now: Millis) -> Vec<Action> {
+    pub fn probe_lagging(&mut self, generation: Generation, now: Millis) -> Vec<Action> {
         let own = self.table.own().incarnation;
         let lagging = self.lagging(generation).map(|m| m.incarnation);
         let lagging: Vec<_> = lagging.filter(|i| *i != own).collect();
--- a/crates/core/tests/membership/single.rs
+++ b/crates/core/tests/membership/single.rs
@@ -278,7 +278,7 @@
     };
     expect_that!(fleet.until(5000, heard), some(le(2000)));
     let now = fleet.clock(0);
-    let actions = fleet.nodes[0].machine.ask_generation(Generation(4), now);
+    let actions = fleet.nodes[0].machine.probe_lagging(Generation(4), now);
     fleet.act(0, actions);
     fleet.run(100);
     let lagging = fleet.nodes[0].machine.lagging(Generation(4));
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -100,7 +100,7 @@
                 // Who asked may have gone away.
                 let _ = reply.send(lagging);
                 return match ask {
-                    true => self.membership.ask_generation(generation, now()),
+                    true => self.membership.probe_lagging(generation, now()),
                     false => Vec::new(),
                 };
             }
