--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -304,7 +304,7 @@
             return;
         };
         let patience = waiting.offer.patience;
-        let leaves = waiting.offer.passable && !waiting.offer.stays;
+        let leaves = waiting.offer.movable && !waiting.offer.keep_local;
         let wait = self.predict(id, now);
         if wait > self.overload.patience(patience, now) {
             let reason = self.late_reason(now);
@@ -338,7 +338,7 @@
 
     fn turn_away(&mut self, waiting: &Waiting, reason: Reason, wait: Millis) -> Action {
         let id = waiting.offer.id;
-        if waiting.offer.passable {
+        if waiting.offer.movable {
             return Action::PassOn { id, reason };
         }
         let wait = wait.clamp(AFTER_MIN, AFTER_MAX);
--- a/crates/core/src/admission/event.rs
+++ b/crates/core/src/admission/event.rs
@@ -26,9 +26,9 @@
     /// Longest wait before it runs, from now on.
     pub patience: Millis,
     /// Whether another endpoint could take it and hops allow that.
-    pub passable: bool,
+    pub movable: bool,
     /// Whether it had better wait here, where its prefix is cached, than be passed on.
-    pub stays: bool,
+    pub keep_local: bool,
 }
 
 /// The endpoint's own report of its load.
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -178,7 +178,7 @@
         eq(1)
     );
     let mut movable = offer(1, "a", "a1");
-    movable.passable = true;
+    movable.movable = true;
     let reason = Reason::PoolFull;
     let actions = home.handle(Event::Offer(movable), now);
     expect_that!(
@@ -262,7 +262,7 @@
         let mut home = open_home(settings(), 1);
         fill(&mut home, 18, 10);
         let mut movable = offer(18, "b", "b1");
-        movable.passable = true;
+        movable.movable = true;
         movable.patience = Millis(600_000);
         home.handle(Event::Offer(movable), Millis(10));
         let actions = home.handle(Event::State(state), Millis(20));
--- a/crates/core/tests/support/engine.rs
+++ b/crates/core/tests/support/engine.rs
@@ -32,8 +32,8 @@
         prompt: Tokens(100),
         output: Tokens(100),
         patience: Millis::from_secs(10),
-        passable: false,
-        stays: false,
+        movable: false,
+        keep_local: false,
     }
 }
 
--- a/crates/daemon/src/home/task.rs
+++ b/crates/daemon/src/home/task.rs
@@ -179,8 +179,8 @@
             prompt: Tokens(forward.prompt.saturating_sub(forward.cached)),
             output: Tokens(forward.output),
             patience: Millis(forward.patience).since(waited),
-            passable: forward.hops < HOP_LIMIT && forward.tried.len() < MAX_TRIED,
-            stays: false,
+            movable: forward.hops < HOP_LIMIT && forward.tried.len() < MAX_TRIED,
+            keep_local: false,
         }
     }
 
--- a/crates/lab/src/policy/central.rs
+++ b/crates/lab/src/policy/central.rs
@@ -235,8 +235,8 @@
             prompt: prompt_work(Tokens(u64::from(request.prompt - cached))),
             output: Tokens(plant.size.output as u64),
             patience: PATIENCE,
-            passable: self.keeps_bound() && job.tried.len() < MAX_TRIED,
-            stays: false,
+            movable: self.keeps_bound() && job.tried.len() < MAX_TRIED,
+            keep_local: false,
         };
         self.tell(endpoint, Event::Offer(offer), now);
     }
--- a/crates/lab/src/policy/fleet/request.rs
+++ b/crates/lab/src/policy/fleet/request.rs
@@ -156,8 +156,8 @@
             prompt: prompt_work(Tokens(u64::from(request.prompt).saturating_sub(job.cached))),
             output: Tokens(plant.size.output as u64),
             patience: PATIENCE,
-            passable,
-            stays,
+            movable: passable,
+            keep_local: stays,
         };
         self.tell(plant, number, endpoint, Event::Offer(offer), now);
     }
