--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -342,8 +342,8 @@
             return Action::PassOn { id, reason };
         }
         let wait = wait.clamp(AFTER_MIN, AFTER_MAX);
-        let after = wait + Millis(self.rng.random_range(0..=wait.0));
-        Action::Refuse { id, reason, after }
+        let retry_after = wait + Millis(self.rng.random_range(0..=wait.0));
+        Action::Refuse { id, reason, retry_after }
     }
 
     /// Whether one more request may be dispatched now.
--- a/crates/core/src/admission/event.rs
+++ b/crates/core/src/admission/event.rs
@@ -150,7 +150,7 @@
         /// Why.
         reason: Reason,
         /// When to come back.
-        after: Millis,
+        retry_after: Millis,
     },
     /// Place the request at another endpoint; it was not sent to this one.
     PassOn {
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -157,9 +157,9 @@
         let mut offer = offer(number, "a", "a1");
         offer.patience = Millis(if number < 100 { 3_600_000 } else { 300 });
         for action in home.handle(Event::Offer(offer), Millis(10)) {
-            if let Action::Refuse { id, reason, after } = action {
+            if let Action::Refuse { id, reason, retry_after } = action {
                 expect_that!(id, eq(engine::id(number)));
-                expect_that!(after, gt(Millis(0)));
+                expect_that!(retry_after, gt(Millis(0)));
                 reasons.push(reason);
             }
         }
@@ -395,10 +395,10 @@
             home.handle(Event::Offer(offer), Millis(10));
         }
         let actions = home.handle(Event::Offer(offer(count, "a", "a1")), Millis(10));
-        let Some(Action::Refuse { after, .. }) = actions.first() else {
+        let Some(Action::Refuse { retry_after, .. }) = actions.first() else {
             return Millis(0);
         };
-        *after
+        *retry_after
     };
     // Requests of 200 tokens at 1.6 tokens a millisecond, and up to as much again as jitter.
     for queue in [16, 64, 160] {
--- a/crates/core/tests/support/engine.rs
+++ b/crates/core/tests/support/engine.rs
@@ -217,9 +217,9 @@
                     }
                     self.push(now + (work as f64 / SPEED) as u64, Step::Finish(id, work));
                 }
-                Action::Refuse { reason, after, .. } => {
+                Action::Refuse { reason, retry_after, .. } => {
                     *self.tally.refused.entry(reason).or_default() += 1;
-                    self.tally.empty_after += u64::from(after == Millis::ZERO);
+                    self.tally.empty_after += u64::from(retry_after == Millis::ZERO);
                 }
                 Action::PassOn { .. } => {}
             }
--- a/crates/daemon/src/home/task.rs
+++ b/crates/daemon/src/home/task.rs
@@ -204,9 +204,13 @@
             };
             match action {
                 Action::Dispatch { priority, .. } => self.dispatch(held, endpoint, priority),
-                Action::Refuse { reason, after, .. } => {
+                Action::Refuse {
+                    reason,
+                    retry_after,
+                    ..
+                } => {
                     let refusal = Refusal {
-                        after,
+                        after: retry_after,
                         endpoint: Some(endpoint.clone()),
                         ..Refusal::new(reason)
                     };
--- a/crates/lab/src/policy/central.rs
+++ b/crates/lab/src/policy/central.rs
@@ -256,7 +256,11 @@
                     self.failed(plant, id, endpoint, now);
                 }
             }
-            Action::Refuse { reason, after, .. } => plant.refuse(id, reason, after, now),
+            Action::Refuse {
+                reason,
+                retry_after,
+                ..
+            } => plant.refuse(id, reason, retry_after, now),
             Action::PassOn { .. } => {
                 if let Some(job) = plant.jobs.get_mut(&id) {
                     job.tried.push(endpoint);
--- a/crates/lab/src/policy/fleet/request.rs
+++ b/crates/lab/src/policy/fleet/request.rs
@@ -199,7 +199,11 @@
                     self.failed(plant, id, number, endpoint, now);
                 }
             }
-            Action::Refuse { reason, after, .. } => plant.refuse(id, reason, after, now),
+            Action::Refuse {
+                reason,
+                retry_after,
+                ..
+            } => plant.refuse(id, reason, retry_after, now),
             Action::PassOn { .. } => self.pass_on(plant, id, number, endpoint, now),
         }
     }
