--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -36,11 +36,11 @@
 #[derive(Debug)]
 pub struct Settings {
     /// Retries that a first try pays for.
-    pub share: f64,
+    pub ratio: f64,
     /// Retries that may be spent without first tries, at once and then one a second.
-    pub floor: f64,
+    pub reserve: f64,
     /// Tries of one request, the first included.
-    pub tries: u32,
+    pub attempts: u32,
     /// Longest wait before the first retry; it doubles with each.
     pub backoff: Millis,
 }
@@ -48,9 +48,9 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            share: SHARE,
-            floor: FLOOR,
-            tries: TRIES,
+            ratio: SHARE,
+            reserve: FLOOR,
+            attempts: TRIES,
             backoff: BACKOFF,
         }
     }
@@ -85,14 +85,14 @@
     }
 
     /// Counts a first try.
-    pub fn first(&mut self, pool: &PoolId, now: Millis) {
-        let share = self.settings.share;
+    pub fn deposit(&mut self, pool: &PoolId, now: Millis) {
+        let share = self.settings.ratio;
         let purse = self.purse(pool, now);
         purse.earned = (purse.earned + share).min(SAVED_MAX);
     }
 
     /// Takes one retry, unless too much of the work is retries.
-    pub fn spend(&mut self, pool: &PoolId, now: Millis) -> bool {
+    pub fn withdraw(&mut self, pool: &PoolId, now: Millis) -> bool {
         let purse = self.purse(pool, now);
         let from = match purse.earned >= 1.0 {
             true => &mut purse.earned,
@@ -106,7 +106,7 @@
     }
 
     fn purse(&mut self, pool: &PoolId, now: Millis) -> &mut Purse {
-        let floor = self.settings.floor;
+        let floor = self.settings.reserve;
         let purse = self.pools.entry(pool.clone()).or_insert(Purse {
             earned: 0.0,
             floor,
@@ -246,14 +246,14 @@
         if let Some(endpoint) = failure.endpoint {
             self.tried.push(endpoint);
         }
-        if !allowed || self.tries >= self.settings.tries {
+        if !allowed || self.tries >= self.settings.attempts {
             return Verdict::GiveUp { reason };
         }
         let wait = self.wait(failure.after, rng);
         if now + wait > self.deadline {
             return Verdict::GiveUp { reason };
         }
-        if !budget.spend(&self.pool, now) {
+        if !budget.withdraw(&self.pool, now) {
             return self.spent(reason, failure.outcome);
         }
         self.tries += 1;
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -111,10 +111,10 @@
             let now = Millis(now);
             if rng.random_ratio(1, 5) {
                 first += 1;
-                budget.first(&pool(), now);
+                budget.deposit(&pool(), now);
             }
             // Every request fails at once and is tried again as often as the budget lets it.
-            again += u32::from(budget.spend(&pool(), now));
+            again += u32::from(budget.withdraw(&pool(), now));
         }
         println!("seed {seed}: {again} retries of {first} first tries");
         let most = f64::from(first) * 0.1 + 60.0 + 3.0;
@@ -125,7 +125,7 @@
 #[gtest]
 fn a_spent_budget_does_not_make_an_unknown_outcome_certain() {
     let mut budget = Budget::new(Settings {
-        floor: 0.0,
+        reserve: 0.0,
         ..Settings::default()
     });
     let mut rng = Pcg32::seed_from_u64(1);
@@ -143,7 +143,7 @@
     let mut shortest = [u64::MAX; 3];
     for _ in 0..300 {
         let settings = Settings {
-            tries: 4,
+            attempts: 4,
             ..Settings::default()
         };
         let mut plan = Plan::new(settings, pool(), true, Millis(60_000));
@@ -173,6 +173,6 @@
         })
     );
     // A retry that isn't made costs nothing.
-    let left = (0..10).filter(|_| budget.spend(&pool(), Millis(0))).count();
+    let left = (0..10).filter(|_| budget.withdraw(&pool(), Millis(0))).count();
     expect_that!(left, eq(3));
 }
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -42,7 +42,7 @@
             accounts: Accounts::new(1, rng, now()),
             ledger: Ledger::new(1, now()),
             budget: Budget::new(Settings {
-                floor: RETRY_FLOOR,
+                reserve: RETRY_FLOOR,
                 ..Settings::default()
             }),
             limits: HashMap::new(),
@@ -110,9 +110,9 @@
                 self.drive(Event::Lost(daemon.clone()));
                 self.keep(LedgerEvent::Gone(daemon));
             }
-            Message::First(pool) => self.budget.first(&pool, now()),
+            Message::First(pool) => self.budget.deposit(&pool, now()),
             Message::Spend(pool, sender) => {
-                let spent = self.budget.spend(&pool, now());
+                let spent = self.budget.withdraw(&pool, now());
                 // A request that has gone meanwhile loses the retry to nobody.
                 let _ = sender.send(spent);
             }
