--- a/crates/core/src/membership/exchange.rs
+++ b/crates/core/src/membership/exchange.rs
@@ -32,7 +32,7 @@
     let doubted = member.doubt != Doubt::Trusted;
     let mut bytes = [0; 15];
     bytes[..8].copy_from_slice(&member.incarnation.0.to_be_bytes());
-    bytes[8..12].copy_from_slice(&member.beat.to_be_bytes());
+    bytes[8..12].copy_from_slice(&member.heartbeat.to_be_bytes());
     bytes[12] = member.announced as u8;
     bytes[13] = u8::from(doubted);
     bytes[14] = u8::from(member.ready);
--- a/crates/core/src/membership/farewell.rs
+++ b/crates/core/src/membership/farewell.rs
@@ -28,7 +28,7 @@
             own.ready = false;
         });
         self.farewell = Some(Farewell {
-            beat: self.table.own().beat,
+            beat: self.table.own().heartbeat,
             since: now,
             heard: BTreeSet::new(),
             last,
@@ -59,7 +59,7 @@
         self.timers.farewell = now + self.settings.news;
         let heard = farewell.heard.clone();
         for to in self.random_peers(FAREWELL_PEERS, |e| !heard.contains(&e.member.daemon)) {
-            let beat = self.table.own().beat;
+            let beat = self.table.own().heartbeat;
             let message = Gossip {
                 ping: self.probes.begin(to, beat, None, now),
                 changes: vec![self.table.own().change(false)],
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -82,7 +82,7 @@
     /// Whether it takes requests.
     pub ready: bool,
     /// Its heartbeat number, raised with each change that it makes to itself.
-    pub beat: u32,
+    pub heartbeat: u32,
     /// The configuration in force there, as last heard from itself.
     pub generation: Generation,
 }
@@ -106,7 +106,7 @@
             announced: Announced::Joining,
             doubt: Doubt::Trusted,
             ready: false,
-            beat: 1,
+            heartbeat: 1,
             generation: Generation(0),
         }
     }
@@ -156,7 +156,7 @@
         }
         Change {
             incarnation: self.incarnation.0,
-            beat: self.beat,
+            beat: self.heartbeat,
             flags,
         }
     }
@@ -186,7 +186,7 @@
             announced: change.announced(),
             doubt: change.doubt(),
             ready: change.ready(),
-            beat: change.beat,
+            heartbeat: change.beat,
             generation: Generation(0),
         })
     }
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -127,7 +127,7 @@
     /// Answers a doubt about this daemon by a higher heartbeat number.
     fn refute(&mut self, change: Option<&Change>) {
         let beat = change.map_or(0, |change| change.beat);
-        self.announce(|own| own.beat = own.beat.max(beat));
+        self.announce(|own| own.heartbeat = own.heartbeat.max(beat));
     }
 
     /// Another process has this daemon's name.
@@ -152,7 +152,7 @@
             self.want(from.incarnation, true, reply, now);
             return;
         };
-        if entry.member.beat < message.beat {
+        if entry.member.heartbeat < message.beat {
             self.want(from.incarnation, true, reply, now);
         } else if entry.member.doubt != Doubt::Trusted {
             // Once it has heard of the doubt, it answers by a higher number.
--- a/crates/core/src/membership/send.rs
+++ b/crates/core/src/membership/send.rs
@@ -37,7 +37,7 @@
     pub(super) fn send_message(&mut self, to: Target, incarnation: u32, mut message: Gossip) {
         let own = self.table.own();
         message.to = incarnation;
-        message.beat = own.beat;
+        message.beat = own.heartbeat;
         message.generation = own.generation.0;
         // Changes of an exchange are a whole list, to which nothing may be added.
         if message.covers == 0 {
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -108,7 +108,7 @@
         self.version += 1;
         if let Some(entry) = self.entries.get_mut(&self.own) {
             change(&mut entry.member);
-            entry.member.beat += 1;
+            entry.member.heartbeat += 1;
         }
     }
 
@@ -241,11 +241,11 @@
 }
 
 fn merge_own(own: &Member, change: &Change) -> Merged {
-    let doubted = change.doubt() != Doubt::Trusted && change.beat >= own.beat;
-    if doubted || change.beat > own.beat {
+    let doubted = change.doubt() != Doubt::Trusted && change.beat >= own.heartbeat;
+    if doubted || change.beat > own.heartbeat {
         return Merged::Doubted;
     }
-    match change.beat < own.beat {
+    match change.beat < own.heartbeat {
         true => Merged::Older,
         false => Merged::Same,
     }
@@ -253,12 +253,12 @@
 
 fn merge_other(entry: &mut Entry, change: &Change, now: Millis) -> Merged {
     let member = &mut entry.member;
-    if change.beat < member.beat {
+    if change.beat < member.heartbeat {
         return Merged::Older;
     }
-    let later = change.beat > member.beat;
+    let later = change.beat > member.heartbeat;
     if later {
-        member.beat = change.beat;
+        member.heartbeat = change.beat;
         member.announced = change.announced();
         member.ready = change.ready();
         member.doubt = Doubt::Trusted;
--- a/crates/core/src/membership/tick.rs
+++ b/crates/core/src/membership/tick.rs
@@ -86,7 +86,7 @@
             changes.push(entry.member.change(entry.refused));
         }
         let sums = self.sums_for(target);
-        let beat = self.table.own().beat;
+        let beat = self.table.own().heartbeat;
         let ping = self.probes.begin(target, beat, asker, now);
         let message = Gossip {
             ping,
@@ -236,7 +236,7 @@
     }
 
     fn compare_with(&mut self, to: Incarnation, now: Millis) {
-        let beat = self.table.own().beat;
+        let beat = self.table.own().heartbeat;
         let ping = self.probes.begin_compare(to, beat, now);
         let message = Gossip {
             ping,
--- a/crates/core/tests/membership/faults.rs
+++ b/crates/core/tests/membership/faults.rs
@@ -193,7 +193,7 @@
         let Action::Changed(member) = action else {
             continue;
         };
-        let order = (member.epoch, member.incarnation, member.beat);
+        let order = (member.epoch, member.incarnation, member.heartbeat);
         let last = told.insert(member.daemon.clone(), order);
         assert!(last.is_none_or(|last| last <= order), "{member:?} {last:?}");
     }
--- a/crates/core/tests/membership/single.rs
+++ b/crates/core/tests/membership/single.rs
@@ -95,7 +95,7 @@
     let mut machine = machine();
     let other = member(1, 20);
     hear(&mut machine, &other, records(&[&other]), 100);
-    let before = machine.own().beat;
+    let before = machine.own().heartbeat;
     let mut doubted = machine.own().clone();
     doubted.doubt = Doubt::Suspect;
     let message = Gossip {
@@ -103,7 +103,7 @@
         ..Gossip::default()
     };
     hear(&mut machine, &other, message, 200);
-    expect_that!(machine.own().beat, gt(before));
+    expect_that!(machine.own().heartbeat, gt(before));
     expect_that!(machine.own().state(), not(eq(State::Suspect)));
 }
 
