--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -36,7 +36,7 @@
 use crate::wire::{Gossip, PoolLoad, PoolSum};
 
 pub use event::{Action, Event, ListedVm, Peer, Scope, Target};
-pub use member::{Announced, Doubt, Member, State};
+pub use member::{Announced, Liveness, Member, State};
 pub use settings::Settings;
 
 use load::Loads;
--- a/crates/core/src/membership/exchange.rs
+++ b/crates/core/src/membership/exchange.rs
@@ -14,7 +14,7 @@
 use crate::wire::Gossip;
 
 use super::Membership;
-use super::member::Doubt;
+use super::member::Liveness;
 use super::settings::Settings;
 use super::table::{Entry, Table};
 
@@ -29,7 +29,7 @@
 
 fn hash(entry: &Entry) -> u64 {
     let member = &entry.member;
-    let doubted = member.doubt != Doubt::Trusted;
+    let doubted = member.liveness != Liveness::Alive;
     let mut bytes = [0; 15];
     bytes[..8].copy_from_slice(&member.incarnation.0.to_be_bytes());
     bytes[8..12].copy_from_slice(&member.heartbeat.to_be_bytes());
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -29,9 +29,9 @@
 /// What others think of a member.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
-pub enum Doubt {
+pub enum Liveness {
     /// Nothing speaks against it.
-    Trusted,
+    Alive,
     /// It hasn't answered, and may yet.
     Suspect,
     /// It hasn't answered for long.
@@ -78,7 +78,7 @@
     /// What it says of itself.
     pub announced: Announced,
     /// What others think of it.
-    pub doubt: Doubt,
+    pub liveness: Liveness,
     /// Whether it takes requests.
     pub ready: bool,
     /// Its heartbeat number, raised with each change that it makes to itself.
@@ -104,7 +104,7 @@
             data_centre,
             region,
             announced: Announced::Joining,
-            doubt: Doubt::Trusted,
+            liveness: Liveness::Alive,
             ready: false,
             heartbeat: 1,
             generation: Generation(0),
@@ -119,9 +119,9 @@
 
     /// Its state.
     pub const fn state(&self) -> State {
-        match (self.announced, self.doubt) {
-            (Announced::Left, _) | (_, Doubt::Gone) => State::Gone,
-            (_, Doubt::Suspect) => State::Suspect,
+        match (self.announced, self.liveness) {
+            (Announced::Left, _) | (_, Liveness::Gone) => State::Gone,
+            (_, Liveness::Suspect) => State::Suspect,
             (Announced::Joining, _) => State::Joining,
             (Announced::Live, _) => State::Live,
             (Announced::Leaving, _) => State::Leaving,
@@ -132,7 +132,7 @@
     ///
     /// A suspect still is one, so that a lost probe moves no home.
     pub fn is_eligible(&self) -> bool {
-        self.announced == Announced::Live && self.doubt != Doubt::Gone
+        self.announced == Announced::Live && self.liveness != Liveness::Gone
     }
 
     /// Whether it has stopped or is believed to have.
@@ -147,7 +147,7 @@
 
     /// Its short form; `refused` says that its address refused a connection.
     pub fn change(&self, refused: bool) -> Change {
-        let mut flags = self.announced as u32 | (self.doubt as u32) << DOUBT_SHIFT;
+        let mut flags = self.announced as u32 | (self.liveness as u32) << DOUBT_SHIFT;
         if self.ready {
             flags |= READY;
         }
@@ -184,7 +184,7 @@
             data_centre: record.data_centre.parse().ok()?,
             region: record.region.parse().ok()?,
             announced: change.announced(),
-            doubt: change.doubt(),
+            liveness: change.liveness(),
             ready: change.ready(),
             heartbeat: change.beat,
             generation: Generation(0),
@@ -204,11 +204,11 @@
     }
 
     /// What the sender thinks of it.
-    pub const fn doubt(&self) -> Doubt {
+    pub const fn liveness(&self) -> Liveness {
         match self.flags >> DOUBT_SHIFT & 0b11 {
-            0 => Doubt::Trusted,
-            1 => Doubt::Suspect,
-            _ => Doubt::Gone,
+            0 => Liveness::Alive,
+            1 => Liveness::Suspect,
+            _ => Liveness::Gone,
         }
     }
 
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -4,7 +4,7 @@
 use crate::ids::{Generation, Incarnation};
 use crate::wire::{Change, Gossip, Record};
 
-use super::member::{Announced, Doubt, Member};
+use super::member::{Announced, Liveness, Member};
 use super::probe::Asker;
 use super::settings::{ASK_AGAIN, MAX_RECORDS, MIN_RECORDS};
 use super::table::Merged;
@@ -154,7 +154,7 @@
         };
         if entry.member.heartbeat < message.beat {
             self.want(from.incarnation, true, reply, now);
-        } else if entry.member.doubt != Doubt::Trusted {
+        } else if entry.member.liveness != Liveness::Alive {
             // Once it has heard of the doubt, it answers by a higher number.
             reply.changes.push(entry.member.change(entry.refused));
         }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -12,7 +12,7 @@
 use crate::ids::{DaemonId, Generation, Incarnation};
 use crate::wire::Change;
 
-use super::member::{Announced, Doubt, Member};
+use super::member::{Announced, Liveness, Member};
 use super::settings::MAX_FORMER;
 
 /// A member and what this daemon alone knows of it.
@@ -171,14 +171,14 @@
     }
 
     /// Sets a doubt; false if the member has it already or isn't known.
-    pub fn doubt(&mut self, incarnation: Incarnation, doubt: Doubt, now: Millis) -> bool {
+    pub fn doubt(&mut self, incarnation: Incarnation, liveness: Liveness, now: Millis) -> bool {
         let Some(entry) = self.get_mut(incarnation) else {
             return false;
         };
-        if entry.member.doubt == doubt {
+        if entry.member.liveness == liveness {
             return false;
         }
-        entry.member.doubt = doubt;
+        entry.member.liveness = liveness;
         entry.since = now;
         self.version += 1;
         true
@@ -187,7 +187,7 @@
     /// Starts every suspicion anew, after a pause of this daemon.
     pub fn restart_doubts(&mut self, now: Millis) {
         for entry in self.entries.values_mut() {
-            if entry.member.doubt == Doubt::Suspect {
+            if entry.member.liveness == Liveness::Suspect {
                 entry.since = now;
             }
         }
@@ -241,7 +241,7 @@
 }
 
 fn merge_own(own: &Member, change: &Change) -> Merged {
-    let doubted = change.doubt() != Doubt::Trusted && change.beat >= own.heartbeat;
+    let doubted = change.liveness() != Liveness::Alive && change.beat >= own.heartbeat;
     if doubted || change.beat > own.heartbeat {
         return Merged::Doubted;
     }
@@ -261,23 +261,23 @@
         member.heartbeat = change.beat;
         member.announced = change.announced();
         member.ready = change.ready();
-        member.doubt = Doubt::Trusted;
+        member.liveness = Liveness::Alive;
     }
     if member.announced == Announced::Left {
         entry.since = if later { now } else { entry.since };
         return if later { Merged::Newer } else { Merged::Same };
     }
-    match (change.doubt(), member.doubt) {
-        (Doubt::Trusted, Doubt::Trusted) if later => Merged::Newer,
-        (Doubt::Trusted, Doubt::Trusted) => Merged::Same,
-        (Doubt::Trusted, _) => Merged::Older,
-        (Doubt::Suspect, Doubt::Trusted) => {
-            member.doubt = Doubt::Suspect;
+    match (change.liveness(), member.liveness) {
+        (Liveness::Alive, Liveness::Alive) if later => Merged::Newer,
+        (Liveness::Alive, Liveness::Alive) => Merged::Same,
+        (Liveness::Alive, _) => Merged::Older,
+        (Liveness::Suspect, Liveness::Alive) => {
+            member.liveness = Liveness::Suspect;
             entry.refused |= change.refused();
             entry.since = now;
             Merged::Newer
         }
-        (Doubt::Gone, Doubt::Trusted) => Merged::Contested,
-        (_, Doubt::Suspect | Doubt::Gone) => Merged::Same,
+        (Liveness::Gone, Liveness::Alive) => Merged::Contested,
+        (_, Liveness::Suspect | Liveness::Gone) => Merged::Same,
     }
 }
--- a/crates/core/src/membership/tick.rs
+++ b/crates/core/src/membership/tick.rs
@@ -9,7 +9,7 @@
 use crate::ids::Incarnation;
 use crate::wire::Gossip;
 
-use super::member::{Announced, Doubt};
+use super::member::{Announced, Liveness};
 use super::probe::{Asker, Due, Probe};
 use super::settings::{
     ASK_AGAIN, FANOUT, INDIRECT, MAX_ASKS, MAX_CHECKS, MAX_RECORDS, NEWS_FANOUT, ROUND_RECORDS,
@@ -80,9 +80,9 @@
         let mut changes = Vec::new();
         if self.contested.remove(&target) {
             let mut change = entry.member.clone();
-            change.doubt = Doubt::Gone;
+            change.liveness = Liveness::Gone;
             changes.push(change.change(false));
-        } else if entry.member.doubt != Doubt::Trusted {
+        } else if entry.member.liveness != Liveness::Alive {
             changes.push(entry.member.change(entry.refused));
         }
         let sums = self.sums_for(target);
@@ -116,8 +116,8 @@
         let trusted = self
             .table
             .get(probe.target)
-            .is_some_and(|e| e.member.doubt == Doubt::Trusted && !e.member.is_gone());
-        if trusted && self.table.doubt(probe.target, Doubt::Suspect, now) {
+            .is_some_and(|e| e.member.liveness == Liveness::Alive && !e.member.is_gone());
+        if trusted && self.table.doubt(probe.target, Liveness::Suspect, now) {
             self.changed(probe.target);
             self.spread.put(probe.target);
         }
@@ -132,12 +132,12 @@
             } else {
                 patience
             };
-            e.member.doubt == Doubt::Suspect && now.since(e.since) >= patience
+            e.member.liveness == Liveness::Suspect && now.since(e.since) >= patience
         };
         let over: Vec<_> = self.table.others().filter(over).collect();
         let over: Vec<_> = over.iter().map(|e| e.member.incarnation).collect();
         for incarnation in over {
-            self.table.doubt(incarnation, Doubt::Gone, now);
+            self.table.doubt(incarnation, Liveness::Gone, now);
             self.changed(incarnation);
         }
     }
--- a/crates/core/tests/membership/single.rs
+++ b/crates/core/tests/membership/single.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, Generation, Incarnation};
 use medlarrill_core::membership::{
-    Action, Announced, Doubt, Event, ListedVm, Member, Membership, Peer, State,
+    Action, Announced, Liveness, Event, ListedVm, Member, Membership, Peer, State,
 };
 use medlarrill_core::wire::Gossip;
 
@@ -97,7 +97,7 @@
     hear(&mut machine, &other, records(&[&other]), 100);
     let before = machine.own().heartbeat;
     let mut doubted = machine.own().clone();
-    doubted.doubt = Doubt::Suspect;
+    doubted.liveness = Liveness::Suspect;
     let message = Gossip {
         changes: vec![doubted.change(false)],
         ..Gossip::default()
@@ -134,7 +134,7 @@
     let (other, third) = (member(1, 20), member(2, 30));
     hear(&mut machine, &other, records(&[&other, &third]), 100);
     let mut doubted = third.clone();
-    doubted.doubt = Doubt::Suspect;
+    doubted.liveness = Liveness::Suspect;
     let change = doubted.change(false);
     let message = Gossip {
         changes: vec![change],
@@ -152,7 +152,7 @@
     let (other, third) = (member(1, 20), member(2, 30));
     hear(&mut machine, &other, records(&[&other, &third]), 100);
     let mut gone = third.clone();
-    gone.doubt = Doubt::Gone;
+    gone.liveness = Liveness::Gone;
     let message = Gossip {
         changes: vec![gone.change(false)],
         ..Gossip::default()
@@ -215,7 +215,7 @@
     let (mut machine, others) = met();
     let before = probes(&mut machine, 100);
     let after = probes(&mut machine, 5000);
-    let doubted = machine.members().filter(|m| m.doubt != Doubt::Trusted);
+    let doubted = machine.members().filter(|m| m.liveness != Liveness::Alive);
     expect_that!(doubted.count(), eq(0));
     answer(&mut machine, &others, &before, &[], 5001);
     expect_that!(machine.is_fresh(Millis(5002)), is_false());
