--- a/crates/core/examples/membership.rs
+++ b/crates/core/examples/membership.rs
@@ -172,7 +172,7 @@
     let (left, right) = all.split_at(all.len() * 2 / 3);
     fleet.part(left, right);
     fleet.run(3 * MINUTE);
-    let live = fleet.nodes[0].machine.live(&Scope::Fleet).count();
+    let live = fleet.nodes[0].machine.eligible(&Scope::Fleet).count();
     rate(fleet, &format!("parted, {live} live"), MINUTE);
     fleet.cuts.clear();
     fleet.reset_sent();
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -166,8 +166,8 @@
     /// The members in `scope` that homes and claims are placed on, in the order of their names.
     ///
     /// A suspect is among them until it is gone; see [`Member::is_eligible`].
-    pub fn live(&self, scope: &Scope) -> impl Iterator<Item = &Member> {
-        self.members().filter(|m| m.is_eligible() && scope.holds(m))
+    pub fn eligible(&self, scope: &Scope) -> impl Iterator<Item = &Member> {
+        self.members().filter(|m| m.is_eligible() && scope.contains(m))
     }
 
     /// The member of this name, if it is known.
@@ -220,7 +220,7 @@
 
     /// Live members that aren't known to have `generation` in force, or a later one.
     pub fn lagging(&self, generation: Generation) -> impl Iterator<Item = &Member> {
-        self.live(&Scope::Fleet)
+        self.eligible(&Scope::Fleet)
             .filter(move |m| m.generation < generation)
     }
 
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -48,7 +48,7 @@
 
 impl Scope {
     /// Whether `member` is meant.
-    pub fn holds(&self, member: &Member) -> bool {
+    pub fn contains(&self, member: &Member) -> bool {
         match self {
             Self::Fleet => true,
             Self::Region(region) => member.region == *region,
--- a/crates/core/tests/membership/faults.rs
+++ b/crates/core/tests/membership/faults.rs
@@ -81,7 +81,7 @@
         fleet.restart(at);
         let fresh = |f: &Fleet| f.nodes[at].machine.is_fresh(f.clock(at));
         assert_that!(fleet.until(20_000, fresh), some(le(3000)));
-        let known = fleet.nodes[at].machine.live(&Scope::Fleet).count();
+        let known = fleet.nodes[at].machine.eligible(&Scope::Fleet).count();
         expect_that!(known, eq(100));
     }
 }
@@ -93,7 +93,7 @@
     fleet.part(&left, &right);
     fleet.run(300_000);
     for (at, live) in [(0, left.len()), (1, right.len())] {
-        let seen = fleet.nodes[at].machine.live(&Scope::Fleet).count();
+        let seen = fleet.nodes[at].machine.eligible(&Scope::Fleet).count();
         expect_that!(seen, eq(live));
     }
     fleet.cuts.clear();
@@ -354,7 +354,7 @@
         (Scope::DataCentre(own.data_centre.clone()), 3),
     ];
     for (scope, count) in scopes {
-        let live: Vec<_> = machine.live(&scope).map(|m| &m.daemon).collect();
+        let live: Vec<_> = machine.eligible(&scope).map(|m| &m.daemon).collect();
         expect_that!(live.len(), eq(count));
         expect_that!(live.is_sorted(), is_true());
     }
--- a/crates/core/tests/membership/fleet.rs
+++ b/crates/core/tests/membership/fleet.rs
@@ -318,7 +318,7 @@
         let up = self.up();
         let own: Vec<_> = up.iter().map(|at| self.peer(*at)).collect();
         up.iter().all(|at| {
-            let live = self.nodes[*at].machine.live(&Scope::Fleet);
+            let live = self.nodes[*at].machine.eligible(&Scope::Fleet);
             let live = live.filter(|m| m.state() == State::Live);
             live.map(|m| (&m.daemon, m.incarnation))
                 .eq(own.iter().map(|p| (&p.daemon, p.incarnation)))
@@ -329,7 +329,7 @@
     pub fn removed(&self, of: usize) -> bool {
         let places = |at: &usize| {
             let scope = Scope::Fleet;
-            let mut live = self.nodes[*at].machine.live(&scope);
+            let mut live = self.nodes[*at].machine.eligible(&scope);
             live.any(|m| m.incarnation == self.nodes[of].own.incarnation)
         };
         !self.up().iter().any(places)
