--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,7 +1,7 @@
-//! Identifiers as newtypes, each with `Display` and `FromStr`.
+//! Newtypes for identifiers, with `Display` and `FromStr` for most.
 //!
-//! Names given by people are short checked texts; identifiers drawn by the
-//! fleet are numbers shown in hexadecimal.
+//! Names chosen by people are short validated strings. Identifiers generated
+//! by the fleet are numbers, random ones written in hexadecimal.
 
 mod number;
 mod text;
--- a/crates/core/src/ids/text.rs
+++ b/crates/core/src/ids/text.rs
@@ -1,4 +1,4 @@
-//! Names given by people: checked, cheap to clone.
+//! Names chosen by people: validated when parsed, cheap to clone.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -6,28 +6,28 @@
 use derive_more::{Debug, Display, Error};
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 64;
 
-/// Result of reading a name.
+/// Result of parsing a name.
 pub type Result<T> = std::result::Result<T, IdError>;
 
-/// A name that can't be used.
+/// Why a text is not a valid name.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 pub enum IdError {
-    /// No text at all.
+    /// The name is empty.
     #[display("a name must not be empty")]
     Empty,
-    /// Longer than `MAX_NAME` bytes.
+    /// The name is longer than [`MAX_NAME`] bytes.
     #[display("a name has at most {MAX_NAME} bytes, this one has {_0}")]
     Long(#[error(not(source))] usize),
-    /// A character outside the allowed set.
+    /// The name has a character outside the allowed set.
     #[display("`{_0}` can't stand in a name: use a-z, A-Z, 0-9, `-`, `_` and `.`")]
     Character(#[error(not(source))] char),
 }
 
-fn check(text: &str) -> Result<()> {
+fn validate(text: &str) -> Result<()> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
@@ -50,7 +50,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -60,7 +60,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(text.into()))
             }
         }
@@ -68,22 +68,22 @@
 }
 
 text_id! {
-    /// A client account of an institution.
+    /// The name of a client account of an institution.
     AccountId,
-    /// A daemon's name, lasting over restarts.
+    /// The name of a daemon; it survives restarts.
     DaemonId,
-    /// A data centre.
+    /// The name of a data centre.
     DataCentreId,
-    /// An endpoint: one replica of a model or of a plain service.
+    /// The name of an endpoint: one replica of a model or of a plain service.
     EndpointId,
-    /// An institution.
+    /// The name of an institution.
     InstitutionId,
-    /// A model.
+    /// The name of a model.
     ModelId,
-    /// A pool of endpoints that serve the same thing.
+    /// The name of a pool: endpoints that serve the same model or service.
     PoolId,
-    /// A region of data centres.
+    /// The name of a region, a group of data centres.
     RegionId,
-    /// A VM in the platform's list.
+    /// The name of a VM in the platform's list.
     VmId,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the router fleet, without input or output.
+//! Decision logic of the router fleet, without I/O.
 //!
-//! Each machine in this crate takes an event and the time and returns the
-//! actions its caller has to carry out. Sockets, files and timers live in
-//! `medlarrill-net` and `medlarrilld`.
+//! Most modules are state machines: they take an event and the current time
+//! and return the actions that the caller has to perform. Sockets, files and
+//! timers are in `medlarrill-net` and `medlarrilld`.
 
 pub mod admission;
 pub mod change;
