--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,108 +1,107 @@
-//! Pause detection: whether what this process knows may still be acted on.
+//! Detects pauses of this process, after which its state may be stale.
 //!
-//! A process that was paused can't tell from inside. It shows in the clocks:
-//! the monotonic one jumps between two ticks if the process was stopped, the
-//! wall clock runs ahead of it if the whole VM was. After either, all that is
-//! known is stale until enough peers have answered a probe sent since: answers
-//! to older probes may have waited in a socket's buffer for as long as the
-//! pause took.
+//! A pause shows in the clocks: if the process was stopped, the monotonic clock
+//! jumps between two ticks; if the whole VM was stopped, the wall clock runs
+//! ahead of the monotonic clock. After a pause all state is stale until enough
+//! peers have answered a probe sent since. Answers to older probes don't count,
+//! as they may have waited in a socket buffer during the pause.
 //!
-//! Enough is [`ENOUGH`] peers, or all of them if fewer are believed live. No
-//! majority is asked for, since nothing is decided by votes: what is needed is
-//! a table that isn't the paused one's own, and three peers make it unlikely
-//! that all of them were paused with it.
+//! [`REQUIRED_PEERS`] peers have to answer, or all of them if fewer are believed
+//! live. No majority is needed, since nothing is decided by votes: the process
+//! needs membership tables other than its own outdated one, and three peers are
+//! unlikely to have been paused together with it.
 
 use std::collections::BTreeSet;
 
 use crate::clock::Millis;
 use crate::ids::DaemonId;
 
-/// Longest gap between two ticks, on either clock, that is no pause.
-pub const PAUSE: Millis = Millis::from_secs(1);
-/// Peers that have to answer after a pause.
-pub const ENOUGH: usize = 3;
+/// Longest gap between two ticks, on either clock, that doesn't count as a pause.
+pub const MAX_TICK_GAP: Millis = Millis::from_secs(1);
+/// Number of peers that have to answer after a pause.
+pub const REQUIRED_PEERS: usize = 3;
 
-/// Whether this process has been paused, and has caught up since.
+/// Tracks whether this process was paused and has since been confirmed up to date by its peers.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     /// Monotonic time of the last tick.
-    last: Millis,
-    /// Wall time of the last tick; absent before the first.
-    wall: Option<Millis>,
-    /// Whether enough peers have answered.
-    settled: bool,
-    /// Who has answered since the pause.
-    heard: BTreeSet<DaemonId>,
-    /// Pauses noticed.
+    last_tick: Millis,
+    /// Wall time of the last tick; `None` before the first.
+    last_wall: Option<Millis>,
+    /// Whether enough peers have answered since the start or the last pause.
+    confirmed: bool,
+    /// Peers that have answered since the start or the last pause.
+    responders: BTreeSet<DaemonId>,
+    /// Number of pauses detected.
     pauses: u64,
 }
 
 impl Freshness {
-    /// A process that has just started and knows nothing.
+    /// State of a process that has just started; it is stale.
     pub const fn new(now: Millis) -> Self {
         Self {
-            last: now,
-            wall: None,
-            settled: false,
-            heard: BTreeSet::new(),
+            last_tick: now,
+            last_wall: None,
+            confirmed: false,
+            responders: BTreeSet::new(),
             pauses: 0,
         }
     }
 
-    /// Notes a tick and the wall clock; true if a pause lies before it.
+    /// Records a tick with the wall clock; returns whether there was a pause before it.
     pub fn tick(&mut self, now: Millis, wall: Millis) -> bool {
-        let passed = now.since(self.last);
+        let passed = now.since(self.last_tick);
         let ahead = self
-            .wall
+            .last_wall
             .map_or(Millis::ZERO, |last| wall.since(last + passed));
-        self.last = now;
-        self.wall = Some(wall);
-        let paused = passed > PAUSE || ahead > PAUSE;
+        self.last_tick = now;
+        self.last_wall = Some(wall);
+        let paused = passed > MAX_TICK_GAP || ahead > MAX_TICK_GAP;
         if paused {
             self.pauses += 1;
-            self.settled = false;
-            self.heard.clear();
+            self.confirmed = false;
+            self.responders.clear();
         }
         paused
     }
 
-    /// Notes that `peer` has answered a probe sent since the pause.
-    pub fn heard(&mut self, peer: &DaemonId) {
-        if !self.settled {
-            self.heard.insert(peer.clone());
+    /// Records that `peer` has answered a probe that was sent since the last pause.
+    pub fn record_answer(&mut self, peer: &DaemonId) {
+        if !self.confirmed {
+            self.responders.insert(peer.clone());
         }
     }
 
-    /// Ends the stale time if enough of `peers` live peers have answered; true if it ended now.
-    pub fn settle(&mut self, peers: usize) -> bool {
-        if self.settled || self.heard.len() < peers.min(ENOUGH) {
+    /// Ends the stale period if enough of `peers` live peers have answered; returns whether it ended now.
+    pub fn try_confirm(&mut self, peers: usize) -> bool {
+        if self.confirmed || self.responders.len() < peers.min(REQUIRED_PEERS) {
             return false;
         }
-        self.settled = true;
+        self.confirmed = true;
         true
     }
 
-    /// Whether what is known may be acted on at `now`, read from the clock just before acting.
+    /// Whether the state may be acted on at `now`, which is read from the clock just before acting.
     ///
-    /// A pause since the last tick shows here before the next tick notices it.
+    /// A pause since the last tick is detected here before the next tick records it.
     pub fn is_fresh(&self, now: Millis) -> bool {
-        self.until().is_some_and(|until| now <= until)
+        self.valid_until().is_some_and(|until| now <= until)
     }
 
-    /// Until when what is known may be acted on unless another tick comes; `None` while it is stale.
+    /// Time until which the state may be acted on if there is no further tick; `None` while stale.
     ///
-    /// For other tasks, which compare it with the clock just before they act: a flag
-    /// published before a pause would still say fresh after it.
-    pub fn until(&self) -> Option<Millis> {
-        self.settled.then(|| self.last + PAUSE)
+    /// Meant for other tasks, which compare it with the clock just before they act: a flag that
+    /// was published before a pause would still be set after it.
+    pub fn valid_until(&self) -> Option<Millis> {
+        self.confirmed.then(|| self.last_tick + MAX_TICK_GAP)
     }
 
-    /// Whether enough peers have yet to answer.
+    /// Whether the state is stale because not enough peers have answered yet.
     pub const fn is_stale(&self) -> bool {
-        !self.settled
+        !self.confirmed
     }
 
-    /// Pauses noticed so far.
+    /// Number of pauses detected so far.
     pub const fn pauses(&self) -> u64 {
         self.pauses
     }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -185,9 +185,9 @@
         self.fresh.is_fresh(now)
     }
 
-    /// Until when what is known may be acted on; see [`Freshness::until`].
+    /// Until when what is known may be acted on; see [`Freshness::valid_until`].
     pub fn fresh_until(&self) -> Option<Millis> {
-        self.fresh.until()
+        self.fresh.valid_until()
     }
 
     /// How often this process was paused.
@@ -299,7 +299,7 @@
         let listed = self.seeds.addresses().filter(|a| *a != own).count();
         let peers = if waited { known } else { known.max(listed) };
         let caught_up = self.caught_up || waited || known == 0;
-        if !caught_up || !self.fresh.settle(peers) {
+        if !caught_up || !self.fresh.try_confirm(peers) {
             return;
         }
         self.out.push(Action::Fresh);
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -216,7 +216,7 @@
             return;
         }
         if from.incarnation == probe.target {
-            self.fresh.heard(&from.daemon);
+            self.fresh.record_answer(&from.daemon);
             // A peer whose digest is the same sends no buckets.
             self.caught_up |= probe.compared && message.buckets.is_empty();
             self.farewell_heard(from, probe.beat);
--- a/crates/core/src/membership/tick.rs
+++ b/crates/core/src/membership/tick.rs
@@ -5,7 +5,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::clock::Millis;
-use crate::freshness::ENOUGH;
+use crate::freshness::REQUIRED_PEERS;
 use crate::ids::Incarnation;
 use crate::wire::Gossip;
 
@@ -230,7 +230,7 @@
             return;
         }
         self.catch_up(now);
-        for to in self.random_peers(ENOUGH + 1, |_| true) {
+        for to in self.random_peers(REQUIRED_PEERS + 1, |_| true) {
             self.compare_with(to, now);
         }
     }
@@ -248,7 +248,7 @@
 
     /// Tries addresses where no live member is known: one, or several while few are known.
     fn reconnect(&mut self, now: Millis) {
-        let stale = self.fresh.is_stale() && self.table.peers().count() < ENOUGH;
+        let stale = self.fresh.is_stale() && self.table.peers().count() < REQUIRED_PEERS;
         let (wait, tries) = match stale {
             true => (self.settings.catch_up, NEWS_FANOUT),
             false => (self.settings.reconnect, 1),
--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -1,24 +1,24 @@
-//! Why a request got no whole answer: stable codes for callers and counters.
+//! Reasons why a request got no complete response, with stable codes for callers and metrics.
 
 use derive_more::Display;
 
 use crate::outcome::Outcome;
 
-/// Result of reading a reason code.
+/// Result of parsing a reason code.
 pub type Result<T> = std::result::Result<T, UnknownReason>;
 
-/// A code that names no reason.
+/// A text that is not a reason code.
 #[derive(Clone, PartialEq, Eq, Debug)]
 #[derive(Display, derive_more::Error)]
 #[display("`{code}` is not a reason code")]
 pub struct UnknownReason {
-    /// The code as given.
+    /// The rejected text.
     code: String,
 }
 
 macro_rules! reasons {
     ($($(#[$doc:meta])+ $name:ident: $code:literal, $status:literal, $outcome:ident, $retry:literal, $title:literal;)+) => {
-        /// Why a request was refused or broken off.
+        /// Why a request was refused or aborted.
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[derive(Debug)]
         pub enum Reason {
@@ -26,30 +26,30 @@
         }
 
         impl Reason {
-            /// Every reason, in the order of its declaration.
+            /// All reasons, in the order of declaration.
             pub const ALL: &[Self] = &[$(Self::$name,)+];
 
-            /// The stable code in answers and counters.
+            /// The stable code used in responses and metrics.
             pub const fn code(self) -> &'static str {
                 match self { $(Self::$name => $code,)+ }
             }
 
-            /// The HTTP status that goes with it.
+            /// The HTTP status of the response.
             pub const fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)+ }
             }
 
-            /// What it says of the request, unless more is known.
+            /// Whether the request was executed, as far as the reason alone tells.
             pub const fn outcome(self) -> Outcome {
                 match self { $(Self::$name => Outcome::$outcome,)+ }
             }
 
-            /// Whether coming back later helps.
+            /// Whether a later retry may succeed.
             pub const fn retryable(self) -> bool {
                 match self { $(Self::$name => $retry,)+ }
             }
 
-            /// A short sentence for people.
+            /// A short sentence for people, sent with the code.
             pub const fn title(self) -> &'static str {
                 match self { $(Self::$name => $title,)+ }
             }
@@ -59,67 +59,67 @@
 
 // Name: code, HTTP status, outcome, retryable, title.
 reasons! {
-    /// The body or a header can't be read.
+    /// The body or a header can't be parsed.
     BadRequest: "bad-request", 400, NotRun, false, "The request can't be read.";
-    /// No known key was given.
+    /// The API key is missing or unknown.
     Unauthorised: "unauthorised", 401, NotRun, false, "The key is missing or not known.";
-    /// The account may not use this.
+    /// The client account is not allowed to make the request.
     Forbidden: "forbidden", 403, NotRun, false, "The account may not use this.";
-    /// No rule or pool serves this route.
+    /// No rule or pool matches the route.
     NoRoute: "no-route", 404, NotRun, false, "No rule serves this route.";
-    /// No such request is known here.
+    /// The request id is not known.
     NoRequest: "no-request", 404, Unknown, false, "No such request is known.";
-    /// Headers or body took too long to arrive.
+    /// The headers or the body took too long to arrive.
     SlowRequest: "slow-request", 408, NotRun, true, "The request took too long to arrive.";
-    /// Headers or body are over the limit.
+    /// The headers or the body exceed the size limit.
     TooLarge: "too-large", 413, NotRun, false, "The request is too large.";
-    /// A non-idempotent request without a key.
+    /// A non-idempotent request has no idempotency key.
     KeyMissing: "key-missing", 400, NotRun, false, "This route needs an Idempotency-Key.";
-    /// The key was used for another request.
+    /// The idempotency key was used for another request.
     KeyReused: "key-reused", 422, NotRun, false, "The Idempotency-Key was used for another request.";
-    /// The key's request is still running.
+    /// The request with this idempotency key is still running.
     KeyRunning: "key-running", 409, Ran, true, "A request with this key is still running.";
-    /// The key's request ran and its answer is no longer held.
+    /// The request with this idempotency key ran, and its response is no longer stored.
     KeyRan: "key-ran", 409, Ran, false, "A request with this key has run; its answer is no longer held.";
-    /// The key's request may have run.
+    /// The request with this idempotency key may have run.
     KeyUnknown: "key-unknown", 409, Unknown, false, "A request with this key may have run.";
-    /// The right to run can't be had from the platform.
+    /// The claim to the idempotency key can't be obtained from the platform.
     ClaimUnavailable: "claim-unavailable", 503, NotRun, true, "The right to run this once can't be recorded now.";
-    /// The ticket is not known or not of a live daemon.
+    /// The ticket is unknown, or its daemon is not live.
     TicketUnknown: "ticket-unknown", 409, Unknown, false, "The ticket is not held by any daemon.";
-    /// The ticket expired before it was used.
+    /// The ticket expired before it was used; nothing was executed.
     TicketExpired: "ticket-expired", 410, NotRun, false, "The ticket expired unused.";
-    /// The account's rate is used up.
+    /// The client account has reached its rate limit.
     AccountRate: "account-rate", 429, NotRun, true, "The account's rate is used up.";
-    /// The account's concurrency is used up.
+    /// The client account has reached its concurrency limit.
     AccountConcurrency: "account-concurrency", 429, NotRun, true, "The account has too many requests in flight.";
-    /// The home's queue is full.
+    /// The home's queue for the endpoint is full.
     QueueFull: "queue-full", 503, NotRun, true, "The queue is full.";
-    /// The request would not be served in time.
+    /// The request can't be served before its deadline.
     Deadline: "deadline", 503, NotRun, true, "The request can't be served in time.";
-    /// Every endpoint of the pool is at its bound.
+    /// Every endpoint of the pool is at its load bound.
     PoolFull: "pool-full", 503, NotRun, true, "Every endpoint is at its load bound.";
-    /// No endpoint of the pool takes new work.
+    /// No endpoint of the pool accepts new work.
     NoEndpoint: "no-endpoint", 503, NotRun, true, "No endpoint takes new work.";
-    /// Retries have used up their budget.
+    /// The pool's retry budget is used up.
     RetryBudget: "retry-budget", 503, NotRun, true, "Too much of the work is retries.";
-    /// This daemon is stopping.
+    /// This daemon is shutting down.
     Stopping: "stopping", 503, NotRun, true, "This daemon is stopping.";
-    /// This daemon has no configuration or was paused.
+    /// This daemon has no configuration yet, or was paused.
     NotReady: "not-ready", 503, NotRun, true, "This daemon is not ready.";
-    /// The daemon in charge was lost before it answered.
+    /// The home that handled the request was lost before it answered.
     HomeLost: "home-lost", 503, Unknown, true, "The daemon in charge was lost.";
-    /// The endpoint refused.
+    /// The endpoint refused the request.
     EndpointRefused: "endpoint-refused", 502, Unknown, true, "The endpoint refused the request.";
-    /// The endpoint was lost before its whole answer.
+    /// The endpoint was lost before its response was complete.
     EndpointLost: "endpoint-lost", 502, Unknown, true, "The endpoint was lost.";
-    /// The endpoint took too long.
+    /// The endpoint exceeded a timeout.
     EndpointTimeout: "endpoint-timeout", 504, Unknown, true, "The endpoint took too long.";
-    /// The answer has a gap that can't be filled.
+    /// The response was cut short, or has a gap that can't be filled.
     StreamCut: "stream-cut", 502, Ran, true, "The answer was cut short.";
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled: "cancelled", 499, Unknown, false, "The caller went away.";
-    /// A fault of this fleet.
+    /// An internal error of the router fleet.
     Internal: "internal", 500, Unknown, false, "A fault in the router fleet.";
 }
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,8 +1,9 @@
-//! Retries: which failures may be tried again, where and when, and how many.
+//! Retry policy: which failures are retried, at which endpoint, when, and how often.
 //!
-//! Retries spend a budget that first tries fill, so that they can't multiply
-//! a surge. Waits back off exponentially with full jitter. A request that
-//! isn't idempotent is tried again only if it certainly didn't run.
+//! Each pool has a retry budget that is filled by first attempts and spent by
+//! retries, so that retries can't multiply a surge of load. Delays back off
+//! exponentially with full jitter. A request that isn't idempotent is retried
+//! only if it certainly wasn't executed.
 
 use std::collections::HashMap;
 
@@ -15,68 +16,69 @@
 use crate::outcome::Outcome;
 use crate::reason::Reason;
 
-/// Longest pause that an endpoint is given when it asks for one; a longer one is most likely a
+/// Longest pause that is granted to an endpoint that asks for one; a longer one is most likely a
 /// mistake.
 pub const MAX_PAUSE: Millis = Millis::from_secs(600);
-/// Retries that a first try pays for.
-const SHARE: f64 = 0.1;
-/// Retries that may be spent without first tries, at once and then one a second.
-const FLOOR: f64 = 3.0;
-/// Most retries that are saved up.
-const SAVED_MAX: f64 = 100.0;
-/// Tries of one request, the first included.
-const TRIES: u32 = 3;
-/// Longest wait before the first retry.
-const BACKOFF: Millis = Millis(50);
-/// Longest wait before any retry.
-const BACKOFF_MAX: Millis = Millis::from_secs(2);
+/// Retries added to the budget by each first attempt.
+const RATIO: f64 = 0.1;
+/// Retries allowed without first attempts: this many at once, refilled at one per second.
+const RESERVE: f64 = 3.0;
+/// Maximum balance of retries earned by first attempts.
+const MAX_BALANCE: f64 = 100.0;
+/// Maximum attempts per request, the first included.
+const MAX_ATTEMPTS: u32 = 3;
+/// Maximum delay before the first retry.
+const BASE_BACKOFF: Millis = Millis(50);
+/// Maximum delay before any retry.
+const MAX_BACKOFF: Millis = Millis::from_secs(2);
 
-/// How retries are limited.
+/// Limits on retries.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
 pub struct Settings {
-    /// Retries that a first try pays for.
+    /// Retries added to the budget by each first attempt.
     pub ratio: f64,
-    /// Retries that may be spent without first tries, at once and then one a second.
+    /// Retries allowed without first attempts: this many at once, refilled at one per second.
     pub reserve: f64,
-    /// Tries of one request, the first included.
+    /// Maximum attempts per request, the first included.
     pub attempts: u32,
-    /// Longest wait before the first retry; it doubles with each.
+    /// Maximum delay before the first retry; it doubles with each further one.
     pub backoff: Millis,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            ratio: SHARE,
-            reserve: FLOOR,
-            attempts: TRIES,
-            backoff: BACKOFF,
+            ratio: RATIO,
+            reserve: RESERVE,
+            attempts: MAX_ATTEMPTS,
+            backoff: BASE_BACKOFF,
         }
     }
 }
 
-/// The retries that each pool may still spend.
+/// The retry budget of each pool.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Budget {
     settings: Settings,
-    pools: HashMap<PoolId, Purse>,
+    pools: HashMap<PoolId, Balance>,
 }
 
-/// What one pool has saved up.
+/// The retries available to one pool.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
-struct Purse {
-    /// Retries paid for by first tries.
+struct Balance {
+    /// Retries earned by first attempts.
     earned: f64,
-    /// Retries of the floor.
-    floor: f64,
-    at: Millis,
+    /// Retries left in the reserve.
+    reserve: f64,
+    /// When the reserve was last refilled.
+    updated: Millis,
 }
 
 impl Budget {
-    /// A budget with nothing saved up but the floor.
+    /// Creates a budget in which each pool has only its reserve.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -84,19 +86,19 @@
         }
     }
 
-    /// Counts a first try.
+    /// Adds the share of a retry that a first attempt earns.
     pub fn deposit(&mut self, pool: &PoolId, now: Millis) {
-        let share = self.settings.ratio;
-        let purse = self.purse(pool, now);
-        purse.earned = (purse.earned + share).min(SAVED_MAX);
+        let ratio = self.settings.ratio;
+        let balance = self.balance(pool, now);
+        balance.earned = (balance.earned + ratio).min(MAX_BALANCE);
     }
 
-    /// Takes one retry, unless too much of the work is retries.
+    /// Takes one retry from the budget; returns false if none is left.
     pub fn withdraw(&mut self, pool: &PoolId, now: Millis) -> bool {
-        let purse = self.purse(pool, now);
-        let from = match purse.earned >= 1.0 {
-            true => &mut purse.earned,
-            false => &mut purse.floor,
+        let balance = self.balance(pool, now);
+        let from = match balance.earned >= 1.0 {
+            true => &mut balance.earned,
+            false => &mut balance.reserve,
         };
         if *from < 1.0 {
             return false;
@@ -105,49 +107,50 @@
         true
     }
 
-    fn purse(&mut self, pool: &PoolId, now: Millis) -> &mut Purse {
-        let floor = self.settings.reserve;
-        let purse = self.pools.entry(pool.clone()).or_insert(Purse {
+    /// The balance of a pool, with its reserve refilled up to `now`.
+    fn balance(&mut self, pool: &PoolId, now: Millis) -> &mut Balance {
+        let reserve = self.settings.reserve;
+        let balance = self.pools.entry(pool.clone()).or_insert(Balance {
             earned: 0.0,
-            floor,
-            at: now,
+            reserve,
+            updated: now,
         });
-        let passed = now.since(purse.at).as_secs_f64();
-        purse.at = purse.at.max(now);
-        purse.floor = (purse.floor + passed).min(floor);
-        purse
+        let passed = now.since(balance.updated).as_secs_f64();
+        balance.updated = balance.updated.max(now);
+        balance.reserve = (balance.reserve + passed).min(reserve);
+        balance
     }
 }
 
-/// How a try failed.
+/// A failed attempt.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Failure {
-    /// Why.
+    /// Why it failed.
     pub reason: Reason,
-    /// Whether the request ran, as far as is known.
+    /// Whether the request was executed, as far as is known.
     pub outcome: Outcome,
-    /// The endpoint that was tried, if it came to one.
+    /// The endpoint that was tried, if one was chosen.
     pub endpoint: Option<EndpointId>,
-    /// Whether any of the answer has gone to the caller.
+    /// Whether a part of the response was already sent to the caller.
     pub answered: bool,
-    /// How long the other side asked to be left alone.
-    pub after: Millis,
+    /// Delay before the next attempt that the endpoint asked for.
+    pub retry_after: Millis,
 }
 
 impl Failure {
-    /// A failure of which nothing more is known than its reason.
+    /// Creates a failure with the default outcome of its reason.
     pub const fn new(reason: Reason) -> Self {
         Self {
             reason,
             outcome: reason.outcome(),
             endpoint: None,
             answered: false,
-            after: Millis::ZERO,
+            retry_after: Millis::ZERO,
         }
     }
 
-    /// Sets whether the request ran.
+    /// Sets whether the request was executed.
     pub const fn with_outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
@@ -159,135 +162,137 @@
         self
     }
 
-    /// Sets that some of the answer has gone to the caller.
+    /// Marks that a part of the response was already sent to the caller.
     pub const fn with_answer(mut self) -> Self {
         self.answered = true;
         self
     }
 
-    /// Sets how long the other side asked to be left alone.
-    pub const fn with_after(mut self, after: Millis) -> Self {
-        self.after = after;
+    /// Sets the delay before the next attempt that the endpoint asked for.
+    pub const fn with_retry_after(mut self, retry_after: Millis) -> Self {
+        self.retry_after = retry_after;
         self
     }
 }
 
-/// What to do after a failure.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-pub enum Verdict {
-    /// Try again after a wait, at an endpoint that wasn't tried if there is one.
-    Again {
-        /// The wait.
-        wait: Millis,
+pub enum Decision {
+    /// Retry after a delay, at an endpoint that hasn't failed yet if there is one.
+    Retry {
+        /// The delay.
+        delay: Millis,
     },
-    /// Give up and tell the caller this reason.
+    /// Give up and report a reason to the caller.
     GiveUp {
-        /// Why.
+        /// The reason.
         reason: Reason,
     },
 }
 
-/// The tries of one request.
+/// The attempts of one request, and whether there may be more.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Plan {
     settings: Settings,
     pool: PoolId,
     idempotent: bool,
-    /// No try begins after this.
+    /// No attempt starts after this time.
     deadline: Millis,
-    tries: u32,
-    tried: Vec<EndpointId>,
+    attempts: u32,
+    failed: Vec<EndpointId>,
 }
 
 impl Plan {
-    /// A plan for a request whose first try begins now.
+    /// Creates the plan of a request whose first attempt starts now.
     pub fn new(settings: Settings, pool: PoolId, idempotent: bool, deadline: Millis) -> Self {
         Self {
             settings,
             pool,
             idempotent,
             deadline,
-            tries: 1,
-            tried: Vec::new(),
+            attempts: 1,
+            failed: Vec::new(),
         }
     }
 
-    /// Tries so far.
-    pub const fn tries(&self) -> u32 {
-        self.tries
+    /// Number of attempts so far, the current one included.
+    pub const fn attempts(&self) -> u32 {
+        self.attempts
     }
 
-    /// Endpoints that failed, which the next try should avoid.
-    pub fn tried(&self) -> &[EndpointId] {
-        &self.tried
+    /// Endpoints that failed and that the next attempt should avoid.
+    pub fn failed(&self) -> &[EndpointId] {
+        &self.failed
     }
 
-    /// Picks an endpoint for the next try: the first that wasn't tried, else the first.
+    /// Picks an endpoint for the next attempt: the first that hasn't failed, else the first.
     pub fn pick<'a>(
         &self,
         mut candidates: impl Iterator<Item = &'a EndpointId> + Clone,
     ) -> Option<&'a EndpointId> {
-        let fresh = candidates.clone().find(|id| !self.tried.contains(id));
-        fresh.or_else(|| candidates.next())
+        let untried = candidates.clone().find(|id| !self.failed.contains(id));
+        untried.or_else(|| candidates.next())
     }
 
-    /// Decides what follows from a failure.
-    pub fn fail(
+    /// Records a failed attempt and decides whether to retry.
+    pub fn record_failure(
         &mut self,
         failure: Failure,
         budget: &mut Budget,
         now: Millis,
         rng: &mut Pcg32,
-    ) -> Verdict {
+    ) -> Decision {
         let reason = failure.reason;
-        let allowed = self.allows(&failure);
+        let allowed = self.may_retry(&failure);
         if let Some(endpoint) = failure.endpoint {
-            self.tried.push(endpoint);
+            self.failed.push(endpoint);
         }
-        if !allowed || self.tries >= self.settings.attempts {
-            return Verdict::GiveUp { reason };
+        if !allowed || self.attempts >= self.settings.attempts {
+            return Decision::GiveUp { reason };
         }
-        let wait = self.wait(failure.after, rng);
-        if now + wait > self.deadline {
-            return Verdict::GiveUp { reason };
+        let delay = self.delay(failure.retry_after, rng);
+        if now + delay > self.deadline {
+            return Decision::GiveUp { reason };
         }
         if !budget.withdraw(&self.pool, now) {
-            return self.spent(reason, failure.outcome);
+            return self.exhausted(reason, failure.outcome);
         }
-        self.tries += 1;
-        Verdict::Again { wait }
+        self.attempts += 1;
+        Decision::Retry { delay }
     }
 
-    /// Whether a failure may be followed by another try at all.
-    fn allows(&self, failure: &Failure) -> bool {
-        if failure.answered || !failure.reason.retryable() || is_final(failure.reason) {
+    /// Whether a retry after the failure is safe and may succeed.
+    fn may_retry(&self, failure: &Failure) -> bool {
+        if failure.answered || !failure.reason.retryable() || is_terminal(failure.reason) {
             return false;
         }
         failure.outcome == Outcome::NotRun || self.idempotent
     }
 
-    fn wait(&self, after: Millis, rng: &mut Pcg32) -> Millis {
-        let doublings = (self.tries - 1).min(16);
-        let most = (self.settings.backoff.0 << doublings).min(BACKOFF_MAX.0);
-        after + Millis(rng.random_range(0..=most))
+    /// Random delay before the next attempt, on top of `retry_after`.
+    fn delay(&self, retry_after: Millis, rng: &mut Pcg32) -> Millis {
+        let doublings = (self.attempts - 1).min(16);
+        let most = (self.settings.backoff.0 << doublings).min(MAX_BACKOFF.0);
+        retry_after + Millis(rng.random_range(0..=most))
     }
 
-    /// The reason for want of budget, which says that the request was not run only if that is so.
-    fn spent(&self, reason: Reason, outcome: Outcome) -> Verdict {
-        let true_reason = match outcome {
+    /// The decision when the budget is used up. [`Reason::RetryBudget`] states that the request was
+    /// not executed, so it is reported only if that is certain.
+    fn exhausted(&self, reason: Reason, outcome: Outcome) -> Decision {
+        let reported = match outcome {
             Outcome::NotRun => Reason::RetryBudget,
             Outcome::Ran | Outcome::Unknown => reason,
         };
-        Verdict::GiveUp {
-            reason: true_reason,
+        Decision::GiveUp {
+            reason: reported,
         }
     }
 }
 
-/// Whether a reason holds at every endpoint, so that only the caller may come back.
-const fn is_final(reason: Reason) -> bool {
+/// Whether a failure would be the same at every endpoint, so that only the caller may retry.
+const fn is_terminal(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::AccountRate
--- a/crates/core/tests/membership/pause.rs
+++ b/crates/core/tests/membership/pause.rs
@@ -91,12 +91,12 @@
 fn a_wall_clock_set_back_is_no_pause() {
     let mut freshness = Freshness::new(Millis(0));
     freshness.tick(Millis(100), Millis(900_100));
-    freshness.settle(0);
+    freshness.try_confirm(0);
     expect_that!(freshness.tick(Millis(200), Millis(500_200)), is_false());
     expect_that!(freshness.tick(Millis(300), Millis(500_300)), is_false());
     expect_that!(freshness.is_fresh(Millis(300)), is_true());
-    expect_that!(freshness.until(), some(eq(Millis(1300))));
+    expect_that!(freshness.valid_until(), some(eq(Millis(1300))));
     expect_that!(freshness.is_fresh(Millis(1301)), is_false());
     freshness.tick(Millis(1400), Millis(501_400));
-    expect_that!(freshness.until(), none());
+    expect_that!(freshness.valid_until(), none());
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,11 +1,11 @@
-//! Retries: what may be tried again, the budget, and the waits.
+//! Retries: which failures are retried, the budget, and the delays.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{EndpointId, PoolId};
 use medlarrill_core::outcome::Outcome;
 use medlarrill_core::reason::Reason;
-use medlarrill_core::retry::{Budget, Failure, Plan, Settings, Verdict};
+use medlarrill_core::retry::{Budget, Decision, Failure, Plan, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -21,38 +21,38 @@
     Plan::new(Settings::default(), pool(), idempotent, Millis(60_000))
 }
 
-fn verdict(idempotent: bool, failure: Failure) -> Verdict {
+fn decide(idempotent: bool, failure: Failure) -> Decision {
     let mut budget = Budget::new(Settings::default());
     let mut rng = Pcg32::seed_from_u64(1);
-    plan(idempotent).fail(failure, &mut budget, Millis(0), &mut rng)
+    plan(idempotent).record_failure(failure, &mut budget, Millis(0), &mut rng)
 }
 
-fn is_again(verdict: Verdict) -> bool {
-    matches!(verdict, Verdict::Again { .. })
+fn is_retry(decision: Decision) -> bool {
+    matches!(decision, Decision::Retry { .. })
 }
 
 #[gtest]
-fn a_request_that_is_not_idempotent_is_tried_again_only_if_it_did_not_run() {
+fn a_request_that_is_not_idempotent_is_retried_only_if_it_did_not_run() {
     for reason in Reason::ALL.iter().copied() {
         for outcome in [Outcome::Ran, Outcome::Unknown, Outcome::NotRun] {
             let failure = || Failure::new(reason).with_outcome(outcome);
-            let again = is_again(verdict(false, failure()));
+            let again = is_retry(decide(false, failure()));
             expect_that!(
                 again && outcome != Outcome::NotRun,
                 eq(false),
                 "{reason} {outcome}"
             );
             expect_that!(again && !reason.retryable(), eq(false), "{reason}");
-            expect_that!(is_again(verdict(true, failure().with_answer())), eq(false));
+            expect_that!(is_retry(decide(true, failure().with_answer())), eq(false));
         }
     }
 }
 
 #[gtest]
-fn what_another_endpoint_could_serve_is_tried_again() {
+fn what_another_endpoint_could_serve_is_retried() {
     for reason in [Reason::QueueFull, Reason::NoEndpoint, Reason::Stopping] {
         expect_that!(
-            is_again(verdict(false, Failure::new(reason))),
+            is_retry(decide(false, Failure::new(reason))),
             eq(true),
             "{reason}"
         );
@@ -63,12 +63,12 @@
         Reason::HomeLost,
     ] {
         expect_that!(
-            is_again(verdict(true, Failure::new(reason))),
+            is_retry(decide(true, Failure::new(reason))),
             eq(true),
             "{reason}"
         );
         expect_that!(
-            is_again(verdict(false, Failure::new(reason))),
+            is_retry(decide(false, Failure::new(reason))),
             eq(false),
             "{reason}"
         );
@@ -79,8 +79,8 @@
         Reason::ClaimUnavailable,
     ] {
         expect_that!(
-            verdict(true, Failure::new(reason)),
-            eq(Verdict::GiveUp { reason })
+            decide(true, Failure::new(reason)),
+            eq(Decision::GiveUp { reason })
         );
     }
 }
@@ -94,10 +94,10 @@
     for (index, name) in names.iter().enumerate() {
         expect_that!(plan.pick(names.iter()), some(eq(name)));
         let failure = Failure::new(Reason::EndpointLost).with_endpoint(name.clone());
-        let again = is_again(plan.fail(failure, &mut budget, Millis(0), &mut rng));
+        let again = is_retry(plan.record_failure(failure, &mut budget, Millis(0), &mut rng));
         expect_that!(again, eq(index < 2));
     }
-    expect_that!(plan.tries(), eq(3));
+    expect_that!(plan.attempts(), eq(3));
     expect_that!(plan.pick(names.iter()), some(eq(&names[0])));
 }
 
@@ -113,10 +113,10 @@
                 first += 1;
                 budget.deposit(&pool(), now);
             }
-            // Every request fails at once and is tried again as often as the budget lets it.
+            // Every request fails at once and is retried as often as the budget allows.
             again += u32::from(budget.withdraw(&pool(), now));
         }
-        println!("seed {seed}: {again} retries of {first} first tries");
+        println!("seed {seed}: {again} retries of {first} first attempts");
         let most = f64::from(first) * 0.1 + 60.0 + 3.0;
         expect_that!(f64::from(again), all!(le(most), ge(most * 0.95)));
     }
@@ -129,15 +129,15 @@
         ..Settings::default()
     });
     let mut rng = Pcg32::seed_from_u64(1);
-    let mut fail = |reason| plan(true).fail(Failure::new(reason), &mut budget, Millis(0), &mut rng);
+    let mut fail = |reason| plan(true).record_failure(Failure::new(reason), &mut budget, Millis(0), &mut rng);
     let reason = Reason::RetryBudget;
-    expect_that!(fail(Reason::QueueFull), eq(Verdict::GiveUp { reason }));
+    expect_that!(fail(Reason::QueueFull), eq(Decision::GiveUp { reason }));
     let reason = Reason::EndpointLost;
-    expect_that!(fail(reason), eq(Verdict::GiveUp { reason }));
+    expect_that!(fail(reason), eq(Decision::GiveUp { reason }));
 }
 
 #[gtest]
-fn waits_grow_are_spread_and_end_before_the_deadline() {
+fn delays_grow_are_spread_and_end_before_the_deadline() {
     let mut rng = Pcg32::seed_from_u64(1);
     let mut longest = [0; 3];
     let mut shortest = [u64::MAX; 3];
@@ -150,12 +150,12 @@
         let mut budget = Budget::new(Settings::default());
         for step in 0..3 {
             let failure = Failure::new(Reason::QueueFull);
-            let verdict = plan.fail(failure, &mut budget, Millis(0), &mut rng);
-            let Verdict::Again { wait } = verdict else {
+            let decision = plan.record_failure(failure, &mut budget, Millis(0), &mut rng);
+            let Decision::Retry { delay } = decision else {
                 continue;
             };
-            longest[step] = longest[step].max(wait.0);
-            shortest[step] = shortest[step].min(wait.0);
+            longest[step] = longest[step].max(delay.0);
+            shortest[step] = shortest[step].min(delay.0);
         }
     }
     for (step, most) in [50, 100, 200].into_iter().enumerate() {
@@ -164,15 +164,15 @@
     }
     let mut plan = Plan::new(Settings::default(), pool(), true, Millis(1_000));
     let mut budget = Budget::new(Settings::default());
-    let failure = Failure::new(Reason::QueueFull).with_after(Millis(2_000));
-    let verdict = plan.fail(failure, &mut budget, Millis(0), &mut rng);
+    let failure = Failure::new(Reason::QueueFull).with_retry_after(Millis(2_000));
+    let decision = plan.record_failure(failure, &mut budget, Millis(0), &mut rng);
     expect_that!(
-        verdict,
-        eq(Verdict::GiveUp {
+        decision,
+        eq(Decision::GiveUp {
             reason: Reason::QueueFull
         })
     );
-    // A retry that isn't made costs nothing.
+    // A retry that isn't made takes nothing from the budget.
     let left = (0..10).filter(|_| budget.withdraw(&pool(), Millis(0))).count();
     expect_that!(left, eq(3));
 }
