--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,20 +1,20 @@
-//! Admission to one endpoint, by the daemon that is its home.
+//! Admission control for one endpoint, by the daemon that is its home.
 //!
-//! The home holds the exact count of the work in flight and a bounded queue.
-//! A request is dispatched if a slot is free and the endpoint's load is at or
-//! under the load bound; else it waits while it is predicted to be served
-//! within its patience, is passed on if another endpoint could serve it
-//! sooner, or is refused at once. Waiting requests are dispatched by weighted
-//! fair queueing, see `fair`.
+//! The home keeps the exact count of the work in flight and a bounded queue.
+//! Work is measured in tokens. A request is dispatched if a slot is free and the
+//! endpoint's load is at or below the load bound. Otherwise it waits as long as
+//! it is predicted to be dispatched within its patience, is passed on if another
+//! endpoint could serve it sooner, or is refused at once. Waiting requests are
+//! dispatched by weighted fair queueing, see `fair`.
 
 mod bound;
-mod drain;
 mod event;
 mod fair;
-mod flights;
+mod in_flight;
 mod overload;
 mod queue;
 mod settings;
+mod throughput;
 
 use derive_more::Debug;
 use rand::RngExt;
@@ -27,142 +27,142 @@
 use crate::units::Tokens;
 
 use bound::Bound;
-use drain::Drain;
-use flights::{Flight, Flights};
+use in_flight::{Dispatched, InFlight};
 use overload::Overload;
 use queue::{Queue, Waiting};
+use throughput::Throughput;
 
 pub use event::{Action, Ending, Event, Mean, Offer, Report, State};
 pub use settings::Settings;
 
-/// How long dispatch stops after the endpoint refused for want of room.
-const FULL_HOLD: Millis = Millis(500);
-/// Shortest time between two looks at a waiting request.
-const REVIEW_STEP: Millis = Millis(50);
-/// Shortest time after which a refused caller is asked back.
-const AFTER_MIN: Millis = Millis(250);
-/// Longest time after which a refused caller is asked back, before jitter.
-const AFTER_MAX: Millis = Millis::from_secs(30);
-/// Time after which to come back when the endpoint takes no work.
-const AFTER_GONE: Millis = Millis::from_secs(1);
-/// Part of the slots that is kept for institutions under their share, as a divisor.
-const KEPT_DIVISOR: u32 = 4;
-/// The endpoint's priority for work of institutions that use their share.
-const PRIORITY: u8 = 5;
-/// Most that being behind one's share adds to the priority.
-const PRIORITY_RISE: u64 = 4;
-/// Work behind one's share, in usual requests, that adds one to the priority.
-const PRIORITY_STEP: u64 = 4;
-
-/// The admission of work to one endpoint.
+/// Pause of dispatch after the endpoint refused a request for lack of capacity.
+const FULL_PAUSE: Millis = Millis(500);
+/// Minimum time between two reviews of a waiting request.
+const MIN_REVIEW_INTERVAL: Millis = Millis(50);
+/// Minimum retry delay of a refused request, before jitter.
+const MIN_RETRY_AFTER: Millis = Millis(250);
+/// Maximum retry delay of a refused request, before jitter.
+const MAX_RETRY_AFTER: Millis = Millis::from_secs(30);
+/// Retry delay, before jitter, when the endpoint accepts no work.
+const CLOSED_RETRY_AFTER: Millis = Millis::from_secs(1);
+/// Divisor of the slots that gives the number reserved for institutions below their share.
+const RESERVED_DIVISOR: u32 = 4;
+/// Priority of requests of institutions that are not behind their share.
+const BASE_PRIORITY: u8 = 5;
+/// Maximum added to the priority for being behind the share.
+const MAX_PRIORITY_BOOST: u64 = 4;
+/// Mean-sized requests behind the share that add one to the priority.
+const BOOST_STEP: u64 = 4;
+
+/// Admission control for one endpoint.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Home {
     settings: Settings,
     state: State,
     queue: Queue,
-    flights: Flights,
+    in_flight: InFlight,
     bound: Bound,
-    drain: Drain,
+    throughput: Throughput,
     overload: Overload,
     /// No dispatch before this time, if set.
-    hold: Option<Millis>,
+    paused_until: Option<Millis>,
     #[debug(skip)]
     rng: Pcg32,
 }
 
 impl Home {
-    /// A home that starts now, on probation until the endpoint has reported.
+    /// Creates a home that starts now, on probation until the endpoint has reported.
     pub fn new(settings: Settings, rng: Pcg32, now: Millis) -> Self {
         Self {
-            drain: Drain::new(settings.slot_rate, now),
+            throughput: Throughput::new(settings.slot_rate, now),
             settings,
             state: State::Ready,
             queue: Queue::default(),
-            flights: Flights::default(),
+            in_flight: InFlight::default(),
             bound: Bound::new(now),
             overload: Overload::default(),
-            hold: None,
+            paused_until: None,
             rng,
         }
     }
 
-    /// Changes the limits; what runs or waits stays.
+    /// Changes the limits; requests that run or wait are kept.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Takes an event and returns what is to be done, in order.
+    /// Processes an event and returns the actions to perform, in order.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.drain.advance(now, !self.queue.is_empty());
+        self.throughput.advance(now, !self.queue.is_empty());
         let offered = self.apply(event, now, &mut actions);
         self.review(now, &mut actions);
-        self.pump(now, &mut actions);
+        self.dispatch(now, &mut actions);
         if let Some(id) = offered {
-            self.judge(id, now, &mut actions);
+            self.decide(id, now, &mut actions);
         }
-        self.drain.advance(now, !self.queue.is_empty());
-        // A queue before free slots waits for the bound, and then others have room.
-        let full = self.flights.len() + self.kept() >= self.slots();
-        self.overload.note(full && !self.queue.is_empty(), now);
-        self.flights.sample(now);
+        self.throughput.advance(now, !self.queue.is_empty());
+        // A queue despite free slots waits for the load bound, and then other endpoints have capacity.
+        let full = self.in_flight.len() + self.reserved() >= self.slots();
+        self.overload.update(full && !self.queue.is_empty(), now);
+        self.in_flight.sample(now);
         actions
     }
 
-    /// When [`Event::Tick`] is wanted, if no other event comes before.
+    /// When [`Event::Tick`] is due if there is no other event before; `None` if nothing waits.
     pub fn wake(&self) -> Option<Millis> {
         let review = self.queue.next_review()?;
-        Some(self.hold.map_or(review, |hold| hold.min(review)))
+        Some(self.paused_until.map_or(review, |until| until.min(review)))
     }
 
-    /// Estimated work at the endpoint, corrected by its report.
+    /// Estimated load of the endpoint: the home's own count, corrected by the endpoint's report.
     pub fn load(&self, now: Millis) -> Tokens {
-        Tokens(self.bound.load(&self.flights, self.queue.grain(), now))
+        Tokens(self.bound.load(&self.in_flight, self.queue.mean_work(), now))
     }
 
-    /// Load from which nothing more is dispatched.
+    /// Load above which nothing more is dispatched.
     pub fn limit(&self, now: Millis) -> Tokens {
         let own = self.load(now).0;
         Tokens(self.bound.limit(self.settings.load_bound, own, now))
     }
 
-    /// Requests that run at the endpoint.
+    /// Number of requests dispatched to the endpoint and not finished.
     pub fn in_flight(&self) -> u32 {
-        self.flights.len()
+        self.in_flight.len()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Work that waits.
+    /// Estimated work of the waiting requests.
     pub fn queued_work(&self) -> Tokens {
         Tokens(self.queue.work())
     }
 
-    /// Whether the endpoint takes work.
+    /// Whether the endpoint accepts work.
     pub const fn state(&self) -> State {
         self.state
     }
 
-    /// Whether the home still admits against the endpoint's report alone.
+    /// Whether the home still relies on the endpoint's report alone for what runs there.
     pub const fn on_probation(&self) -> bool {
         self.bound.on_probation()
     }
 
-    /// Slots that this home may fill now.
+    /// Number of slots that this home may fill now.
     pub fn slots(&self) -> u32 {
         self.bound.slots(self.settings.slots)
     }
 
-    /// Work in tokens that the endpoint clears in a second while requests wait.
-    pub fn drain_rate(&self) -> f64 {
-        self.drain.rate(self.settings.slots) * 1000.0
+    /// Tokens per second that the endpoint completes while requests wait.
+    pub fn throughput(&self) -> f64 {
+        self.throughput.rate(self.settings.slots) * 1000.0
     }
 
-    /// Institutions and accounts whose use is remembered.
+    /// Number of institutions and client accounts whose usage is tracked.
     pub fn flows(&self) -> usize {
         self.queue.flows()
     }
@@ -170,15 +170,15 @@
     fn apply(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) -> Option<AttemptId> {
         match event {
             Event::Offer(offer) => return self.offer(offer, now, actions),
-            Event::Progress { id, output } => self.flights.progress(id, output),
+            Event::Progress { id, output } => self.in_flight.progress(id, output),
             Event::Finished { id, ending } => self.finish(id, ending, now),
             Event::Cancelled { id } => self.cancel(id, now),
-            Event::Report(report) => self.bound.report(report, &self.flights),
+            Event::Report(report) => self.bound.set_report(report, &self.in_flight),
             Event::Mean(mean) => {
                 let own = self.load(now).0;
-                self.bound.mean(mean, own);
+                self.bound.set_mean(mean, own);
             }
-            Event::State(state) => self.change(state, now, actions),
+            Event::State(state) => self.set_state(state, now, actions),
             Event::Tick => {}
         }
         None
@@ -186,13 +186,13 @@
 
     fn offer(&mut self, offer: Offer, now: Millis, actions: &mut Vec<Action>) -> Option<AttemptId> {
         let id = offer.id;
-        if self.queue.contains(id) || self.flights.contains(id) {
+        if self.queue.contains(id) || self.in_flight.contains(id) {
             return None;
         }
         let work = offer.prompt.0.saturating_add(offer.output.0).max(1);
         let waiting = Waiting::new(offer, work, now);
         if !self.state.admits() {
-            let action = self.turn_away(&waiting, Reason::NoEndpoint, AFTER_GONE);
+            let action = self.reject(&waiting, Reason::NoEndpoint, CLOSED_RETRY_AFTER);
             actions.push(action);
             return None;
         }
@@ -201,26 +201,26 @@
     }
 
     fn finish(&mut self, id: AttemptId, ending: Ending, now: Millis) {
-        let Some(flight) = self.flights.remove(id) else {
+        let Some(request) = self.in_flight.remove(id) else {
             return;
         };
         let pause = match ending {
-            Ending::Full => Some(FULL_HOLD),
+            Ending::Full => Some(FULL_PAUSE),
             Ending::Paused(pause) => Some(pause.min(MAX_PAUSE)),
             Ending::Done | Ending::Failed => None,
         };
         if let Some(pause) = pause {
-            self.hold = self.hold.max(Some(now + pause));
-            self.queue.correct(&flight.offer, flight.charged, 0);
+            self.paused_until = self.paused_until.max(Some(now + pause));
+            self.queue.correct(&request.offer, request.charged, 0);
             return;
         }
-        let service = now.since(flight.since);
-        let busy = self.drain.total().since(flight.busy);
+        let service = now.since(request.since);
+        let busy = self.throughput.busy_time().since(request.busy_before);
         if ending == Ending::Done {
-            self.drain.clear(flight.charged, service, busy);
+            self.throughput.record(request.charged, service, busy);
         }
         self.queue
-            .correct(&flight.offer, flight.charged, flight.took());
+            .correct(&request.offer, request.charged, request.actual_work());
     }
 
     fn cancel(&mut self, id: AttemptId, now: Millis) {
@@ -229,7 +229,7 @@
         }
     }
 
-    fn change(&mut self, state: State, now: Millis, actions: &mut Vec<Action>) {
+    fn set_state(&mut self, state: State, now: Millis, actions: &mut Vec<Action>) {
         if self.state == State::Moved && state == State::Ready {
             self.bound = Bound::new(now);
         }
@@ -238,18 +238,18 @@
             return;
         }
         while let Some((waiting, _)) = self.queue.pop(|_| true) {
-            let action = self.turn_away(&waiting, Reason::NoEndpoint, AFTER_GONE);
+            let action = self.reject(&waiting, Reason::NoEndpoint, CLOSED_RETRY_AFTER);
             actions.push(action);
         }
     }
 
-    /// Turns away waiting requests that can no longer be served in time.
+    /// Evicts waiting requests that can no longer be served in time.
     fn review(&mut self, now: Millis, actions: &mut Vec<Action>) {
         while let Some(waiting) = self.queue.due(now) {
             let (id, deadline) = (waiting.offer.id, waiting.deadline);
-            let wait = self.predict(id, now);
+            let wait = self.predict_wait(id, now);
             if deadline > now && now + wait <= deadline {
-                let half = Millis(deadline.since(now).0 / 2).max(REVIEW_STEP);
+                let half = Millis(deadline.since(now).0 / 2).max(MIN_REVIEW_INTERVAL);
                 self.queue.review_at(id, (now + half).min(deadline));
                 continue;
             }
@@ -258,60 +258,60 @@
         }
     }
 
-    /// Dispatches what fits.
-    fn pump(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.hold = self.hold.filter(|hold| now < *hold);
-        while self.open(now) {
-            let Some((waiting, behind)) = self.next() else {
+    /// Dispatches waiting requests while slots, load bound and pause allow.
+    fn dispatch(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        self.paused_until = self.paused_until.filter(|until| now < *until);
+        while self.can_dispatch(now) {
+            let Some((waiting, lag)) = self.pop_next() else {
                 return;
             };
-            let rise = behind / (PRIORITY_STEP * self.queue.grain());
+            let boost = lag / (BOOST_STEP * self.queue.mean_work());
             actions.push(Action::Dispatch {
                 id: waiting.offer.id,
-                priority: PRIORITY + rise.min(PRIORITY_RISE) as u8,
+                priority: BASE_PRIORITY + boost.min(MAX_PRIORITY_BOOST) as u8,
             });
-            let flight = Flight::new(waiting.offer, waiting.work, now, self.drain.total());
-            self.flights.add(flight);
+            let request = Dispatched::new(waiting.offer, waiting.work, now, self.throughput.busy_time());
+            self.in_flight.add(request);
         }
     }
 
-    /// Slots kept for institutions under their share.
-    fn kept(&self) -> u32 {
-        self.slots() / KEPT_DIVISOR
+    /// Number of slots reserved for institutions below their share.
+    fn reserved(&self) -> u32 {
+        self.slots() / RESERVED_DIVISOR
     }
 
-    /// Takes the request to dispatch. The last free slots are kept for institutions that are behind their share, or hold
-    /// not much more of the slots than it.
-    fn next(&mut self) -> Option<(Waiting, u64)> {
+    /// Takes the next request to dispatch, with its lag. The last free slots are reserved for institutions that are
+    /// behind their share, or hold at most slightly more of the slots than it.
+    fn pop_next(&mut self) -> Option<(Waiting, u64)> {
         let slots = self.slots();
-        if self.flights.len() + self.kept() < slots {
+        if self.in_flight.len() + self.reserved() < slots {
             return self.queue.pop(|_| true);
         }
-        let kept = f64::from(self.kept());
-        let flights = &self.flights;
-        self.queue.pop(|turn| {
-            let held = f64::from(flights.of(turn.institution));
-            turn.behind > 0 || held < turn.part * f64::from(slots) + kept
+        let reserved = f64::from(self.reserved());
+        let in_flight = &self.in_flight;
+        self.queue.pop(|candidate| {
+            let held = f64::from(in_flight.count_of(candidate.institution));
+            candidate.lag > 0 || held < candidate.fraction * f64::from(slots) + reserved
         })
     }
 
-    /// Decides what becomes of a new request that wasn't dispatched at once.
-    fn judge(&mut self, id: AttemptId, now: Millis, actions: &mut Vec<Action>) {
+    /// Queues, passes on or refuses a new request that wasn't dispatched at once.
+    fn decide(&mut self, id: AttemptId, now: Millis, actions: &mut Vec<Action>) {
         if self.queue.len() > self.settings.queue as usize {
-            self.shorten(now, actions);
+            self.shed(now, actions);
         }
         let Some(waiting) = self.queue.get(id) else {
             return;
         };
         let patience = waiting.offer.patience;
-        let leaves = waiting.offer.movable && !waiting.offer.keep_local;
-        let wait = self.predict(id, now);
-        if wait > self.overload.patience(patience, now) {
+        let may_move = waiting.offer.movable && !waiting.offer.keep_local;
+        let wait = self.predict_wait(id, now);
+        if wait > self.overload.max_wait(patience, now) {
             let reason = self.late_reason(now);
             self.evict(id, reason, wait, actions);
             return;
         }
-        if leaves && (self.over_bound(now) || wait > self.settings.pass_wait) {
+        if may_move && (self.over_bound(now) || wait > self.settings.pass_wait) {
             let reason = self.late_reason(now);
             self.evict(id, reason, wait, actions);
             return;
@@ -320,37 +320,38 @@
         self.queue.review_at(id, half);
     }
 
-    /// Turns away the newest request of whoever takes most of the queue.
-    fn shorten(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Evicts the newest request of the client account that occupies most of the queue for its share.
+    fn shed(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let Some(id) = self.queue.longest_tail() else {
             return;
         };
-        let wait = self.predict(id, now);
+        let wait = self.predict_wait(id, now);
         self.evict(id, Reason::QueueFull, wait, actions);
     }
 
     fn evict(&mut self, id: AttemptId, reason: Reason, wait: Millis, actions: &mut Vec<Action>) {
         if let Some(waiting) = self.queue.remove(id) {
-            let action = self.turn_away(&waiting, reason, wait);
+            let action = self.reject(&waiting, reason, wait);
             actions.push(action);
         }
     }
 
-    fn turn_away(&mut self, waiting: &Waiting, reason: Reason, wait: Millis) -> Action {
+    /// Passes a request on if another endpoint could take it, else refuses it.
+    fn reject(&mut self, waiting: &Waiting, reason: Reason, wait: Millis) -> Action {
         let id = waiting.offer.id;
         if waiting.offer.movable {
             return Action::PassOn { id, reason };
         }
-        let wait = wait.clamp(AFTER_MIN, AFTER_MAX);
+        let wait = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         let retry_after = wait + Millis(self.rng.random_range(0..=wait.0));
         Action::Refuse { id, reason, retry_after }
     }
 
     /// Whether one more request may be dispatched now.
-    fn open(&self, now: Millis) -> bool {
+    fn can_dispatch(&self, now: Millis) -> bool {
         self.state == State::Ready
-            && self.hold.is_none()
-            && self.flights.len() < self.slots()
+            && self.paused_until.is_none()
+            && self.in_flight.len() < self.slots()
             && !self.over_bound(now)
     }
 
@@ -358,6 +359,7 @@
         self.load(now) > self.limit(now)
     }
 
+    /// Why a request can't be served in time.
     fn late_reason(&self, now: Millis) -> Reason {
         if self.over_bound(now) {
             return Reason::PoolFull;
@@ -365,12 +367,12 @@
         Reason::Deadline
     }
 
-    /// How long a waiting request is likely to wait from now on.
-    fn predict(&self, id: AttemptId, now: Millis) -> Millis {
+    /// Predicted wait of a queued request from now on.
+    fn predict_wait(&self, id: AttemptId, now: Millis) -> Millis {
         let excess = self.load(now).0.saturating_sub(self.limit(now).0);
-        let work = self.queue.work_before(id) + excess + self.queue.grain();
-        let wait = work as f64 / self.drain.rate(self.settings.slots);
-        let held = self.hold.map_or(Millis::ZERO, |hold| hold.since(now));
-        Millis(wait as u64).max(held)
+        let work = self.queue.work_before(id) + excess + self.queue.mean_work();
+        let wait = work as f64 / self.throughput.rate(self.settings.slots);
+        let paused = self.paused_until.map_or(Millis::ZERO, |until| until.since(now));
+        Millis(wait as u64).max(paused)
     }
 }
--- a/crates/core/src/admission/event.rs
+++ b/crates/core/src/admission/event.rs
@@ -1,4 +1,4 @@
-//! What a home is told and what it asks for.
+//! Events and actions of a home's admission control.
 
 use derive_more::Debug;
 
@@ -7,27 +7,27 @@
 use crate::reason::Reason;
 use crate::units::Tokens;
 
-/// A request that asks to run at the endpoint.
+/// A request to be run at the endpoint.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Offer {
-    /// The try.
+    /// The attempt.
     pub id: AttemptId,
-    /// Whose contract it runs under.
+    /// The institution under whose contract it runs.
     pub institution: InstitutionId,
-    /// The contract's weight against other institutions.
+    /// The contract's weight relative to other institutions.
     pub share: u32,
-    /// Who asks.
+    /// The client account that sent the request.
     pub account: AccountId,
-    /// Estimated prompt that the endpoint's cache doesn't hold.
+    /// Estimated prompt tokens that the endpoint's cache doesn't hold.
     pub prompt: Tokens,
-    /// Expected output.
+    /// Expected output tokens.
     pub output: Tokens,
-    /// Longest wait before it runs, from now on.
+    /// Maximum wait before dispatch, from now on.
     pub patience: Millis,
-    /// Whether another endpoint could take it and hops allow that.
+    /// Whether it may be passed on: another endpoint could take it, and the hop limit allows that.
     pub movable: bool,
-    /// Whether it had better wait here, where its prefix is cached, than be passed on.
+    /// Whether waiting here, where its prefix is cached, is preferred to passing it on.
     pub keep_local: bool,
 }
 
@@ -35,27 +35,27 @@
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Report {
-    /// When it held, on the home's clock.
+    /// When it was measured, on the home's clock.
     pub as_of: Millis,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait inside the endpoint.
+    /// Number of requests that wait inside the endpoint.
     pub waiting: u32,
-    /// Estimated work in hand.
+    /// Estimated tokens still to be processed.
     pub tokens: Tokens,
-    /// Requests that it runs at once; zero if it doesn't say.
+    /// Number of requests that it runs concurrently; zero if it doesn't report it.
     pub slots: u32,
 }
 
-/// The mean load of the pool's endpoints that take work.
+/// The mean load of the pool's endpoints that accept work.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Mean {
-    /// When it held, on the home's clock.
+    /// When it was computed, on the home's clock.
     pub as_of: Millis,
-    /// Work in flight per endpoint, by the homes' own counts.
+    /// Mean work in flight per endpoint, by the homes' own counts.
     pub load: Tokens,
-    /// Endpoints that it was taken over.
+    /// Number of endpoints in the mean.
     pub endpoints: u32,
 }
 
@@ -63,14 +63,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub enum State {
-    /// The endpoint takes work.
+    /// The endpoint accepts work.
     #[default]
     Ready,
-    /// The endpoint hasn't answered this home yet. It may be leaving, so that requests wait.
+    /// The endpoint hasn't answered this home yet. It may be leaving, so requests wait.
     Unconfirmed,
-    /// The endpoint takes no new work; what runs goes on.
+    /// The endpoint accepts no new work; running requests continue.
     Leaving,
-    /// The endpoint can't be reached or the evidence about it is too old.
+    /// The endpoint can't be reached, or its last answer is too old.
     Unreachable,
     /// Another daemon is the endpoint's home now.
     Moved,
@@ -83,86 +83,86 @@
     }
 }
 
-/// How a request that ran came to its end.
+/// How a dispatched request ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Ending {
-    /// The endpoint gave its whole answer.
+    /// The endpoint sent its complete response.
     Done,
     /// The endpoint was lost or failed.
     Failed,
-    /// The endpoint refused it for want of room.
+    /// The endpoint refused it for lack of capacity.
     Full,
-    /// The endpoint refused it, and wants no work for this long.
+    /// The endpoint refused it and asked for no work for this duration.
     Paused(Millis),
 }
 
-/// What a home is told.
+/// An event for a home.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Event {
-    /// A request asks to run. A try that is held already is ignored.
+    /// A request is to be run. An attempt that already waits or runs is ignored.
     Offer(Offer),
-    /// A dispatched request has generated this much in all.
+    /// A dispatched request has generated output.
     Progress {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
-        /// Output so far.
+        /// Total output tokens so far.
         output: Tokens,
     },
     /// A dispatched request has ended.
     Finished {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
         /// How it ended.
         ending: Ending,
     },
-    /// The caller went away, whether its request waits or runs.
+    /// The caller disconnected; its request may wait or run.
     Cancelled {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
     },
-    /// The endpoint reports its load.
+    /// The endpoint has reported its load.
     Report(Report),
-    /// The pool's mean load is known anew.
+    /// A new mean load of the pool was computed.
     Mean(Mean),
-    /// The endpoint, or who is its home, has changed.
+    /// The state of the endpoint, or its home, has changed.
     State(State),
-    /// Time has passed; wanted by [`Home::wake`](super::Home::wake).
+    /// Time has passed; due at [`Home::wake`](super::Home::wake).
     Tick,
 }
 
-/// What a home asks for. Each offer gets exactly one of these, unless it is cancelled first.
+/// An action for the caller of a home. Each offer results in exactly one, unless it is cancelled first.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Action {
     /// Send the request to the endpoint.
     Dispatch {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
-        /// Hint for the endpoint, 0 to 9, higher first.
+        /// Priority hint for the endpoint, 0 to 9, higher first.
         priority: u8,
     },
-    /// Answer the caller that the request was not run.
+    /// Tell the caller that the request was refused without being run.
     Refuse {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
-        /// Why.
+        /// Why it was refused.
         reason: Reason,
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Millis,
     },
     /// Place the request at another endpoint; it was not sent to this one.
     PassOn {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
-        /// Why it can't stay.
+        /// Why it wasn't kept here.
         reason: Reason,
     },
 }
 
 impl Action {
-    /// The try that it is about.
+    /// The attempt that the action is about.
     pub const fn id(&self) -> AttemptId {
         match self {
             Self::Dispatch { id, .. } | Self::Refuse { id, .. } | Self::PassOn { id, .. } => *id,
--- a/crates/core/src/admission/overload.rs
+++ b/crates/core/src/admission/overload.rs
@@ -1,56 +1,55 @@
-//! Notices a queue that stands, and shortens the waits that are accepted then.
+//! Detects a standing queue, and accepts only shorter waits while there is one.
 //!
-//! When arrivals exceed the capacity for long, a queue that is as long as the
-//! callers' patience serves no more requests than a short one; it only makes
-//! every one of them wait. So a queue that hasn't been empty for a while is
-//! kept short.
+//! When arrivals exceed the capacity for long, a queue as long as the callers'
+//! patience serves no more requests than a short one; it only makes every
+//! request wait. So a queue that hasn't been empty for some time is kept short.
 
 use derive_more::Debug;
 
 use crate::clock::Millis;
 
-/// Time for which a queue may stand before it is kept short.
-const STANDING: Millis = Millis::from_secs(2);
-/// Time for which a queue must be empty to be held as short no more; a short queue is empty now and then.
-const CALM: Millis = Millis::from_secs(1);
-/// Part of the patience that is accepted as wait at a standing queue, as a divisor.
-const DIVISOR: u64 = 16;
+/// Time without an empty queue after which it counts as standing and is kept short.
+const STANDING_AFTER: Millis = Millis::from_secs(2);
+/// Time for which a standing queue must be empty to be kept short no longer; a queue kept short is empty at times.
+const CLEARED_AFTER: Millis = Millis::from_secs(1);
+/// Divisor of the patience that gives the maximum wait at a standing queue.
+const PATIENCE_DIVISOR: u64 = 16;
 
-/// Whether the queue stands.
+/// Tracks whether the queue is standing.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub(super) struct Overload {
-    /// Since when the queue hasn't been empty, or since when it has.
+    /// When `waiting` last changed.
     since: Millis,
     /// Whether requests wait.
     waiting: bool,
-    /// Whether the queue has stood, and hasn't been empty for long since.
-    stands: bool,
+    /// Whether the queue was standing at the last update.
+    standing: bool,
 }
 
 impl Overload {
-    /// Notes whether requests wait.
-    pub(super) fn note(&mut self, waiting: bool, now: Millis) {
-        self.stands = self.stands(now);
+    /// Records whether requests wait.
+    pub(super) fn update(&mut self, waiting: bool, now: Millis) {
+        self.standing = self.is_standing(now);
         if self.waiting != waiting {
             self.waiting = waiting;
             self.since = now;
         }
     }
 
-    /// The longest predicted wait that is accepted.
-    pub(super) fn patience(&self, patience: Millis, now: Millis) -> Millis {
-        if !self.stands(now) {
+    /// The maximum predicted wait that is accepted, for a request with this patience.
+    pub(super) fn max_wait(&self, patience: Millis, now: Millis) -> Millis {
+        if !self.is_standing(now) {
             return patience;
         }
-        Millis(patience.0 / DIVISOR)
+        Millis(patience.0 / PATIENCE_DIVISOR)
     }
 
-    fn stands(&self, now: Millis) -> bool {
+    fn is_standing(&self, now: Millis) -> bool {
         let passed = now.since(self.since);
         if self.waiting {
-            return self.stands || passed > STANDING;
+            return self.standing || passed > STANDING_AFTER;
         }
-        self.stands && passed <= CALM
+        self.standing && passed <= CLEARED_AFTER
     }
 }
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -1,4 +1,7 @@
-//! The bounded queue: institutions by share, their accounts evenly, each account in order.
+//! The queue of waiting requests, by weighted fair queueing on two levels.
+//!
+//! Institutions are served by share, the client accounts of an institution with
+//! equal weight, and the requests of a client account in order of arrival.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -8,71 +11,71 @@
 use crate::ids::{AccountId, AttemptId, InstitutionId};
 
 use super::event::Offer;
-use super::fair::Fair;
+use super::fair::FairQueue;
 
-/// Requests that a flow may burst ahead of the virtual time.
-const CREDIT_GRAINS: u64 = 16;
-/// Weight of each account of an institution.
+/// Maximum credit of a flow, in mean-sized requests.
+const CREDIT_REQUESTS: u64 = 16;
+/// Weight of each client account of an institution.
 const ACCOUNT_SHARE: u32 = 1;
-/// Steps over which the mean request is taken.
-const GRAIN_STEPS: u64 = 32;
+/// Requests over which the work of a request is averaged, by an exponential moving average.
+const MEAN_WINDOW: u64 = 32;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone)]
 #[derive(Debug)]
 pub(super) struct Waiting {
-    /// What was offered.
+    /// The request as offered.
     pub(super) offer: Offer,
     /// Estimated work.
     pub(super) work: u64,
-    /// When it must have been dispatched.
+    /// When it must have been dispatched at the latest.
     pub(super) deadline: Millis,
-    /// When its chance is looked at again.
+    /// When its predicted wait is reviewed next.
     review: Millis,
-    /// Order of arrival.
-    number: u64,
+    /// Position in the order of arrival.
+    sequence: u64,
 }
 
 /// The waiting requests of one institution.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-struct Group {
-    accounts: Fair<AccountId>,
-    lines: HashMap<AccountId, VecDeque<Waiting>>,
+struct InstitutionQueue {
+    accounts: FairQueue<AccountId>,
+    requests: HashMap<AccountId, VecDeque<Waiting>>,
 }
 
-/// Where a waiting request stands.
+/// Where a waiting request is stored.
 #[derive(Clone)]
 #[derive(Debug)]
-struct Place {
+struct Position {
     institution: InstitutionId,
     account: AccountId,
-    number: u64,
+    sequence: u64,
 }
 
-/// An institution whose turn it would be.
+/// An institution that could be served next.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
-pub(super) struct Turn<'a> {
+pub(super) struct Candidate<'a> {
     /// The institution.
     pub(super) institution: &'a InstitutionId,
-    /// Its share over that of all institutions that asked lately.
-    pub(super) part: f64,
+    /// Its share as a fraction of the shares of all recently active institutions.
+    pub(super) fraction: f64,
     /// Work by which it is behind its share.
-    pub(super) behind: u64,
+    pub(super) lag: u64,
 }
 
-/// All waiting requests of one home.
+/// All waiting requests of one home. The caller bounds its length.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub(super) struct Queue {
-    institutions: Fair<InstitutionId>,
-    groups: HashMap<InstitutionId, Group>,
-    places: HashMap<AttemptId, Place>,
+    institutions: FairQueue<InstitutionId>,
+    queues: HashMap<InstitutionId, InstitutionQueue>,
+    positions: HashMap<AttemptId, Position>,
     reviews: BTreeSet<(Millis, AttemptId)>,
     work: u64,
-    grain: u64,
-    number: u64,
+    mean_work: u64,
+    sequence: u64,
 }
 
 impl Waiting {
@@ -83,151 +86,152 @@
             work,
             deadline,
             review: deadline,
-            number: 0,
+            sequence: 0,
         }
     }
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub(super) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Whether this try waits here.
+    /// Whether the attempt waits here.
     pub(super) fn contains(&self, id: AttemptId) -> bool {
-        self.places.contains_key(&id)
+        self.positions.contains_key(&id)
     }
 
-    /// Work that waits.
+    /// Estimated work of all waiting requests.
     pub(super) fn work(&self) -> u64 {
         self.work
     }
 
-    /// Work of a usual request.
-    pub(super) fn grain(&self) -> u64 {
-        self.grain.max(1)
+    /// Moving average of the work of a request, at least 1.
+    pub(super) fn mean_work(&self) -> u64 {
+        self.mean_work.max(1)
     }
 
-    /// Flows that are remembered, at both levels.
+    /// Number of known flows on both levels.
     pub(super) fn flows(&self) -> usize {
-        let accounts: usize = self.groups.values().map(|group| group.accounts.len()).sum();
+        let accounts: usize = self.queues.values().map(|queue| queue.accounts.len()).sum();
         self.institutions.len() + accounts
     }
 
-    /// Puts a request at the end of its account's line.
+    /// Appends a request to the queue of its client account.
     pub(super) fn push(&mut self, mut waiting: Waiting) {
-        self.learn(waiting.work);
+        self.update_mean(waiting.work);
         let credit = self.credit();
-        self.number += 1;
-        waiting.number = self.number;
+        self.sequence += 1;
+        waiting.sequence = self.sequence;
         let offer = &waiting.offer;
         let (institution, account) = (offer.institution.clone(), offer.account.clone());
         self.institutions
             .push(&institution, offer.share, waiting.work, credit);
-        let group = self.groups.entry(institution.clone()).or_default();
-        group
+        let queue = self.queues.entry(institution.clone()).or_default();
+        queue
             .accounts
             .push(&account, ACCOUNT_SHARE, waiting.work, credit);
         self.work += waiting.work;
         self.reviews.insert((waiting.review, offer.id));
-        let place = Place {
+        let position = Position {
             institution,
             account: account.clone(),
-            number: waiting.number,
+            sequence: waiting.sequence,
         };
-        self.places.insert(offer.id, place);
-        group.lines.entry(account).or_default().push_back(waiting);
+        self.positions.insert(offer.id, position);
+        queue.requests.entry(account).or_default().push_back(waiting);
     }
 
-    /// Takes the request whose turn it is, of an institution that may be served, and how far that was behind.
-    pub(super) fn pop(&mut self, may: impl Fn(Turn<'_>) -> bool) -> Option<(Waiting, u64)> {
-        let may = |institution: &&InstitutionId| {
-            may(Turn {
+    /// Removes the next request of the first institution that is `eligible`, to be served; returns it with its lag.
+    pub(super) fn pop(&mut self, eligible: impl Fn(Candidate<'_>) -> bool) -> Option<(Waiting, u64)> {
+        let eligible = |institution: &&InstitutionId| {
+            eligible(Candidate {
                 institution,
-                part: self.institutions.part(institution),
-                behind: self.institutions.behind(institution),
+                fraction: self.institutions.fraction(institution),
+                lag: self.institutions.lag(institution),
             })
         };
-        let institution = self.institutions.ready().find(may)?.clone();
-        let group = self.groups.get(&institution)?;
-        let account = group.accounts.ready().next()?.clone();
-        let id = group.lines.get(&account)?.front()?.offer.id;
-        let behind = self.institutions.behind(&institution);
-        let behind = behind.min(group.accounts.behind(&account));
-        Some((self.serve(id)?, behind))
+        let institution = self.institutions.ready().find(eligible)?.clone();
+        let queue = self.queues.get(&institution)?;
+        let account = queue.accounts.ready().next()?.clone();
+        let id = queue.requests.get(&account)?.front()?.offer.id;
+        let lag = self.institutions.lag(&institution);
+        let lag = lag.min(queue.accounts.lag(&account));
+        Some((self.serve(id)?, lag))
     }
 
-    /// Takes one request out to be served.
+    /// Removes a request to be served, and charges its flows.
     fn serve(&mut self, id: AttemptId) -> Option<Waiting> {
-        let (place, waiting) = self.take(id)?;
-        let group = self.groups.get_mut(&place.institution)?;
-        group.accounts.serve(&place.account, waiting.work);
-        self.institutions.serve(&place.institution, waiting.work);
-        self.forget(&place.institution);
+        let (position, waiting) = self.take(id)?;
+        let queue = self.queues.get_mut(&position.institution)?;
+        queue.accounts.serve(&position.account, waiting.work);
+        self.institutions.serve(&position.institution, waiting.work);
+        self.remove_idle(&position.institution);
         Some(waiting)
     }
 
-    /// Takes one request out, wherever it stands.
+    /// Removes a request that won't be served.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<Waiting> {
-        let (place, waiting) = self.take(id)?;
-        let group = self.groups.get_mut(&place.institution)?;
-        group.accounts.remove(&place.account, waiting.work);
-        self.institutions.remove(&place.institution, waiting.work);
-        self.forget(&place.institution);
+        let (position, waiting) = self.take(id)?;
+        let queue = self.queues.get_mut(&position.institution)?;
+        queue.accounts.remove(&position.account, waiting.work);
+        self.institutions.remove(&position.institution, waiting.work);
+        self.remove_idle(&position.institution);
         Some(waiting)
     }
 
-    fn take(&mut self, id: AttemptId) -> Option<(Place, Waiting)> {
-        let place = self.places.get(&id)?.clone();
-        let group = self.groups.get_mut(&place.institution)?;
-        let line = group.lines.get_mut(&place.account)?;
-        let index = line.binary_search_by_key(&place.number, |waiting| waiting.number);
-        let waiting = line.remove(index.ok()?)?;
-        group.tidy(&place.account);
-        self.drop_marks(&waiting);
-        Some((place, waiting))
+    fn take(&mut self, id: AttemptId) -> Option<(Position, Waiting)> {
+        let position = self.positions.get(&id)?.clone();
+        let queue = self.queues.get_mut(&position.institution)?;
+        let requests = queue.requests.get_mut(&position.account)?;
+        let index = requests.binary_search_by_key(&position.sequence, |waiting| waiting.sequence);
+        let waiting = requests.remove(index.ok()?)?;
+        queue.remove_if_empty(&position.account);
+        self.unindex(&waiting);
+        Some((position, waiting))
     }
 
-    /// The newest request of the account that takes most of the queue for its share.
+    /// The newest request of the client account that occupies most of the queue for its share.
     pub(super) fn longest_tail(&self) -> Option<AttemptId> {
-        let group = self.groups.get(self.institutions.longest()?)?;
-        let line = group.lines.get(group.accounts.longest()?)?;
-        line.back().map(|waiting| waiting.offer.id)
+        let queue = self.queues.get(self.institutions.longest()?)?;
+        let requests = queue.requests.get(queue.accounts.longest()?)?;
+        requests.back().map(|waiting| waiting.offer.id)
     }
 
-    /// Work that is likely to be dispatched before this request.
+    /// Estimated work that is dispatched before this request.
     pub(super) fn work_before(&self, id: AttemptId) -> u64 {
-        let Some(place) = self.places.get(&id) else {
+        let Some(position) = self.positions.get(&id) else {
             return self.work;
         };
-        let Some(group) = self.groups.get(&place.institution) else {
+        let Some(queue) = self.queues.get(&position.institution) else {
             return self.work;
         };
-        let ahead = group.rank(place) * group.accounts.mean_work(&place.account);
-        let ahead = group.accounts.work_before(&place.account, ahead);
-        self.institutions.work_before(&place.institution, ahead)
+        let ahead = queue.rank(position) * queue.accounts.mean_work(&position.account);
+        let ahead = queue.accounts.work_before(&position.account, ahead);
+        self.institutions.work_before(&position.institution, ahead)
     }
 
-    /// Corrects a served request's charge by the work that it really took.
-    pub(super) fn correct(&mut self, offer: &Offer, charged: u64, took: u64) {
-        self.institutions.correct(&offer.institution, charged, took);
-        if let Some(group) = self.groups.get_mut(&offer.institution) {
-            group.accounts.correct(&offer.account, charged, took);
+    /// Corrects the charge of a served request to its actual work.
+    pub(super) fn correct(&mut self, offer: &Offer, charged: u64, actual: u64) {
+        self.institutions
+            .correct(&offer.institution, charged, actual);
+        if let Some(queue) = self.queues.get_mut(&offer.institution) {
+            queue.accounts.correct(&offer.account, charged, actual);
         }
     }
 
-    /// When a request has to be looked at next.
+    /// When the next review of a request is due.
     pub(super) fn next_review(&self) -> Option<Millis> {
         self.reviews.first().map(|(at, _)| *at)
     }
 
-    /// A request whose chance has to be looked at by now.
+    /// A request whose review is due.
     pub(super) fn due(&self, now: Millis) -> Option<&Waiting> {
         let (at, id) = self.reviews.first()?;
         if *at > now {
@@ -236,7 +240,7 @@
         self.get(*id)
     }
 
-    /// Sets when to look at a request again.
+    /// Sets when to review a request again.
     pub(super) fn review_at(&mut self, id: AttemptId, at: Millis) {
         let Some(waiting) = self.get_mut(id) else {
             return;
@@ -248,65 +252,66 @@
 
     /// A waiting request.
     pub(super) fn get(&self, id: AttemptId) -> Option<&Waiting> {
-        let place = self.places.get(&id)?;
-        let line = self
-            .groups
-            .get(&place.institution)?
-            .lines
-            .get(&place.account)?;
-        let index = line.binary_search_by_key(&place.number, |waiting| waiting.number);
-        line.get(index.ok()?)
+        let position = self.positions.get(&id)?;
+        let requests = self
+            .queues
+            .get(&position.institution)?
+            .requests
+            .get(&position.account)?;
+        let index = requests.binary_search_by_key(&position.sequence, |waiting| waiting.sequence);
+        requests.get(index.ok()?)
     }
 
     fn get_mut(&mut self, id: AttemptId) -> Option<&mut Waiting> {
-        let place = self.places.get(&id)?;
-        let group = self.groups.get_mut(&place.institution)?;
-        let line = group.lines.get_mut(&place.account)?;
-        let index = line.binary_search_by_key(&place.number, |waiting| waiting.number);
-        line.get_mut(index.ok()?)
+        let position = self.positions.get(&id)?;
+        let queue = self.queues.get_mut(&position.institution)?;
+        let requests = queue.requests.get_mut(&position.account)?;
+        let index = requests.binary_search_by_key(&position.sequence, |waiting| waiting.sequence);
+        requests.get_mut(index.ok()?)
     }
 
+    /// Maximum credit of a flow, as work.
     fn credit(&self) -> u64 {
-        CREDIT_GRAINS * self.grain()
+        CREDIT_REQUESTS * self.mean_work()
     }
 
-    fn learn(&mut self, work: u64) {
-        if self.grain == 0 {
-            self.grain = work;
+    fn update_mean(&mut self, work: u64) {
+        if self.mean_work == 0 {
+            self.mean_work = work;
         }
-        self.grain = (self.grain * (GRAIN_STEPS - 1) + work).div_ceil(GRAIN_STEPS);
+        self.mean_work = (self.mean_work * (MEAN_WINDOW - 1) + work).div_ceil(MEAN_WINDOW);
     }
 
-    fn drop_marks(&mut self, waiting: &Waiting) {
+    fn unindex(&mut self, waiting: &Waiting) {
         self.work -= waiting.work;
-        self.places.remove(&waiting.offer.id);
+        self.positions.remove(&waiting.offer.id);
         self.reviews.remove(&(waiting.review, waiting.offer.id));
     }
 
-    /// Forgets flows that have nothing left to remember; one offer adds one at each level.
-    fn forget(&mut self, served: &InstitutionId) {
+    /// Removes at most one idle flow on each level, since each offer adds at most one on each.
+    fn remove_idle(&mut self, served: &InstitutionId) {
         let credit = self.credit();
-        if let Some(group) = self.groups.get_mut(served) {
-            group.accounts.forget(credit);
+        if let Some(queue) = self.queues.get_mut(served) {
+            queue.accounts.remove_idle(credit);
         }
-        if let Some(institution) = self.institutions.forget(credit) {
-            self.groups.remove(&institution);
+        if let Some(institution) = self.institutions.remove_idle(credit) {
+            self.queues.remove(&institution);
         }
     }
 }
 
-impl Group {
-    /// Requests of the same account before this one.
-    fn rank(&self, place: &Place) -> u64 {
-        let Some(line) = self.lines.get(&place.account) else {
+impl InstitutionQueue {
+    /// Number of requests of the same client account before this one.
+    fn rank(&self, position: &Position) -> u64 {
+        let Some(requests) = self.requests.get(&position.account) else {
             return 0;
         };
-        line.partition_point(|waiting| waiting.number < place.number) as u64
+        requests.partition_point(|waiting| waiting.sequence < position.sequence) as u64
     }
 
-    fn tidy(&mut self, account: &AccountId) {
-        if self.lines.get(account).is_some_and(VecDeque::is_empty) {
-            self.lines.remove(account);
+    fn remove_if_empty(&mut self, account: &AccountId) {
+        if self.requests.get(account).is_some_and(VecDeque::is_empty) {
+            self.requests.remove(account);
         }
     }
 }
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -1,33 +1,33 @@
-//! Limits of one home.
+//! Limits of a home's admission control.
 
 use derive_more::Debug;
 
 use crate::clock::Millis;
 use crate::config::Pool;
 
-/// Work that one slot is taken to clear in a second, until it is measured.
+/// Assumed throughput of one slot in tokens per second, until it is measured.
 const SLOT_RATE: f64 = 50.0;
-/// Longest predicted wait that is kept here while another endpoint could serve.
+/// Maximum predicted wait of a request that may be passed on.
 const PASS_WAIT: Millis = Millis(250);
 
-/// Limits of one home.
+/// Limits of admission to one endpoint.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Settings {
-    /// Requests that the endpoint runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue: u32,
-    /// Largest load as a multiple of the pool's mean.
+    /// Maximum load as a multiple of the pool's mean.
     pub load_bound: f64,
-    /// Work in tokens that one slot clears in a second, until it is measured.
+    /// Assumed throughput of one slot in tokens per second, until it is measured.
     pub slot_rate: f64,
-    /// Longest predicted wait that is kept here while the request can be passed on.
+    /// Maximum predicted wait of a request that may be passed on; with a longer one it is passed on.
     pub pass_wait: Millis,
 }
 
 impl Settings {
-    /// The limits of a pool's endpoints.
+    /// Creates the limits for the endpoints of a pool.
     pub const fn new(pool: &Pool) -> Self {
         Self {
             slots: pool.slots,
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Sets the work that a slot is taken to clear in a second.
+    /// Sets the assumed throughput of one slot, in tokens per second.
     pub const fn with_slot_rate(mut self, rate: f64) -> Self {
         self.slot_rate = rate;
         self
     }
 
-    /// Sets the longest predicted wait kept while the request can be passed on.
+    /// Sets the maximum predicted wait of a request that may be passed on.
     pub const fn with_pass_wait(mut self, wait: Millis) -> Self {
         self.pass_wait = wait;
         self
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: slots, the load bound, fairness, refusals and changes of state.
+//! Admission control: slots, the load bound, fairness, refusals and state changes.
 
 #[path = "support/engine.rs"]
 mod engine;
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg32;
 
 const HOUR: u64 = 3_600_000;
-/// Requests a second of two institutions that load the engine to 70%.
+/// Requests per second of each of two institutions that together load the engine to 70%.
 const HALF: f64 = 0.35 * 16.0 / 3.0;
 
 fn trial(seed: u64, sources: &[Source]) -> Tally {
@@ -25,7 +25,7 @@
     actions.iter().filter(dispatch).count()
 }
 
-/// Offers until `count` requests run, and returns the next free number.
+/// Offers `count` requests, numbered from 0, and returns the next free number.
 fn fill(home: &mut Home, count: u64, now: u64) -> u64 {
     for number in 0..count {
         home.handle(Event::Offer(offer(number, "a", "a1")), Millis(now));
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn a_try_that_is_held_is_not_answered_again() {
+fn a_known_attempt_is_not_answered_again() {
     let mut home = open_home(settings(), 1);
     fill(&mut home, 17, 10);
     for number in [0, 16] {
@@ -108,7 +108,7 @@
             tally.wait("a1", 0.99)
         );
         expect_that!(useful, gt(0.95));
-        // The callers would wait ten seconds; a queue that stands is kept shorter.
+        // The callers would wait ten seconds; a standing queue is kept shorter.
         expect_that!(tally.wait("a1", 0.99), lt(7_500));
     }
 }
@@ -140,9 +140,9 @@
         for action in home.handle(event, Millis(now)) {
             if let Action::Dispatch { id, .. } = action {
                 let load: u64 = running.iter().map(|(_, work)| work).sum();
-                // The home moves the mean by a twentieth of what it added since.
-                let moved = (load + 200) / 20;
-                expect_that!(load, le((limit + moved) * 5 / 4));
+                // The home adds a twentieth of its own new load to the mean of 20 endpoints.
+                let added = (load + 200) / 20;
+                expect_that!(load, le((limit + added) * 5 / 4));
                 running.push((id.request.0 as u64, 200));
             }
         }
@@ -150,7 +150,7 @@
 }
 
 #[gtest]
-fn a_full_home_refuses_at_once_and_says_when_to_come_back() {
+fn a_full_home_refuses_at_once_with_a_retry_delay() {
     let mut home = open_home(settings(), 1);
     let mut reasons = Vec::new();
     for number in 0..200 {
@@ -177,17 +177,17 @@
         dispatched(&home.handle(Event::Offer(offer(0, "a", "a1")), now)),
         eq(1)
     );
-    let mut movable = offer(1, "a", "a1");
-    movable.movable = true;
+    let mut request = offer(1, "a", "a1");
+    request.movable = true;
     let reason = Reason::PoolFull;
-    let actions = home.handle(Event::Offer(movable), now);
+    let actions = home.handle(Event::Offer(request), now);
     expect_that!(
         actions,
         elements_are![eq(&Action::PassOn { id: id(1), reason })]
     );
-    let mut hasty = offer(2, "a", "a1");
-    hasty.patience = Millis(5);
-    let actions = home.handle(Event::Offer(hasty), now);
+    let mut impatient = offer(2, "a", "a1");
+    impatient.patience = Millis(5);
+    let actions = home.handle(Event::Offer(impatient), now);
     expect_that!(
         actions,
         elements_are![matches_pattern!(Action::Refuse {
@@ -198,7 +198,7 @@
 }
 
 #[gtest]
-fn a_full_queue_makes_room_for_whoever_uses_less() {
+fn a_full_queue_evicts_for_an_institution_that_uses_less() {
     let mut home = open_home(settings(), 1);
     let last = fill(&mut home, 80, 10);
     let actions = home.handle(Event::Offer(offer(last, "b", "b1")), Millis(11));
@@ -240,7 +240,7 @@
     expect_that!(home.in_flight(), eq(16 - 7));
 }
 
-/// A daemon that stands in for a frozen home hasn't heard that the endpoint is leaving.
+/// A daemon that stands in for a frozen home doesn't know whether the endpoint is leaving until it has answered.
 #[gtest]
 fn nothing_is_sent_before_the_endpoint_has_answered() {
     for (state, sent) in [(State::Ready, 2), (State::Leaving, 0)] {
@@ -261,19 +261,19 @@
     for state in [State::Leaving, State::Unreachable, State::Moved] {
         let mut home = open_home(settings(), 1);
         fill(&mut home, 18, 10);
-        let mut movable = offer(18, "b", "b1");
-        movable.movable = true;
-        movable.patience = Millis(600_000);
-        home.handle(Event::Offer(movable), Millis(10));
+        let mut request = offer(18, "b", "b1");
+        request.movable = true;
+        request.patience = Millis(600_000);
+        home.handle(Event::Offer(request), Millis(10));
         let actions = home.handle(Event::State(state), Millis(20));
         let mut answered: Vec<_> = actions.iter().map(|action| action.id()).collect();
         answered.sort();
-        let gone = Reason::NoEndpoint;
+        let refused = Reason::NoEndpoint;
         expect_that!(answered.last(), some(eq(&id(18))).or(none()));
         expect_that!(
             actions,
             contains(matches_pattern!(Action::Refuse {
-                reason: eq(&gone),
+                reason: eq(&refused),
                 ..
             }))
         );
@@ -303,10 +303,10 @@
     expect_that!(home.load(Millis(900)), eq(Tokens(2_000)));
 }
 
-/// Chats that returned after a daemon was replaced found no cache, six in a row: a report had
-/// caught one of the home's own requests while it waited, when the engine counts also the prompt
-/// that it has cached. For half a second, until the next report, that stood for work of others,
-/// and in a pool that was idle it put the endpoint over its bound.
+/// Chats that returned after a daemon was replaced missed their cache, six in a row. A report was
+/// taken while one of the home's own requests waited, and the engine counts the cached prompt of a
+/// waiting request too. For half a second, until the next report, the difference was taken for
+/// work of other daemons, which put the endpoint of an idle pool over its bound.
 #[gtest]
 fn its_own_requests_that_waited_are_no_work_of_others() {
     for (waiting, others) in [(1, 0), (2, 700)] {
@@ -326,7 +326,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_refused_is_left_alone_for_a_moment() {
+fn dispatch_pauses_after_a_refusal_for_lack_of_capacity() {
     let mut home = open_home(settings(), 1);
     fill(&mut home, 17, 10);
     let ending = Ending::Full;
@@ -337,7 +337,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_wants_a_pause_is_left_alone_until_the_last_of_them_ends() {
+fn the_longest_pause_that_an_endpoint_asked_for_applies() {
     let mut home = open_home(settings(), 1);
     fill(&mut home, 18, 10);
     let mut refuse = |number, ending, now| {
@@ -355,7 +355,7 @@
 }
 
 #[gtest]
-fn flows_without_use_are_forgotten() {
+fn idle_flows_are_removed() {
     let mut home = open_home(settings(), 1);
     for number in 0..20_000 {
         let account = format!("a{}", number % 5_000);
@@ -383,7 +383,7 @@
 }
 
 #[gtest]
-fn a_caller_is_asked_back_later_the_more_work_waits() {
+fn the_retry_delay_grows_with_the_waiting_work() {
     let after = |queue: u32| {
         let mut settings = settings();
         settings.queue = queue;
@@ -400,7 +400,7 @@
         };
         *retry_after
     };
-    // Requests of 200 tokens at 1.6 tokens a millisecond, and up to as much again as jitter.
+    // Requests of 200 tokens at 1.6 tokens per millisecond, plus jitter of up to the same delay.
     for queue in [16, 64, 160] {
         let wait = (u64::from(queue) + 1) * 125;
         expect_that!(after(queue).0, all!(ge(wait), le(wait * 2)));
--- a/crates/core/tests/support/engine.rs
+++ b/crates/core/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! A home before a small model engine, driven by seeded arrivals in model time.
+//! A home with a simulated engine, driven by seeded arrivals in simulated time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Tokens that a slot clears in a millisecond.
+/// Tokens that a slot completes per millisecond.
 const SPEED: f64 = 0.1;
 
 pub fn id(number: u64) -> AttemptId {
@@ -49,7 +49,7 @@
     })
 }
 
-/// A home past its probation, whose pool's mean is no hindrance.
+/// A home past its probation, with a mean too high for the load bound to apply.
 pub fn open_home(settings: Settings, seed: u64) -> Home {
     let mut home = Home::new(settings, Pcg32::seed_from_u64(seed), Millis(0));
     let as_of = Millis(1);
@@ -68,9 +68,9 @@
 pub struct Source {
     pub institution: &'static str,
     pub account: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Rate while `surge` lasts.
+    /// Requests per second during `surge`.
     pub surged: f64,
     pub surge: std::ops::Range<u64>,
 }
@@ -112,13 +112,13 @@
     Finish(AttemptId, u64),
 }
 
-/// Runs sources against one home for a span of model time; waits count from `from`.
+/// Runs sources against one home in simulated time; requests and work count from time `from` on.
 pub struct Run {
     pub home: Home,
     rng: Pcg32,
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
     number: u64,
-    born: HashMap<AttemptId, (u64, &'static str, u64, u64)>,
+    arrivals: HashMap<AttemptId, (u64, &'static str, u64, u64)>,
     pub tally: Tally,
     from: u64,
 }
@@ -130,7 +130,7 @@
             rng: Pcg32::seed_from_u64(seed),
             steps: BinaryHeap::new(),
             number: 0,
-            born: HashMap::new(),
+            arrivals: HashMap::new(),
             tally: Tally::default(),
             from,
         }
@@ -147,9 +147,9 @@
                 return self.tally;
             }
             if wake <= next {
-                self.tell(Event::Tick, wake);
+                self.handle(Event::Tick, wake);
                 let later = self.home.wake().is_none_or(|at| at.0 > wake);
-                assert!(later, "the home wants to be woken for what it has done");
+                assert!(later, "the home must not ask for a tick that it has just had");
                 continue;
             }
             let Some(Reverse((at, _, step))) = self.steps.pop() else {
@@ -159,7 +159,7 @@
                 Step::Arrive(index) => self.arrive(sources, index, at),
                 Step::Finish(id, work) => {
                     self.tally.served += if at > self.from { work } else { 0 };
-                    self.tell(
+                    self.handle(
                         Event::Finished {
                             id,
                             ending: Ending::Done,
@@ -195,16 +195,16 @@
         offer.output = Tokens(50 + self.exp(150.0) as u64);
         let work = offer.prompt.0 + offer.output.0;
         let patience = offer.patience.0;
-        self.born
+        self.arrivals
             .insert(offer.id, (now, source.account, work, patience));
-        self.tell(Event::Offer(offer), now);
+        self.handle(Event::Offer(offer), now);
     }
 
-    fn tell(&mut self, event: Event, now: u64) {
+    fn handle(&mut self, event: Event, now: u64) {
         let actions = self.home.handle(event, Millis(now));
         for action in actions {
             *self.tally.answers.entry(action.id()).or_default() += 1;
-            let (since, account, work, patience) = self.born[&action.id()];
+            let (since, account, work, patience) = self.arrivals[&action.id()];
             self.tally.late += u64::from(now > since + patience);
             match action {
                 Action::Dispatch { id, .. } => {
