--- a/crates/core/src/endpoint_state.rs
+++ b/crates/core/src/endpoint_state.rs
@@ -1,12 +1,14 @@
-//! What is known of endpoints, and whether each may be given new work.
+//! Health tracking of endpoints, which decides whether each may get new work.
 //!
-//! A home keeps one [`EndpointStates`] for the endpoints that it admits for.
-//! It asks each for its state about once a second, and admits to one only on
-//! an answer that was asked for less than two seconds ago: an endpoint that
-//! leaves, or that can't be asked, gets no new work after that. Consecutive
-//! failures close an endpoint before its evidence is too old; it is then asked
-//! less and less often, and reopened by its own answers. One that comes and
-//! goes comes back more slowly each time.
+//! A home keeps one [`EndpointStates`] for the endpoints that it admits work to.
+//! It polls each about once a second, and admits work only on the answer to a
+//! poll that was sent at most two seconds ago: an endpoint that is leaving or
+//! can't be reached gets no new work after that. Consecutive failures open the
+//! endpoint's circuit breaker before its last answer is too old. The endpoint is
+//! then polled less and less often, and the breaker closes after consecutive
+//! good answers. An endpoint that flaps returns more slowly each time: each
+//! outage adds to a penalty that decays exponentially, as in route flap damping
+//! (RFC 2439).
 
 mod record;
 
@@ -21,29 +23,29 @@
 
 use record::Record;
 
-/// Times and counts of endpoint states.
+/// Intervals and thresholds of health tracking.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Settings {
-    /// Oldest evidence that work is dispatched on.
+    /// Maximum age of the last answer for new work.
     pub max_age: Millis,
-    /// Between two questions to an endpoint that answers.
+    /// Time between two polls of an endpoint that answers.
     pub interval: Millis,
-    /// Longest time between two questions to one that doesn't.
-    pub backoff: Millis,
-    /// Consecutive failures that close an endpoint.
+    /// Maximum time between two polls of an endpoint that doesn't answer.
+    pub max_backoff: Millis,
+    /// Consecutive failures that open the circuit breaker.
     pub failures: u32,
-    /// Consecutive good answers that reopen it.
+    /// Consecutive answers that close the circuit breaker again.
     pub answers: u32,
-    /// How long the first return takes to its whole share of work.
-    pub ramp: Millis,
-    /// Longest return.
-    pub max_ramp: Millis,
-    /// How long it takes until half of past closings are forgiven.
+    /// Duration of the slow start after a first outage.
+    pub slow_start: Millis,
+    /// Maximum duration of a slow start.
+    pub max_slow_start: Millis,
+    /// Time in which the penalty for past outages decays to half.
     pub half_life: Millis,
-    /// Closings, less those forgiven, above which an endpoint is held back.
-    pub hold: f64,
-    /// Closings, less those forgiven, at which it may return.
-    pub release: f64,
+    /// Penalty, in outages, from which an endpoint is suppressed.
+    pub suppress: f64,
+    /// Penalty at or below which a suppressed endpoint may return.
+    pub reuse: f64,
 }
 
 impl Default for Settings {
@@ -51,14 +53,14 @@
         Self {
             max_age: Millis(2000),
             interval: Millis(1000),
-            backoff: Millis(8000),
+            max_backoff: Millis(8000),
             failures: 3,
             answers: 2,
-            ramp: Millis(2000),
-            max_ramp: Millis(60_000),
+            slow_start: Millis(2000),
+            max_slow_start: Millis(60_000),
             half_life: Millis(60_000),
-            hold: 4.0,
-            release: 2.0,
+            suppress: 4.0,
+            reuse: 2.0,
         }
     }
 }
@@ -67,97 +69,97 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 #[derive(Display)]
 pub enum EndpointState {
-    /// There is no recent evidence.
+    /// There is no recent answer.
     #[display("unknown")]
     Unknown,
-    /// It takes work.
+    /// It accepts work.
     #[display("ready")]
     Ready,
-    /// It will stop; said by itself or by the platform's list.
+    /// It will stop, as reported by itself or by the platform's list.
     #[display("leaving")]
     Leaving,
-    /// An operator wants no new work there.
+    /// An operator has drained it: it gets no new work.
     #[display("drained")]
     Drained,
-    /// It has failed, or has come and gone too often.
+    /// It has failed, or is suppressed because it flaps.
     #[display("unreachable")]
     Unreachable,
 }
 
-/// What an endpoint says of itself, in its health answer or load report.
+/// The state that an endpoint reports in its health response or load report.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Reported {
-    /// It takes work.
+    /// It accepts work.
     Ready,
     /// It will stop.
     Leaving,
 }
 
-/// What the platform's list says of an endpoint's VM.
+/// The state of an endpoint's VM in the platform's list.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub enum Listed {
-    /// Nothing; the list lags, so this alone closes nothing.
+    /// The list doesn't contain it. The list lags, so this alone doesn't stop new work.
     #[default]
     Absent,
-    /// It is live.
+    /// The VM is live.
     Live,
-    /// It will be taken away.
+    /// The platform will remove the VM.
     Leaving,
 }
 
-/// What the machine is told.
+/// An event for [`EndpointStates`].
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// Time has passed; due every 100 ms or so.
+    /// Time has passed; due about every 100 ms.
     Tick,
     /// This daemon has become home to an endpoint, or its configuration has changed.
     Configured {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Whether an operator wants no new work there.
+        /// Whether an operator has drained it.
         drained: bool,
     },
     /// This daemon is no longer home to an endpoint.
     Removed(EndpointId),
-    /// An endpoint has answered a question for its state.
+    /// An endpoint has answered a poll.
     Answered {
         /// The endpoint.
         endpoint: EndpointId,
-        /// When the question was sent; the answer is no younger evidence than that.
-        asked: Millis,
-        /// What it said.
+        /// When the poll was sent, which determines the age of the answer.
+        sent: Millis,
+        /// The reported state.
         state: Reported,
     },
-    /// A question for its state has failed.
+    /// A poll of an endpoint has failed.
     Unanswered {
         /// The endpoint.
         endpoint: EndpointId,
-        /// When the question was sent.
-        asked: Millis,
+        /// When the poll was sent.
+        sent: Millis,
     },
-    /// The platform's list of an endpoint's VM.
+    /// The state of an endpoint's VM in the platform's list.
     Listed {
         /// The endpoint.
         endpoint: EndpointId,
-        /// What it says.
+        /// The state.
         listed: Listed,
     },
-    /// Work sent to an endpoint has reached it, or has failed at it.
+    /// A request was sent to an endpoint.
     Dispatched {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Whether it was reached; a refusal for lack of room counts as reached.
+        /// Whether it reached the endpoint; a refusal for lack of capacity counts as reached.
         reached: bool,
     },
-    /// This daemon was paused: no evidence from before counts.
+    /// This daemon was paused: earlier answers are no longer valid.
     Stale,
 }
 
-/// What the machine asks for, or tells.
+/// An action for the caller of [`EndpointStates`].
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    /// Ask the endpoint for its state.
-    Ask(EndpointId),
+    /// Poll the state of the endpoint.
+    Poll(EndpointId),
     /// An endpoint's state has changed.
     Changed {
         /// The endpoint.
@@ -167,7 +169,7 @@
     },
 }
 
-/// The endpoints that this daemon is home to.
+/// Health of the endpoints that this daemon is home to.
 #[derive(Clone, Debug)]
 pub struct EndpointStates {
     settings: Settings,
@@ -176,7 +178,7 @@
 }
 
 impl EndpointStates {
-    /// No endpoints yet.
+    /// Creates an instance without endpoints; `seed` seeds the jitter of polls.
     pub fn new(seed: u64) -> Self {
         Self {
             settings: Settings::default(),
@@ -185,17 +187,17 @@
         }
     }
 
-    /// The same with other times.
+    /// Sets the intervals and thresholds.
     pub fn with_settings(mut self, settings: Settings) -> Self {
         self.settings = settings;
         self
     }
 
-    /// Takes an event at `now` on the monotonic clock.
+    /// Processes an event at `now` on the monotonic clock.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         match event {
             Event::Tick => return self.tick(now),
-            Event::Stale => self.records.values_mut().for_each(Record::forget_evidence),
+            Event::Stale => self.records.values_mut().for_each(Record::discard_answer),
             Event::Removed(endpoint) => {
                 self.records.remove(&endpoint);
             }
@@ -205,23 +207,23 @@
             }
             Event::Answered {
                 endpoint,
-                asked,
+                sent,
                 state,
-            } => self.with(&endpoint, |r, s| r.answered(s, asked, state, now)),
-            Event::Unanswered { endpoint, asked } => {
-                self.with(&endpoint, |r, s| r.unanswered(s, asked, now));
+            } => self.update(&endpoint, |r, s| r.answered(s, sent, state, now)),
+            Event::Unanswered { endpoint, sent } => {
+                self.update(&endpoint, |r, s| r.unanswered(s, sent, now));
             }
             Event::Listed { endpoint, listed } => {
-                self.with(&endpoint, |r, s| r.listed(s, listed, now));
+                self.update(&endpoint, |r, s| r.listed(s, listed, now));
             }
             Event::Dispatched { endpoint, reached } => {
-                self.with(&endpoint, |r, s| r.dispatched(s, reached, now));
+                self.update(&endpoint, |r, s| r.dispatched(s, reached, now));
             }
         }
         self.changes(now)
     }
 
-    fn with(&mut self, endpoint: &EndpointId, change: impl FnOnce(&mut Record, &Settings)) {
+    fn update(&mut self, endpoint: &EndpointId, change: impl FnOnce(&mut Record, &Settings)) {
         if let Some(record) = self.records.get_mut(endpoint) {
             change(record, &self.settings);
         }
@@ -230,10 +232,10 @@
     fn tick(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = self.changes(now);
         for (endpoint, record) in &mut self.records {
-            // Questions are spread out, so that homes don't ask in step.
+            // Jitter keeps homes from polling in lockstep.
             let jitter = self.rng.random_range(0.9..1.0);
-            if record.is_due(&self.settings, now, jitter) {
-                actions.push(Action::Ask(endpoint.clone()));
+            if record.poll_due(&self.settings, now, jitter) {
+                actions.push(Action::Poll(endpoint.clone()));
             }
         }
         actions
@@ -242,28 +244,28 @@
     fn changes(&mut self, now: Millis) -> Vec<Action> {
         let settings = &self.settings;
         let changed = self.records.iter_mut().filter_map(|(endpoint, record)| {
-            let state = record.shown_changed(settings, now)?;
+            let state = record.take_change(settings, now)?;
             let endpoint = endpoint.clone();
             Some(Action::Changed { endpoint, state })
         });
         changed.collect()
     }
 
-    /// The state of an endpoint at `now`; unknown if this daemon isn't home to it.
+    /// The state of an endpoint at `now`; `Unknown` if this daemon isn't its home.
     pub fn state(&self, endpoint: &EndpointId, now: Millis) -> EndpointState {
         let record = self.records.get(endpoint);
         record.map_or(EndpointState::Unknown, |r| r.state(&self.settings, now))
     }
 
-    /// The share of its room that an endpoint may be given at `now`, read just before dispatch.
+    /// The share of its capacity that an endpoint may use at `now`, read just before dispatch.
     ///
-    /// Zero forbids new work; less than one is an endpoint on its way back.
+    /// At zero it gets no new work; between zero and one it is in slow start.
     pub fn share(&self, endpoint: &EndpointId, now: Millis) -> f64 {
         let record = self.records.get(endpoint);
         record.map_or(0.0, |r| r.share(&self.settings, now))
     }
 
-    /// The endpoints and their states, in the order of their names.
+    /// All endpoints and their states, in the order of their names.
     pub fn states(&self, now: Millis) -> impl Iterator<Item = (&EndpointId, EndpointState)> {
         let state = move |r: &Record| r.state(&self.settings, now);
         self.records.iter().map(move |(e, r)| (e, state(r)))
--- a/crates/core/tests/endpoint_state.rs
+++ b/crates/core/tests/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! Endpoint states: freshness gate, crossed answers, circuit, damping, drain.
+//! Endpoint health: age of answers, reordered answers, circuit breaker, flap damping, drain.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -19,12 +19,12 @@
     states
 }
 
-fn answer(states: &mut EndpointStates, state: Reported, asked: u64, now: u64) {
+fn answer(states: &mut EndpointStates, state: Reported, sent: u64, now: u64) {
     let endpoint = engine();
-    let asked = Millis(asked);
+    let sent = Millis(sent);
     let answered = Event::Answered {
         endpoint,
-        asked,
+        sent,
         state,
     };
     states.handle(answered, Millis(now));
@@ -35,26 +35,26 @@
     states.handle(Event::Dispatched { endpoint, reached }, Millis(now));
 }
 
-/// Runs until `end`; asked for its state, the endpoint answers or not.
+/// Runs until `end`; polls are answered if `answers` is set, and fail otherwise. Returns the number of polls.
 fn run(states: &mut EndpointStates, from: u64, end: u64, answers: bool) -> usize {
-    let mut asked = 0;
+    let mut polls = 0;
     for now in (from..end).step_by(100) {
         for action in states.handle(Event::Tick, Millis(now)) {
-            if action != Action::Ask(engine()) {
+            if action != Action::Poll(engine()) {
                 continue;
             }
-            asked += 1;
+            polls += 1;
             let endpoint = engine();
-            let asked = Millis(now);
+            let sent = Millis(now);
             match answers {
                 true => answer(states, Reported::Ready, now, now),
                 false => {
-                    states.handle(Event::Unanswered { endpoint, asked }, asked);
+                    states.handle(Event::Unanswered { endpoint, sent }, sent);
                 }
             }
         }
     }
-    asked
+    polls
 }
 
 #[gtest]
@@ -76,8 +76,8 @@
     answer(&mut states, Reported::Ready, 1000, 1000);
     states.handle(Event::Stale, Millis(1100));
     expect_that!(states.share(&engine(), Millis(1100)), eq(0.0));
-    let asks = states.handle(Event::Tick, Millis(1100));
-    expect_that!(asks, contains(eq(&Action::Ask(engine()))));
+    let polls = states.handle(Event::Tick, Millis(1100));
+    expect_that!(polls, contains(eq(&Action::Poll(engine()))));
 }
 
 #[gtest]
