--- a/crates/core/examples/membership.rs
+++ b/crates/core/examples/membership.rs
@@ -1,8 +1,8 @@
-//! Bytes and times of membership in model time, for fleets of several sizes.
+//! Bandwidth and convergence times of membership in simulated time, for fleets of several sizes.
 //!
-//! Run it by `cargo run --release -p medlarrill-core --example membership`.
+//! Run it with `cargo run --release -p medlarrill-core --example membership`.
 //! Bytes are those of the encoded frames with their length prefixes, without
-//! what TCP and IP add.
+//! TCP and IP overhead.
 
 #[path = "../tests/membership/fleet.rs"]
 #[expect(dead_code, reason = "more is used by the tests")]
@@ -17,13 +17,13 @@
 const SECOND: u64 = 1000;
 const MINUTE: u64 = 60 * SECOND;
 const SEED: u64 = 7;
-/// Pools, endpoints and named endpoints a daemon, for the loads.
+/// Per daemon: pools, endpoints, and endpoints that are named in its load messages.
 const LOADS: (usize, usize, usize) = (4, 13, 2);
-/// Daemons and data centres.
+/// Fleet sizes: number of daemons and of data centres.
 const SIZES: [(usize, usize); 4] = [(9, 3), (50, 4), (150, 6), (350, 11)];
 
 fn main() {
-    println!("B/s are per daemon: mean (largest of any daemon); times are in ms of model time");
+    println!("B/s are per daemon: mean (largest of any daemon); times are in ms of simulated time");
     for (size, centres) in SIZES {
         let mut fleet = Fleet::new(size, centres, SEED);
         fleet.keep = false;
@@ -49,7 +49,7 @@
     loads(fleet);
 }
 
-/// Gives each daemon its own list of VMs, which lacks every tenth.
+/// Gives each daemon its own list of VMs, which lacks every tenth VM.
 fn give_lists(fleet: &mut Fleet) {
     let size = fleet.nodes.len();
     for at in 0..size {
@@ -75,7 +75,7 @@
     let seconds = fleet.nodes.len() as u64 * span / SECOND;
     let spent = spent / seconds;
     println!(
-        "{:32} {spent} us of processor time a second, model included",
+        "{:32} {spent} us of processor time a second, simulation included",
         ""
     );
 }
@@ -124,13 +124,13 @@
     fleet.restart(at);
     let joined = fleet.until(MINUTE, Fleet::agreed);
     println!(
-        "{:32} no place anywhere after {known:?}, new process known after {joined:?}",
+        "{:32} ineligible everywhere after {known:?}, new process known after {joined:?}",
         "leaving"
     );
     fleet.run(20 * SECOND);
 }
 
-/// Sets a generation at one daemon; each takes it over 5 ms after it hears of it.
+/// Sets a generation at one daemon; every other adopts it within 5 ms of receiving it.
 fn spread_generation(fleet: &mut Fleet) {
     fleet.keep = true;
     fleet.reset_sent();
@@ -140,8 +140,8 @@
     while !all(fleet) && fleet.now < start + MINUTE {
         fleet.run(5);
         for node in &mut fleet.nodes {
-            let heard = |(_, a): &(Millis, Action)| matches!(a, Action::NewerGeneration { .. });
-            if node.seen.iter().any(heard) {
+            let received = |(_, a): &(Millis, Action)| matches!(a, Action::NewerGeneration { .. });
+            if node.seen.iter().any(received) {
                 node.machine.set_generation(Generation(9));
             }
             node.seen.clear();
@@ -166,14 +166,14 @@
     println!("{:32} known by one that asks after {took} ms", "  ");
 }
 
-/// Parts the last third from the rest for three minutes.
+/// Cuts the last third off from the rest for three minutes.
 fn partition(fleet: &mut Fleet) {
     let all: Vec<_> = (0..fleet.nodes.len()).collect();
     let (left, right) = all.split_at(all.len() * 2 / 3);
-    fleet.part(left, right);
+    fleet.partition(left, right);
     fleet.run(3 * MINUTE);
     let live = fleet.nodes[0].machine.eligible(&Scope::Fleet).count();
-    rate(fleet, &format!("parted, {live} live"), MINUTE);
+    rate(fleet, &format!("partitioned, {live} eligible"), MINUTE);
     fleet.cuts.clear();
     fleet.reset_sent();
     let healed = fleet.until(5 * MINUTE, Fleet::agreed);
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -103,7 +103,7 @@
             self.decide(id, now, &mut actions);
         }
         self.throughput.advance(now, !self.queue.is_empty());
-        // A queue despite free slots waits for the load bound, and then other endpoints have capacity.
+        // With free slots requests wait only for the load bound, and then other endpoints have capacity.
         let full = self.in_flight.len() + self.reserved() >= self.slots();
         self.overload.update(full && !self.queue.is_empty(), now);
         self.in_flight.sample(now);
--- a/crates/core/src/membership/exchange.rs
+++ b/crates/core/src/membership/anti_entropy.rs
@@ -1,9 +1,9 @@
-//! The slow full exchange: digests first, then only what differs.
+//! Anti-entropy: two daemons compare digests of their tables and exchange what differs.
 //!
-//! A peer that gets another digest than its own answers with the digests of
-//! its buckets, the first one sends every member of the buckets that differ in
-//! short form, and the peer answers with what is newer or missing there, and
-//! asks for the records that it lacks itself.
+//! A daemon sends the digest of its table. A peer with a different digest
+//! answers with the digests of its buckets. The daemon then sends all members of
+//! the buckets that differ, in short form. The peer answers with newer or missing
+//! members, and requests the records that it lacks itself.
 
 use std::collections::BTreeSet;
 
@@ -18,53 +18,57 @@
 use super::settings::Settings;
 use super::table::{Entry, Table};
 
-/// Parts that a table is compared by.
+/// Number of buckets into which a table is divided for comparison.
 const BUCKETS: usize = 16;
-/// Most members listed in one message, unless a single bucket holds more.
+/// Maximum members listed in one message, unless a single bucket has more.
 const MAX_LISTED: usize = 64;
 
+/// The bucket of a member.
 const fn bucket(incarnation: Incarnation) -> usize {
     (incarnation.0 % BUCKETS as u64) as usize
 }
 
+/// Hash of the parts of a member that are compared.
 fn hash(entry: &Entry) -> u64 {
     let member = &entry.member;
-    let doubted = member.liveness != Liveness::Alive;
+    let suspected = member.liveness != Liveness::Alive;
     let mut bytes = [0; 15];
     bytes[..8].copy_from_slice(&member.incarnation.0.to_be_bytes());
     bytes[8..12].copy_from_slice(&member.heartbeat.to_be_bytes());
     bytes[12] = member.announced as u8;
-    bytes[13] = u8::from(doubted);
+    bytes[13] = u8::from(suspected);
     bytes[14] = u8::from(member.ready);
     xxh3_64(&bytes)
 }
 
-/// Whether others are told of the member; those gone for long are left to be forgotten.
-fn is_told(entry: &Entry, settings: &Settings, now: Millis) -> bool {
-    !entry.member.is_gone() || now.since(entry.since) < settings.told
+/// Whether the member takes part in the comparison; members that are gone for long don't, so that they are forgotten.
+fn is_compared(entry: &Entry, settings: &Settings, now: Millis) -> bool {
+    !entry.member.is_gone() || now.since(entry.since) < settings.gone_exchange
 }
 
+/// Digests of all buckets, as sums of the hashes of their members.
 fn buckets(table: &Table, settings: &Settings, now: Millis) -> [u64; BUCKETS] {
     let mut sums = [0_u64; BUCKETS];
-    for entry in table.entries().filter(|e| is_told(e, settings, now)) {
+    for entry in table.entries().filter(|e| is_compared(e, settings, now)) {
         let sum = &mut sums[bucket(entry.member.incarnation)];
         *sum = sum.wrapping_add(hash(entry));
     }
     sums
 }
 
+/// Digest of the table, never zero.
 fn digest(table: &Table, settings: &Settings, now: Millis) -> u64 {
     let bytes = buckets(table, settings, now).map(u64::to_be_bytes);
     xxh3_64(bytes.as_flattened()).max(1)
 }
 
 impl Membership {
-    /// The digest of all that is known here.
+    /// The digest of this daemon's table.
     pub(super) fn digest(&self, now: Millis) -> u64 {
         digest(&self.table, &self.settings, now)
     }
 
-    /// Answers the parts of `message` that belong to an exchange.
+    /// Answers the fields of `message` that belong to an exchange.
     pub(super) fn exchange(&mut self, message: &Gossip, reply: &mut Gossip, now: Millis) {
         if message.digest != 0 && message.digest != self.digest(now) {
             let sums = buckets(&self.table, &self.settings, now);
@@ -74,23 +78,23 @@
             self.list_buckets(&message.buckets, reply, now);
         }
         if message.covers != 0 {
-            self.fill_gaps(message, reply, now);
+            self.add_missing(message, reply, now);
         }
     }
 
-    /// Lists the members of the buckets that differ, beginning at a random one.
-    fn list_buckets(&mut self, theirs: &[u32], reply: &mut Gossip, now: Millis) {
-        let ours = buckets(&self.table, &self.settings, now);
+    /// Lists the members of the buckets that differ, starting at a random bucket.
+    fn list_buckets(&mut self, peer_sums: &[u32], reply: &mut Gossip, now: Millis) {
+        let own_sums = buckets(&self.table, &self.settings, now);
         let first = self.random_below(BUCKETS);
         for step in 0..BUCKETS {
             let at = (first + step) % BUCKETS;
-            if ours[at] as u32 == theirs[at] {
+            if own_sums[at] as u32 == peer_sums[at] {
                 continue;
             }
-            self.catch_up(now);
-            let told =
-                |e: &&Entry| bucket(e.member.incarnation) == at && is_told(e, &self.settings, now);
-            let listed: Vec<_> = self.table.entries().filter(told).collect();
+            self.hasten_exchange(now);
+            let in_bucket =
+                |e: &&Entry| bucket(e.member.incarnation) == at && is_compared(e, &self.settings, now);
+            let listed: Vec<_> = self.table.entries().filter(in_bucket).collect();
             if reply.covers != 0 && reply.changes.len() + listed.len() > MAX_LISTED {
                 break;
             }
@@ -101,18 +105,18 @@
         }
     }
 
-    /// Adds the members that a list of whole buckets lacks.
-    fn fill_gaps(&mut self, message: &Gossip, reply: &mut Gossip, now: Millis) {
-        self.catch_up(now);
+    /// Adds the members that are missing from the sender's list of complete buckets.
+    fn add_missing(&mut self, message: &Gossip, reply: &mut Gossip, now: Millis) {
+        self.hasten_exchange(now);
         let listed: BTreeSet<u64> = message.changes.iter().map(|c| c.incarnation).collect();
-        let lacking = self
+        let missing = self
             .table
             .entries()
             .filter(|e| message.covers & 1 << bucket(e.member.incarnation) != 0)
-            .filter(|e| is_told(e, &self.settings, now))
+            .filter(|e| is_compared(e, &self.settings, now))
             .filter(|e| !listed.contains(&e.member.incarnation.0));
         let room = self.record_room(reply.records.len());
-        let records = lacking.take(room).map(|e| e.member.record()).collect();
+        let records = missing.take(room).map(|e| e.member.record()).collect();
         self.add_records(records, reply);
     }
 }
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What the membership machine is told, and what it asks for.
+//! Events and actions of membership.
 
 use std::net::SocketAddr;
 
@@ -8,46 +8,46 @@
 
 use super::Member;
 
-/// The other side of a link, as its `Hello` named it.
+/// The peer of a link, as named in its `Hello`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Peer {
-    /// The daemon.
+    /// The name of the daemon.
     pub daemon: DaemonId,
     /// The process.
     pub incarnation: Incarnation,
 }
 
-/// Where a message goes; at least one part is given.
+/// The destination of a message; at least one field is set.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Target {
-    /// The daemon, unless only its address is known.
+    /// The name of the daemon, unless only its address is known.
     pub daemon: Option<DaemonId>,
-    /// Where it takes links, unless it has only been heard of by a link of its own.
+    /// The address where it accepts links, unless it is known only by a link that it opened.
     pub address: Option<SocketAddr>,
 }
 
 /// A router VM in the platform's list.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ListedVm {
-    /// Where its daemon takes links.
+    /// The address where its daemon accepts links.
     pub address: SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove the VM.
     pub leaving: bool,
 }
 
-/// Which members are meant.
+/// A set of members.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Scope {
-    /// All.
+    /// All members.
     Fleet,
-    /// Those of one region.
+    /// The members of one region.
     Region(RegionId),
-    /// Those of one data centre.
+    /// The members of one data centre.
     DataCentre(DataCentreId),
 }
 
 impl Scope {
-    /// Whether `member` is meant.
+    /// Whether `member` is in the set.
     pub fn contains(&self, member: &Member) -> bool {
         match self {
             Self::Fleet => true,
@@ -57,28 +57,28 @@
     }
 }
 
-/// What the machine is told.
+/// An event for [`Membership`](super::Membership).
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// Time has passed; due every 100 ms or so.
+    /// Time has passed; due about every 100 ms.
     Tick {
-        /// The wall clock.
+        /// Wall-clock time.
         wall: Millis,
     },
-    /// A heartbeat has arrived.
+    /// A heartbeat was received.
     Received {
         /// Its sender.
         from: Peer,
         /// The heartbeat.
         message: Gossip,
     },
-    /// A link is up.
+    /// A link was established.
     Connected(Peer),
-    /// A link is down.
+    /// A link was closed.
     Closed(Peer),
     /// An address refused a connection.
     Refused(SocketAddr),
-    /// The platform's list of router VMs.
+    /// A new list of router VMs from the platform.
     VmList(Vec<ListedVm>),
     /// This daemon begins to leave.
     Leave,
@@ -86,19 +86,19 @@
     Depart,
 }
 
-/// What the machine asks for, or tells.
+/// An action for the caller of [`Membership`](super::Membership).
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    /// Send a heartbeat, if the link can be had.
+    /// Send a heartbeat, if a link is available.
     Send {
-        /// Where to.
+        /// The destination.
         to: Target,
         /// The heartbeat.
         message: Gossip,
     },
     /// A member is new or has changed.
     Changed(Member),
-    /// A member that was gone is no longer known.
+    /// A gone member was removed from the table.
     Forgotten(DaemonId),
     /// A peer has a later configuration in force than this daemon.
     NewerGeneration {
@@ -107,41 +107,41 @@
         /// Its generation.
         generation: Generation,
     },
-    /// Load of the endpoints that a peer of this data centre is home to.
+    /// A peer in this data centre has reported the load of the endpoints it is home to.
     LoadReceived {
         /// The peer.
         from: DaemonId,
-        /// When it was so, on the monotonic clock.
+        /// When it was measured, on the monotonic clock.
         at: Millis,
-        /// By pool.
+        /// The load of each pool.
         pools: Vec<PoolLoad>,
     },
-    /// Load of another data centre of the region.
+    /// A peer has reported the load of another data centre of the region.
     SumsReceived {
         /// The data centre.
         data_centre: DataCentreId,
-        /// By pool.
+        /// The load of each pool.
         sums: Vec<PoolSum>,
     },
-    /// What is known is stale: no dispatch, no claim, no order until `Fresh`.
+    /// The view is stale: no dispatch, claim or order until `Fresh`.
     Stale,
-    /// What is known may be acted on.
+    /// The view may be acted on.
     Fresh,
-    /// The platform is about to take this VM away.
+    /// The platform's list marks this VM as leaving.
     ListedLeaving,
-    /// Peers know that this daemon is leaving.
+    /// Peers have acknowledged that this daemon is leaving, or the wait for them timed out.
     LeaveAcknowledged {
-        /// How many have acknowledged it.
+        /// Number of peers that acknowledged it.
         peers: usize,
     },
-    /// Peers know that this daemon has left.
+    /// Peers have acknowledged that this daemon has left, or the wait for them timed out.
     Departed {
-        /// How many have acknowledged it.
+        /// Number of peers that acknowledged it.
         peers: usize,
     },
-    /// Another process runs under this daemon's name.
+    /// Another process runs under this daemon's name and takes precedence.
     Replaced {
-        /// That process.
+        /// The other process.
         by: Incarnation,
     },
 }
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! A member as seen from here, and its short and full forms on the wire.
+//! A member as seen by this daemon, and its encodings on the wire: short [`Change`] and full [`Record`].
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,41 +8,42 @@
 use crate::ids::{DaemonId, DataCentreId, Generation, Incarnation, RegionId};
 use crate::wire::{Change, Record};
 
+// Bits of `Change::flags`; bits 0 and 1 hold the announced state.
 const READY: u32 = 1 << 2;
-const DOUBT_SHIFT: u32 = 3;
+const LIVENESS_SHIFT: u32 = 3;
 const REFUSED: u32 = 1 << 5;
 
-/// What a member says of itself.
+/// The state that a member announces for itself.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 pub enum Announced {
-    /// It has not yet heard of the others.
+    /// It doesn't know the other members yet.
     Joining,
     /// It takes part.
     Live,
     /// It will stop once its work is done.
     Leaving,
-    /// It has stopped in order.
+    /// It has left in an orderly way.
     Left,
 }
 
-/// What others think of a member.
+/// Whether other members believe a member to be alive.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 pub enum Liveness {
-    /// Nothing speaks against it.
+    /// There is no sign of a failure.
     Alive,
-    /// It hasn't answered, and may yet.
+    /// It hasn't answered a probe, and still has time to.
     Suspect,
-    /// It hasn't answered for long.
+    /// It hasn't answered in time and is considered lost.
     Gone,
 }
 
-/// The state of a member, from both.
+/// The state of a member, derived from what it announces and from its liveness.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug, Display)]
 pub enum State {
-    /// It has not yet heard of the others.
+    /// It doesn't know the other members yet.
     #[display("joining")]
     Joining,
     /// It takes part.
@@ -51,44 +52,44 @@
     /// It will stop once its work is done.
     #[display("leaving")]
     Leaving,
-    /// It hasn't answered, and may yet.
+    /// It hasn't answered a probe, and still has time to.
     #[display("suspect")]
     Suspect,
-    /// It has stopped, or hasn't answered for long.
+    /// It has left, or is considered lost.
     #[display("gone")]
     Gone,
 }
 
-/// One daemon process.
+/// A member of the fleet: one daemon process.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Member {
-    /// Its name.
+    /// The daemon's name.
     pub daemon: DaemonId,
-    /// This run of it.
+    /// The run of the process.
     pub incarnation: Incarnation,
-    /// Orders the incarnations of one name.
+    /// Orders the incarnations of one name; initially the start time in seconds.
     pub epoch: u32,
-    /// Where it takes links.
+    /// The address where it accepts links.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Its region.
     pub region: RegionId,
-    /// What it says of itself.
+    /// The state that it announces.
     pub announced: Announced,
-    /// What others think of it.
+    /// Whether others believe it to be alive.
     pub liveness: Liveness,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Its heartbeat number, raised with each change that it makes to itself.
+    /// Its heartbeat number, which it increments with each change of its own state.
     pub heartbeat: u32,
-    /// The configuration in force there, as last heard from itself.
+    /// The configuration generation in force there, as last received from itself.
     pub generation: Generation,
 }
 
 impl Member {
-    /// A process that has just started, as it sees itself.
+    /// Creates the member of a process that has just started, as it sees itself.
     pub const fn new(
         daemon: DaemonId,
         incarnation: Incarnation,
@@ -111,13 +112,13 @@
         }
     }
 
-    /// The same, started at this wall time in seconds.
+    /// Sets the epoch: the wall-clock start time in seconds.
     pub const fn with_epoch(mut self, epoch: u32) -> Self {
         self.epoch = epoch;
         self
     }
 
-    /// Its state.
+    /// The state derived from `announced` and `liveness`.
     pub const fn state(&self) -> State {
         match (self.announced, self.liveness) {
             (Announced::Left, _) | (_, Liveness::Gone) => State::Gone,
@@ -128,26 +129,26 @@
         }
     }
 
-    /// Whether it is a place for homes and claims: it takes part, and isn't gone.
+    /// Whether homes and claims may be placed on it: it takes part, and isn't gone.
     ///
-    /// A suspect still is one, so that a lost probe moves no home.
+    /// A suspect member is still eligible, so that a lost probe doesn't move any home.
     pub fn is_eligible(&self) -> bool {
         self.announced == Announced::Live && self.liveness != Liveness::Gone
     }
 
-    /// Whether it has stopped or is believed to have.
+    /// Whether it has left or is considered lost.
     pub fn is_gone(&self) -> bool {
         self.state() == State::Gone
     }
 
-    /// What orders the processes of one name.
+    /// The key by which the processes of one name are ordered.
     pub const fn order(&self) -> (u32, Incarnation) {
         (self.epoch, self.incarnation)
     }
 
-    /// Its short form; `refused` says that its address refused a connection.
+    /// The short encoding; `refused` is whether its address refused a connection.
     pub fn change(&self, refused: bool) -> Change {
-        let mut flags = self.announced as u32 | (self.liveness as u32) << DOUBT_SHIFT;
+        let mut flags = self.announced as u32 | (self.liveness as u32) << LIVENESS_SHIFT;
         if self.ready {
             flags |= READY;
         }
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Its full form.
+    /// The full encoding.
     pub fn record(&self) -> Record {
         Record {
             change: Some(self.change(false)),
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Reads a full form; `None` if a part of it can't be read.
+    /// Decodes the full encoding; `None` if a field is invalid.
     pub fn from_record(record: &Record) -> Option<Self> {
         let change = record.change.as_ref()?;
         Some(Self {
@@ -193,7 +194,7 @@
 }
 
 impl Change {
-    /// What the member says of itself.
+    /// The state that the member announces.
     pub const fn announced(&self) -> Announced {
         match self.flags & 0b11 {
             0 => Announced::Joining,
@@ -203,21 +204,21 @@
         }
     }
 
-    /// What the sender thinks of it.
+    /// Whether the sender believes the member to be alive.
     pub const fn liveness(&self) -> Liveness {
-        match self.flags >> DOUBT_SHIFT & 0b11 {
+        match self.flags >> LIVENESS_SHIFT & 0b11 {
             0 => Liveness::Alive,
             1 => Liveness::Suspect,
             _ => Liveness::Gone,
         }
     }
 
-    /// Whether it takes requests.
+    /// Whether the member accepts requests.
     pub const fn ready(&self) -> bool {
         self.flags & READY != 0
     }
 
-    /// Whether its address refused a connection.
+    /// Whether the member's address refused a connection.
     pub const fn refused(&self) -> bool {
         self.flags & REFUSED != 0
     }
--- a/crates/core/src/membership/probe.rs
+++ b/crates/core/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes under way, and whom to probe next.
+//! Unanswered probes, and the choice of the next member to probe.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -11,135 +11,139 @@
 
 use super::settings::Settings;
 
-/// Who asked for a probe in its stead, and under what number.
+/// The member that requested an indirect probe, and the number of its own probe.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub(super) struct Asker {
-    /// The one who asked.
+pub(super) struct Requester {
+    /// The requesting member.
     pub incarnation: Incarnation,
-    /// Its number.
+    /// The number of its probe.
     pub ping: u32,
 }
 
 /// A probe that hasn't been answered.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(super) struct Probe {
-    /// Its number, never zero.
+    /// The number of the probe, never zero.
     pub ping: u32,
     /// The member probed.
     pub target: Incarnation,
-    /// This daemon's heartbeat number when it was sent.
-    pub beat: u32,
-    /// Whether it carried the digest of this daemon's table.
-    pub compared: bool,
+    /// This daemon's heartbeat number when the probe was sent.
+    pub heartbeat: u32,
+    /// Whether the probe carried the digest of this daemon's table.
+    pub has_digest: bool,
     /// When it was sent.
     sent: Millis,
-    /// Whether others have been asked.
+    /// Whether indirect probes were requested, or it is one itself.
     indirect: bool,
-    /// Set if it is made in another's stead.
-    pub asker: Option<Asker>,
+    /// The member on whose behalf it is sent, if it is an indirect probe.
+    pub requester: Option<Requester>,
 }
 
-/// What has become due.
+/// A probe whose direct or final timeout has passed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(super) enum Due {
-    /// Ask others to probe the target.
+    /// Request indirect probes of the target.
     Indirect(Probe),
     /// The probe has failed.
     Failed(Probe),
 }
 
-/// Probes under way, and whom to probe next.
+/// Unanswered probes, and the members to probe next.
 #[derive(Clone, Default, Debug)]
 pub(super) struct Probes {
+    /// Number of the latest probe.
     last: u32,
     pending: Vec<Probe>,
-    ring: Vec<Incarnation>,
-    checks: VecDeque<Incarnation>,
+    /// Members not yet probed in the current cycle, in random order.
+    cycle: Vec<Incarnation>,
+    /// Members to probe ahead of the cycle.
+    priority: VecDeque<Incarnation>,
 }
 
 impl Probes {
-    /// Begins a probe, and returns its number.
+    /// Adds a probe, and returns its number.
     pub fn begin(
         &mut self,
         target: Incarnation,
-        beat: u32,
-        asker: Option<Asker>,
+        heartbeat: u32,
+        requester: Option<Requester>,
         now: Millis,
     ) -> u32 {
         self.last = self.last.wrapping_add(1).max(1);
         self.pending.push(Probe {
             ping: self.last,
             target,
-            beat,
-            compared: false,
+            heartbeat,
+            has_digest: false,
             sent: now,
-            indirect: asker.is_some(),
-            asker,
+            indirect: requester.is_some(),
+            requester,
         });
         self.last
     }
 
-    /// Begins a probe that carries the digest of this daemon's table, and returns its number.
-    pub fn begin_compare(&mut self, target: Incarnation, beat: u32, now: Millis) -> u32 {
-        let ping = self.begin(target, beat, None, now);
+    /// Adds a probe that carries the digest of this daemon's table, and returns its number.
+    pub fn begin_with_digest(&mut self, target: Incarnation, heartbeat: u32, now: Millis) -> u32 {
+        let ping = self.begin(target, heartbeat, None, now);
         if let Some(probe) = self.pending.last_mut() {
-            probe.compared = true;
+            probe.has_digest = true;
         }
         ping
     }
 
-    /// Ends a probe that was answered.
+    /// Removes an answered probe.
     pub fn end(&mut self, ping: u32) -> Option<Probe> {
         let at = self.pending.iter().position(|probe| probe.ping == ping)?;
         Some(self.pending.swap_remove(at))
     }
 
-    /// Whether the member is being probed.
-    pub fn probing(&self, target: Incarnation) -> bool {
+    /// Whether this daemon has an unanswered probe of its own to the member.
+    pub fn is_probing(&self, target: Incarnation) -> bool {
         self.pending
             .iter()
-            .any(|probe| probe.target == target && probe.asker.is_none())
+            .any(|probe| probe.target == target && probe.requester.is_none())
     }
 
-    /// Forgets probes under way, since after a pause their silence says nothing.
+    /// Removes all unanswered probes, since after a pause a missing answer is no evidence.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
 
-    /// Asks for a probe before others' turn.
-    pub fn check(&mut self, target: Incarnation) {
-        if !self.checks.contains(&target) {
-            self.checks.push_back(target);
+    /// Schedules a probe of the member ahead of the cycle.
+    pub fn probe_soon(&mut self, target: Incarnation) {
+        if !self.priority.contains(&target) {
+            self.priority.push_back(target);
         }
     }
 
-    /// The next member to probe before others' turn.
-    pub fn next_check(&mut self) -> Option<Incarnation> {
-        self.checks.pop_front()
+    /// The next member to probe ahead of the cycle.
+    pub fn next_priority(&mut self) -> Option<Incarnation> {
+        self.priority.pop_front()
     }
 
-    /// The next member to probe in turn; `peers` gives all when a new turn begins.
+    /// The next member to probe in the cycle; `peers` returns all members when a new cycle begins.
     pub fn next(
         &mut self,
         rng: &mut Pcg64Mcg,
         peers: impl FnOnce() -> Vec<Incarnation>,
     ) -> Option<Incarnation> {
-        if self.ring.is_empty() {
-            self.ring = peers();
-            self.ring.shuffle(rng);
+        if self.cycle.is_empty() {
+            self.cycle = peers();
+            self.cycle.shuffle(rng);
         }
-        self.ring.pop()
+        self.cycle.pop()
     }
 
-    /// Takes a new member among `members` into the present turn, at a random place.
-    pub fn enter(&mut self, incarnation: Incarnation, members: usize, rng: &mut Pcg64Mcg) {
+    /// Inserts a new member into the cycle at a random position; `members` is the size of the fleet.
+    pub fn insert(&mut self, incarnation: Incarnation, members: usize, rng: &mut Pcg64Mcg) {
         let at = rng.random_range(0..=members);
-        if at <= self.ring.len() {
-            self.ring.insert(at, incarnation);
+        if at <= self.cycle.len() {
+            self.cycle.insert(at, incarnation);
         }
     }
 
-    /// What has become due; failed probes are forgotten. Where the address `refused`, others are asked at once and waited for less long.
+    /// Returns probes that are due, and removes failed ones. If the target's address `refused` a connection, indirect
+    /// probes are due at once and the probe fails earlier.
     pub fn due(
         &mut self,
         settings: &Settings,
@@ -151,11 +155,11 @@
         for mut probe in self.pending.drain(..) {
             let waited = now.since(probe.sent);
             let refused = refused(probe.target);
-            if waited >= settings.probe || refused && waited >= settings.direct {
+            if waited >= settings.probe_timeout || refused && waited >= settings.direct_timeout {
                 due.push(Due::Failed(probe));
                 continue;
             }
-            if (refused || waited >= settings.direct) && !probe.indirect {
+            if (refused || waited >= settings.direct_timeout) && !probe.indirect {
                 probe.indirect = true;
                 due.push(Due::Indirect(probe.clone()));
             }
@@ -166,15 +170,15 @@
     }
 }
 
-/// A farewell on its way: who has acknowledged it.
+/// An announced leave that is waiting for acknowledgements.
 #[derive(Clone, Debug)]
-pub(super) struct Farewell {
-    /// The heartbeat number that says it.
-    pub beat: u32,
-    /// When it began.
+pub(super) struct LeaveNotice {
+    /// The heartbeat number of the announcement.
+    pub heartbeat: u32,
+    /// When it was first announced.
     pub since: Millis,
-    /// Who has acknowledged it.
-    pub heard: BTreeSet<DaemonId>,
+    /// Peers that have acknowledged it.
+    pub acknowledged: BTreeSet<DaemonId>,
     /// Whether this process is about to exit.
-    pub last: bool,
+    pub exiting: bool,
 }
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -1,104 +1,105 @@
-//! Times and counts of membership.
+//! Intervals, timeouts and limits of membership.
 
 use crate::clock::Millis;
 
-/// Members beside the prober that are asked to probe in its stead.
-pub const INDIRECT: usize = 3;
-/// Peers that a heartbeat goes to in each round, beside the probed one.
+/// Members that are asked for an indirect probe.
+pub const INDIRECT_PROBES: usize = 3;
+/// Peers that get a heartbeat in each round, besides the probed one.
 pub const FANOUT: usize = 1;
-/// Peers that news goes to at once.
-pub const NEWS_FANOUT: usize = 3;
-/// How often news is sent on at once, before it waits for heartbeats.
-pub const URGENT: u32 = 2 * NEWS_FANOUT as u32;
-/// Most changes in one heartbeat.
-pub const MAX_CHANGES: usize = 16;
-/// Most records in one heartbeat.
+/// Peers that urgent updates are sent to at once.
+pub const UPDATE_FANOUT: usize = 3;
+/// Number of times an update is sent at once, before it waits for regular heartbeats.
+pub const URGENT_SENDS: u32 = 2 * UPDATE_FANOUT as u32;
+/// Maximum updates in one heartbeat.
+pub const MAX_UPDATES: usize = 16;
+/// Maximum records in one heartbeat.
 pub const MAX_RECORDS: usize = 48;
-/// Records in a heartbeat even when the budget is used up, so that a joining daemon finds others to ask.
+/// Records allowed in a heartbeat even when the budget is used up, so that a joining daemon learns of others to ask.
 pub const MIN_RECORDS: usize = 2;
-/// Records sent in each round, which bounds what a seed spends on many that join at once.
+/// Maximum records sent in each round, which bounds the load on a seed when many daemons join at once.
 pub const ROUND_RECORDS: usize = 96;
-/// How often a record is asked for before it is left to the next exchange.
-pub const MAX_ASKS: u32 = 5;
-/// Shortest time between two questions for one record.
-pub const ASK_AGAIN: Millis = Millis(500);
-/// Most checks begun in one tick.
-pub const MAX_CHECKS: usize = 2;
-/// Peers of the data centre that loads go to at once.
+/// Number of times a record is requested before it is left to the next exchange.
+pub const MAX_RECORD_REQUESTS: u32 = 5;
+/// Minimum time between two requests for one record.
+pub const RECORD_RETRY: Millis = Millis(500);
+/// Maximum priority probes started in one tick.
+pub const MAX_PRIORITY_PROBES: usize = 2;
+/// Peers of the data centre that loads are sent to at once.
 pub const LOAD_FANOUT: usize = 16;
-/// Peers that have to acknowledge a farewell.
-pub const FAREWELL_PEERS: usize = 3;
-/// Peers asked for their generation at once.
+/// Peers that have to acknowledge an announced leave.
+pub const LEAVE_PEERS: usize = 3;
+/// Members probed at once for their generation.
 pub const GENERATION_FANOUT: usize = 32;
-/// Replaced and forgotten incarnations that are remembered as such.
+/// Maximum replaced or forgotten incarnations that are remembered as such.
 pub const MAX_FORMER: usize = 256;
 
-/// Times of membership; the defaults suit VMs a few milliseconds apart.
+/// Intervals and timeouts of membership; the defaults suit VMs with a few milliseconds of latency between them.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Settings {
-    /// Between two rounds of heartbeats and probes.
+    /// Time between two rounds of heartbeats and probes.
     pub round: Millis,
-    /// Between two sendings of loads.
-    pub loads: Millis,
-    /// Shortest time between two sendings of news.
-    pub news: Millis,
-    /// Until a probe goes by way of others.
-    pub direct: Millis,
-    /// Until a probe has failed.
-    pub probe: Millis,
-    /// From suspicion to gone in the smallest fleet.
-    pub suspicion: Millis,
-    /// Added to `suspicion` for each doubling of the fleet.
-    pub doubling: Millis,
-    /// From suspicion to gone where the address refused a connection.
-    pub refused: Millis,
-    /// Between two exchanges with a random peer.
-    pub exchange: Millis,
-    /// Between two exchanges while tables differ, and between two tries to join.
-    pub catch_up: Millis,
-    /// Between two tries to reach an address that no live member has.
-    pub reconnect: Millis,
-    /// How long a gone member is told to others.
-    pub told: Millis,
-    /// How long a gone member that isn't in the platform's list is kept.
-    pub kept: Millis,
-    /// How long to wait for listed peers before going on without.
-    pub patience: Millis,
+    /// Time between two transmissions of loads.
+    pub load_interval: Millis,
+    /// Minimum time between two transmissions of urgent updates.
+    pub update_interval: Millis,
+    /// Time without an answer after which indirect probes are requested.
+    pub direct_timeout: Millis,
+    /// Time without an answer after which a probe has failed.
+    pub probe_timeout: Millis,
+    /// Time from suspect to gone, before the extension for the size of the fleet.
+    pub suspect_timeout: Millis,
+    /// Added to `suspect_timeout` for each doubling of the fleet.
+    pub timeout_step: Millis,
+    /// Time from suspect to gone if the address refused a connection.
+    pub refused_timeout: Millis,
+    /// Time between two table exchanges with a random peer.
+    pub exchange_interval: Millis,
+    /// Time between two table exchanges while tables differ, and between two attempts to join.
+    pub short_interval: Millis,
+    /// Time between two attempts to reach an address that no live member has.
+    pub reconnect_interval: Millis,
+    /// Time for which a gone member is included in table exchanges.
+    pub gone_exchange: Millis,
+    /// Time for which a gone member that isn't in the platform's list is kept.
+    pub gone_retention: Millis,
+    /// Maximum time that a stale daemon waits for listed peers and an equal digest.
+    pub stale_timeout: Millis,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             round: Millis(500),
-            loads: Millis(1000),
-            news: Millis(200),
-            direct: Millis(400),
-            probe: Millis(1000),
-            suspicion: Millis(2000),
-            doubling: Millis(250),
-            refused: Millis(1000),
-            exchange: Millis(5000),
-            catch_up: Millis(500),
-            reconnect: Millis(4000),
-            told: Millis(60_000),
-            kept: Millis(600_000),
-            patience: Millis(5000),
+            load_interval: Millis(1000),
+            update_interval: Millis(200),
+            direct_timeout: Millis(400),
+            probe_timeout: Millis(1000),
+            suspect_timeout: Millis(2000),
+            timeout_step: Millis(250),
+            refused_timeout: Millis(1000),
+            exchange_interval: Millis(5000),
+            short_interval: Millis(500),
+            reconnect_interval: Millis(4000),
+            gone_exchange: Millis(60_000),
+            gone_retention: Millis(600_000),
+            stale_timeout: Millis(5000),
         }
     }
 }
 
 impl Settings {
-    /// From suspicion to gone among `members`.
-    pub fn suspicion(&self, members: usize) -> Millis {
-        self.suspicion + Millis(self.doubling.0 * u64::from(doublings(members)))
+    /// Time from suspect to gone in a fleet of `members`.
+    pub fn suspect_timeout(&self, members: usize) -> Millis {
+        self.suspect_timeout + Millis(self.timeout_step.0 * u64::from(doublings(members)))
     }
 }
 
-/// How often news is sent on by each of `members`.
+/// Number of times each of `members` sends an update.
 pub fn transmissions(members: usize) -> u32 {
     doublings(members) + 2
 }
 
+/// Number of bits of `members`, about its binary logarithm.
 fn doublings(members: usize) -> u32 {
     usize::BITS - members.leading_zeros()
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,10 +1,10 @@
-//! All members known here, and how news of one is merged.
+//! The table of known members, and how updates are merged into it.
 //!
-//! News of one process is ordered by its heartbeat number, which only the
-//! process itself raises; at the same number doubt goes before trust, so a
-//! doubt spreads until its subject answers it with a higher number. The
-//! processes of one name are ordered by epoch and incarnation, and a name
-//! never goes back to an earlier one.
+//! Updates about one process are ordered by its heartbeat number, which only the
+//! process itself raises. At equal numbers a suspicion takes precedence, so it
+//! spreads until the process refutes it with a higher number. The processes of
+//! one name are ordered by epoch and incarnation, and a name never goes back to
+//! an earlier process.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -15,46 +15,47 @@
 use super::member::{Announced, Liveness, Member};
 use super::settings::MAX_FORMER;
 
-/// A member and what this daemon alone knows of it.
+/// A member, and local information about it.
 #[derive(Clone, PartialEq, Debug)]
 pub(super) struct Entry {
-    /// What is known.
+    /// The member.
     pub member: Member,
-    /// When its present doubt began.
+    /// When it became suspect, gone or left; initially when it was added.
     pub since: Millis,
-    /// Whether its address has refused a connection, here or at the one who told.
+    /// Whether its address has refused a connection, from this daemon or the sender of the suspicion.
     pub refused: bool,
 }
 
-/// What news of a member did.
+/// The result of merging an update about a member.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Merged {
     /// No member has this incarnation.
     Unknown,
-    /// An earlier process of a known name, or one that is forgotten.
+    /// It is about an earlier process of a known name, or a forgotten one.
     Former,
-    /// The sender knows less than this daemon.
+    /// The sender's information is older than this daemon's.
     Older,
-    /// Nothing new.
+    /// It contained nothing new.
     Same,
-    /// A process not known before.
+    /// A new process was added.
     Joined,
-    /// News of a known process.
+    /// A known process was updated.
     Newer,
-    /// The sender believes it gone and this daemon doesn't.
+    /// The sender considers the member gone, and this daemon doesn't.
     Contested,
-    /// It is about this daemon, and doubts it.
-    Doubted,
-    /// Another process has this daemon's name; whether it is later.
-    Rival(bool),
+    /// It suspects this daemon, or has a higher heartbeat number for it.
+    SelfSuspected,
+    /// Another process has this daemon's name; the value is whether that process is later.
+    NameConflict(bool),
 }
 
-/// Members by name.
+/// Known members by name.
 #[derive(Clone, Debug)]
 pub(super) struct Table {
     own: DaemonId,
     entries: BTreeMap<DaemonId, Entry>,
     names: HashMap<Incarnation, DaemonId>,
+    /// Replaced and forgotten incarnations, oldest first.
     former: VecDeque<Incarnation>,
     version: u64,
 }
@@ -72,6 +73,7 @@
         table
     }
 
+    /// Adds a process, which replaces an earlier one of its name.
     fn insert(&mut self, member: Member, now: Millis) {
         let name = member.daemon.clone();
         let entry = Entry {
@@ -86,6 +88,7 @@
         self.version += 1;
     }
 
+    /// Remembers an incarnation as a former one.
     fn retire(&mut self, incarnation: Incarnation) {
         self.names.remove(&incarnation);
         self.former.push_back(incarnation);
@@ -94,16 +97,17 @@
         }
     }
 
-    /// Rises with each change of any member.
+    /// Increases with each change of any member.
     pub const fn version(&self) -> u64 {
         self.version
     }
 
+    /// This daemon's own member.
     pub fn own(&self) -> &Member {
         &self.entries[&self.own].member
     }
 
-    /// Changes this daemon's own member, and raises its heartbeat number.
+    /// Changes this daemon's own member, and increments its heartbeat number.
     pub fn change_own(&mut self, change: impl FnOnce(&mut Member)) {
         self.version += 1;
         if let Some(entry) = self.entries.get_mut(&self.own) {
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Sets what doesn't raise the heartbeat number.
+    /// Raises a member's generation, without a new heartbeat number; returns whether it was lower before.
     pub fn set_generation(&mut self, incarnation: Incarnation, generation: Generation) -> bool {
         let Some(entry) = self.get_mut(incarnation) else {
             return false;
@@ -125,6 +129,7 @@
         raised
     }
 
+    /// The member with this incarnation.
     pub fn get(&self, incarnation: Incarnation) -> Option<&Entry> {
         self.entries.get(self.names.get(&incarnation)?)
     }
@@ -133,45 +138,47 @@
         self.entries.get_mut(self.names.get(&incarnation)?)
     }
 
-    pub fn named(&self, daemon: &DaemonId) -> Option<&Entry> {
+    /// The member with this name.
+    pub fn by_name(&self, daemon: &DaemonId) -> Option<&Entry> {
         self.entries.get(daemon)
     }
 
-    /// All, in the order of their names.
+    /// All members, in the order of their names.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// All but this daemon.
+    /// All members except this daemon.
     pub fn others(&self) -> impl Iterator<Item = &Entry> {
         self.entries
             .values()
             .filter(|e| e.member.daemon != self.own)
     }
 
-    /// Others that aren't gone.
+    /// All members except this daemon and gone ones.
     pub fn peers(&self) -> impl Iterator<Item = &Entry> {
         self.others().filter(|e| !e.member.is_gone())
     }
 
-    /// How many aren't gone, with this daemon.
+    /// Number of members that aren't gone, this daemon included.
     pub fn size(&self) -> usize {
         self.peers().count() + 1
     }
 
+    /// Whether the incarnation was replaced or forgotten.
     pub fn is_former(&self, incarnation: Incarnation) -> bool {
         self.former.contains(&incarnation)
     }
 
-    /// Notes that a message of this process has arrived.
-    pub fn contact(&mut self, incarnation: Incarnation) {
+    /// Records that a message from this process was received.
+    pub fn record_contact(&mut self, incarnation: Incarnation) {
         if let Some(entry) = self.get_mut(incarnation) {
             entry.refused = false;
         }
     }
 
-    /// Sets a doubt; false if the member has it already or isn't known.
-    pub fn doubt(&mut self, incarnation: Incarnation, liveness: Liveness, now: Millis) -> bool {
+    /// Sets the liveness of a member; returns false if it has it already or isn't known.
+    pub fn set_liveness(&mut self, incarnation: Incarnation, liveness: Liveness, now: Millis) -> bool {
         let Some(entry) = self.get_mut(incarnation) else {
             return false;
         };
@@ -184,8 +191,8 @@
         true
     }
 
-    /// Starts every suspicion anew, after a pause of this daemon.
-    pub fn restart_doubts(&mut self, now: Millis) {
+    /// Restarts the timeouts of all suspicions, after a pause of this daemon.
+    pub fn restart_suspicions(&mut self, now: Millis) {
         for entry in self.entries.values_mut() {
             if entry.member.liveness == Liveness::Suspect {
                 entry.since = now;
@@ -193,6 +200,7 @@
         }
     }
 
+    /// Removes a member.
     pub fn forget(&mut self, daemon: &DaemonId) {
         if let Some(entry) = self.entries.remove(daemon) {
             self.retire(entry.member.incarnation);
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Merges news of a known member.
+    /// Merges the short encoding of a member.
     pub fn merge(&mut self, change: &Change, now: Millis) -> Merged {
         let incarnation = Incarnation(change.incarnation);
         let own = self.own().incarnation == incarnation;
@@ -220,7 +228,7 @@
         merged
     }
 
-    /// Merges a member in full.
+    /// Merges a member from its full encoding.
     pub fn merge_member(&mut self, member: Member, now: Millis) -> Merged {
         if let Some(entry) = self.get_mut(member.incarnation) {
             entry.member.epoch = entry.member.epoch.max(member.epoch);
@@ -229,7 +237,7 @@
         let known = self.entries.get(&member.daemon).map(|e| e.member.order());
         let later = known.is_none_or(|order| order < member.order());
         if member.daemon == self.own {
-            return Merged::Rival(later);
+            return Merged::NameConflict(later);
         }
         let forgotten = known.is_none() && self.is_former(member.incarnation);
         if !later || forgotten {
@@ -240,10 +248,11 @@
     }
 }
 
+/// Merges an update about this daemon, which changes nothing here.
 fn merge_own(own: &Member, change: &Change) -> Merged {
-    let doubted = change.liveness() != Liveness::Alive && change.beat >= own.heartbeat;
-    if doubted || change.beat > own.heartbeat {
-        return Merged::Doubted;
+    let suspected = change.liveness() != Liveness::Alive && change.beat >= own.heartbeat;
+    if suspected || change.beat > own.heartbeat {
+        return Merged::SelfSuspected;
     }
     match change.beat < own.heartbeat {
         true => Merged::Older,
@@ -251,6 +260,7 @@
     }
 }
 
+/// Merges an update about another member.
 fn merge_other(entry: &mut Entry, change: &Change, now: Millis) -> Merged {
     let member = &mut entry.member;
     if change.beat < member.heartbeat {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership under loss, cuts, pauses, restarts and wrong lists.
+//! Membership under message loss, partitions, pauses, restarts and wrong lists.
 
 #[path = "membership/fleet.rs"]
 #[expect(dead_code, reason = "more is used by the measurement")]
--- a/crates/core/tests/membership/bytes.rs
+++ b/crates/core/tests/membership/bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that membership spends, which must stay flat as the fleet grows.
+//! Bandwidth of membership per daemon, which must not grow with the fleet.
 
 use googletest::prelude::*;
 
--- a/crates/core/tests/membership/faults.rs
+++ b/crates/core/tests/membership/faults.rs
@@ -1,4 +1,4 @@
-//! Fleets under faults: all agree in the end, and nobody is wronged for long.
+//! Fleets under faults: all daemons agree in the end, and none is considered gone for long without cause.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 
 use crate::fleet::{Fleet, Health, address, listed};
 
-/// A killed process is no place anywhere after this long.
+/// Maximum time, in milliseconds, until no daemon considers a killed process eligible.
 const KILLED: u64 = 3500;
-/// A lost VM is no place anywhere after this long.
+/// Maximum time, in milliseconds, until no daemon considers a lost VM eligible.
 const VANISHED: u64 = 9000;
-/// All agree this long after the last fault.
+/// Maximum time, in milliseconds, until all daemons agree after the last fault.
 const AGREED: u64 = 6000;
-/// Longest time that a reachable daemon is held gone by another, while faults go on.
-const WRONGED: u64 = 6000;
+/// Maximum time, in milliseconds, that a daemon considers a reachable one gone while faults go on.
+const FALSELY_GONE: u64 = 6000;
 
 fn joined(size: usize, centres: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(size, centres, seed);
@@ -27,12 +27,12 @@
     fleet
 }
 
-/// How often `at` was told that one of `wanted` is no place for homes.
-fn closed(fleet: &Fleet, at: usize, wanted: impl Fn(&Member) -> bool) -> usize {
-    let closes =
+/// How often the machine of `at` reported that a `wanted` member is not live.
+fn count_not_live(fleet: &Fleet, at: usize, wanted: impl Fn(&Member) -> bool) -> usize {
+    let not_live =
         |a: &Action| matches!(a, Action::Changed(m) if wanted(m) && m.state() != State::Live);
     let seen = &fleet.nodes[at].seen;
-    seen.iter().filter(|(_, action)| closes(action)).count()
+    seen.iter().filter(|(_, action)| not_live(action)).count()
 }
 
 #[gtest]
@@ -90,7 +90,7 @@
 fn both_sides_of_a_partition_go_on_and_find_each_other_again() {
     let mut fleet = joined(12, 3, 6);
     let (left, right): (Vec<_>, Vec<_>) = (0..12).partition(|at| at % 3 == 0);
-    fleet.part(&left, &right);
+    fleet.partition(&left, &right);
     fleet.run(300_000);
     for (at, live) in [(0, left.len()), (1, right.len())] {
         let seen = fleet.nodes[at].machine.eligible(&Scope::Fleet).count();
@@ -99,12 +99,12 @@
     fleet.cuts.clear();
     fleet.nodes.iter_mut().for_each(|node| node.seen.clear());
     expect_that!(fleet.until(60_000, Fleet::agreed), some(le(15_000)));
-    // The other side's belief makes nobody doubt a member of its own side.
+    // The other side's view makes no daemon suspect a member of its own side.
     for side in [left, right] {
         let names: Vec<_> = side.iter().map(|at| fleet.peer(*at).daemon).collect();
         for at in side {
-            let doubted = closed(&fleet, at, |member| names.contains(&member.daemon));
-            expect_that!(doubted, eq(0));
+            let suspected = count_not_live(&fleet, at, |member| names.contains(&member.daemon));
+            expect_that!(suspected, eq(0));
         }
     }
 }
@@ -112,7 +112,7 @@
 #[gtest]
 fn a_cut_between_two_daemons_makes_neither_suspect() {
     let mut fleet = joined(9, 3, 7);
-    fleet.part(&[3], &[4]);
+    fleet.partition(&[3], &[4]);
     for _ in 0..600 {
         fleet.run(100);
         let states = [fleet.state(3, 4), fleet.state(4, 3)];
@@ -123,7 +123,7 @@
 #[gtest]
 fn a_refusal_met_by_one_daemon_alone_makes_nobody_suspect() {
     let mut fleet = joined(9, 3, 15);
-    fleet.part(&[3], &[4]);
+    fleet.partition(&[3], &[4]);
     for _ in 0..300 {
         fleet.give(3, Event::Refused(address(4)));
         fleet.run(100);
@@ -147,7 +147,7 @@
 fn wrong_lists_make_nobody_live_or_gone() {
     let mut fleet = joined(9, 3, 9);
     fleet.nodes.iter_mut().for_each(|node| node.seen.clear());
-    // Each list lacks some that are there and names some that aren't.
+    // Each list lacks some existing VMs and names some that don't exist.
     for step in 0..60 {
         for at in 0..9 {
             let present = (0..9).filter(|of| (of + at + step) % 3 != 0);
@@ -157,7 +157,7 @@
         assert_that!(fleet.agreed(), is_true());
     }
     for at in 0..9 {
-        expect_that!(closed(&fleet, at, |_| true), eq(0));
+        expect_that!(count_not_live(&fleet, at, |_| true), eq(0));
     }
     let known = fleet.nodes[0].machine.members().count();
     expect_that!(known, eq(9));
@@ -184,17 +184,17 @@
     expect_that!(known(&fleet), eq(0));
 }
 
-/// What one daemon was last told of each name.
-type Told = BTreeMap<DaemonId, (u32, Incarnation, u32)>;
+/// The order of the last reported member of each name, at one daemon.
+type LastSeen = BTreeMap<DaemonId, (u32, Incarnation, u32)>;
 
-/// No name goes back to an earlier process, and no process to a lower number.
-fn check_order(told: &mut Told, seen: &[(Millis, Action)]) {
+/// Checks that no name goes back to an earlier process, and no process to a lower heartbeat number.
+fn check_order(last_seen: &mut LastSeen, seen: &[(Millis, Action)]) {
     for (_, action) in seen {
         let Action::Changed(member) = action else {
             continue;
         };
         let order = (member.epoch, member.incarnation, member.heartbeat);
-        let last = told.insert(member.daemon.clone(), order);
+        let last = last_seen.insert(member.daemon.clone(), order);
         assert!(last.is_none_or(|last| last <= order), "{member:?} {last:?}");
     }
 }
@@ -202,11 +202,11 @@
 struct Schedule {
     fleet: Fleet,
     rng: Pcg64Mcg,
-    told: Vec<Told>,
-    /// Since when a daemon holds another gone that it could reach.
-    wronged: BTreeMap<(usize, usize), u64>,
-    /// Since when a daemon is up and uncut.
-    whole: Vec<u64>,
+    last_seen: Vec<LastSeen>,
+    /// Since when each daemon has considered another gone.
+    gone_since: BTreeMap<(usize, usize), u64>,
+    /// Since when each daemon is up, fresh and not cut off.
+    healthy_since: Vec<u64>,
     worst: u64,
 }
 
@@ -231,10 +231,10 @@
 
     fn restart(&mut self, at: usize) {
         self.fleet.restart(at);
-        self.told[at].clear();
+        self.last_seen[at].clear();
     }
 
-    fn mend(&mut self) {
+    fn repair(&mut self) {
         self.fleet.cuts.clear();
         for at in 0..self.fleet.nodes.len() {
             match self.fleet.nodes[at].health {
@@ -256,24 +256,24 @@
         let now = self.fleet.now;
         for at in 0..self.fleet.nodes.len() {
             let seen = std::mem::take(&mut self.fleet.nodes[at].seen);
-            check_order(&mut self.told[at], &seen);
+            check_order(&mut self.last_seen[at], &seen);
             let cut = self.fleet.cuts.iter().any(|(a, b)| *a == at || *b == at);
             let machine = &self.fleet.nodes[at].machine;
             let fresh = machine.is_fresh(self.fleet.clock(at));
             if cut || self.fleet.nodes[at].health != Health::Up || !fresh {
-                self.whole[at] = now;
+                self.healthy_since[at] = now;
             }
         }
-        let size = self.whole.len();
+        let size = self.healthy_since.len();
         for (at, of) in (0..size).flat_map(|at| (0..size).map(move |of| (at, of))) {
             let gone = self.fleet.state(at, of).is_none_or(|s| s == State::Gone);
-            let since = self.wronged.entry((at, of)).or_insert(now);
+            let since = self.gone_since.entry((at, of)).or_insert(now);
             if !gone {
                 *since = now;
             }
-            let begun = self.whole[at].max(self.whole[of]).max(*since);
+            let begun = self.healthy_since[at].max(self.healthy_since[of]).max(*since);
             self.worst = self.worst.max(now - begun);
-            assert!(now - begun <= WRONGED, "{at} holds {of} gone at {now}");
+            assert!(now - begun <= FALSELY_GONE, "{at} considers {of} gone at {now}");
         }
     }
 }
@@ -282,7 +282,7 @@
 fn under_seeded_faults_nobody_is_wronged_and_all_agree_in_the_end() {
     let mut worst = 0;
     let mut slowest = 0;
-    // A longer run by hand sets another number of schedules.
+    // Can be set for longer manual runs.
     let schedules = std::env::var("SCHEDULES").map_or(40, |text| text.parse().unwrap());
     for seed in 0..schedules {
         let size = [5, 9, 16][seed as usize % 3];
@@ -290,9 +290,9 @@
         fleet.loss = 0.1;
         let mut schedule = Schedule {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            told: vec![Told::new(); size],
-            wronged: BTreeMap::new(),
-            whole: vec![fleet.now; size],
+            last_seen: vec![LastSeen::new(); size],
+            gone_since: BTreeMap::new(),
+            healthy_since: vec![fleet.now; size],
             worst: 0,
             fleet,
         };
@@ -301,10 +301,10 @@
             let span = schedule.rng.random_range(200..8000);
             schedule.run(span);
             if schedule.rng.random_bool(0.4) {
-                schedule.mend();
+                schedule.repair();
             }
         }
-        schedule.mend();
+        schedule.repair();
         schedule.fleet.loss = 0.02;
         let agreed = schedule.fleet.until(120_000, Fleet::agreed);
         assert_that!(agreed, some(le(AGREED)), "seed {seed}");
@@ -312,7 +312,7 @@
         slowest = slowest.max(agreed.unwrap_or(0));
     }
     println!(
-        "{schedules} schedules: held gone for at most {worst} ms, agreed after at most {slowest} ms"
+        "{schedules} schedules: falsely gone for at most {worst} ms, agreed after at most {slowest} ms"
     );
 }
 
@@ -328,7 +328,7 @@
     expect_that!(fleet.until(5000, |f| heard(f, left)), some(le(2000)));
     expect_that!(fleet.until(5000, |f| f.removed(5)), some(le(2000)));
     fleet.run(30_000);
-    // Loss may raise a suspicion, but nobody takes it for gone or for a place again.
+    // Message loss may raise a suspicion, but no daemon considers it gone or eligible again.
     for at in 0..9 {
         let known = fleet.nodes[at].machine.get(&fleet.peer(5).daemon);
         expect_that!(known.unwrap().announced, eq(Announced::Leaving));
--- a/crates/core/tests/membership/fleet.rs
+++ b/crates/core/tests/membership/fleet.rs
@@ -1,7 +1,7 @@
-//! Daemons' membership machines joined by a lossy network in model time.
+//! Membership state machines connected by a simulated lossy network.
 //!
-//! A killed process refuses connections, a lost VM swallows them, and a paused
-//! one keeps what arrives until it goes on.
+//! A killed process refuses connections, a lost VM drops all messages, and a
+//! paused process receives its messages when it resumes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Between two ticks of one daemon.
+/// Time between two ticks of one daemon, in milliseconds.
 const TICK: u64 = 100;
 /// Length prefix of a frame, in bytes.
 const PREFIX: u64 = 4;
-/// Wall clock at the model's start.
+/// Wall-clock time at the start of the simulation, in milliseconds.
 const EPOCH: u64 = 1_800_000_000_000;
 
-/// How a process is, as its surroundings know.
+/// The actual state of a process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Health {
     Up,
@@ -34,7 +34,7 @@
     Vanished,
 }
 
-/// Bytes sent.
+/// Messages and bytes sent by one daemon.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Sent {
     pub messages: u64,
@@ -51,7 +51,7 @@
     own: Member,
     inbox: Vec<Event>,
     next: u64,
-    /// What the monotonic clock has missed of the wall clock.
+    /// Time for which the monotonic clock was stopped, in milliseconds.
     missed: u64,
     /// Since when the whole VM has been stopped.
     stopped: Option<u64>,
@@ -60,15 +60,15 @@
 pub struct Fleet {
     pub nodes: Vec<Node>,
     pub now: u64,
-    /// Share of messages that are lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
     /// Ordered pairs that can't send.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Most messages' delay, in milliseconds.
+    /// Maximum delay of a message, in milliseconds.
     pub delay: u64,
     pub keep: bool,
     rng: Pcg64Mcg,
-    flight: BTreeMap<(u64, u64), (usize, Event)>,
+    in_flight: BTreeMap<(u64, u64), (usize, Event)>,
     posted: u64,
     addresses: BTreeMap<SocketAddr, usize>,
     names: BTreeMap<DaemonId, usize>,
@@ -98,7 +98,7 @@
             delay: 5,
             keep: true,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            flight: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             posted: 0,
             addresses: BTreeMap::new(),
             names: BTreeMap::new(),
@@ -162,7 +162,7 @@
         self.nodes[at].health = health;
     }
 
-    /// Stops the whole VM, so that only its wall clock will show it.
+    /// Stops the whole VM with its monotonic clock, so that only the wall clock shows the pause.
     pub fn suspend(&mut self, at: usize) {
         if self.nodes[at].health == Health::Up {
             self.nodes[at].health = Health::Paused;
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Cuts all between both groups.
-    pub fn part(&mut self, left: &[usize], right: &[usize]) {
+    /// Cuts all connections between two groups.
+    pub fn partition(&mut self, left: &[usize], right: &[usize]) {
         for a in left {
             for b in right {
                 self.cuts.insert((*a, *b));
@@ -241,11 +241,11 @@
     fn post(&mut self, to: usize, event: Event) {
         let due = self.now + self.rng.random_range(1..=self.delay);
         self.posted += 1;
-        self.flight.insert((due, self.posted), (to, event));
+        self.in_flight.insert((due, self.posted), (to, event));
     }
 
     fn count(&mut self, from: usize, message: &Gossip) {
-        let whole = PREFIX + Frame::from(Body::Gossip(message.clone())).encoded_len() as u64;
+        let total = PREFIX + Frame::from(Body::Gossip(message.clone())).encoded_len() as u64;
         let mut bare = message.clone();
         bare.loads.clear();
         bare.sums.clear();
@@ -254,7 +254,7 @@
         let sent = &mut self.nodes[from].sent;
         sent.messages += 1;
         sent.bytes += bare;
-        sent.loads += whole - bare;
+        sent.loads += total - bare;
     }
 
     /// Runs for `span` milliseconds.
@@ -280,7 +280,7 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.flight.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
@@ -306,14 +306,14 @@
         (0..self.nodes.len()).filter(up).collect()
     }
 
-    /// What `at` says of `of`.
+    /// The state of `of` according to `at`.
     pub fn state(&self, at: usize, of: usize) -> Option<State> {
         let member = self.nodes[at].machine.get(&self.nodes[of].own.daemon)?;
         let same = member.incarnation == self.nodes[of].own.incarnation;
         same.then(|| member.state())
     }
 
-    /// Whether each running daemon believes exactly the running ones live.
+    /// Whether each running daemon considers exactly the running ones live.
     pub fn agreed(&self) -> bool {
         let up = self.up();
         let own: Vec<_> = up.iter().map(|at| self.peer(*at)).collect();
@@ -325,14 +325,14 @@
         })
     }
 
-    /// Whether no running daemon has `of` among its places.
+    /// Whether no running daemon considers `of` eligible.
     pub fn removed(&self, of: usize) -> bool {
-        let places = |at: &usize| {
+        let eligible = |at: &usize| {
             let scope = Scope::Fleet;
-            let mut live = self.nodes[*at].machine.eligible(&scope);
-            live.any(|m| m.incarnation == self.nodes[of].own.incarnation)
+            let mut members = self.nodes[*at].machine.eligible(&scope);
+            members.any(|m| m.incarnation == self.nodes[of].own.incarnation)
         };
-        !self.up().iter().any(places)
+        !self.up().iter().any(eligible)
     }
 
     pub fn reset_sent(&mut self) {
@@ -341,7 +341,7 @@
         }
     }
 
-    /// Mean and largest bytes a second of one daemon since `reset_sent`, `span` ago.
+    /// Mean and maximum bytes per second over all daemons since `reset_sent`, `span` milliseconds ago.
     pub fn rates(&self, span: u64, of: impl Fn(&Sent) -> u64) -> Rates {
         let rate = |node: &Node| of(&node.sent) as f64 * 1000.0 / span as f64;
         let rates: Vec<_> = self.nodes.iter().map(rate).collect();
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Gives every daemon the load of `pools` pools and `endpoints` endpoints.
+    /// Gives every daemon the load of `endpoints` endpoints in `pools` pools, `least` of each pool named.
     pub fn set_loads(&mut self, pools: usize, endpoints: usize, least: usize) {
         for at in 0..self.nodes.len() {
             let now = self.clock(at);
@@ -372,7 +372,7 @@
     }
 }
 
-/// Bytes a second.
+/// Bytes per second of one daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
     pub mean: f64,
--- a/crates/core/tests/membership/pause.rs
+++ b/crates/core/tests/membership/pause.rs
@@ -1,4 +1,4 @@
-//! A daemon that was paused acts on nothing until it has heard again.
+//! A daemon that was paused doesn't act until peers have answered again.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -24,17 +24,17 @@
     fleet.set(3, Health::Paused);
     fleet.run(5000);
     expect_that!(fresh(&fleet, 3), is_false());
-    // What waited in its buffers is from before, and makes nothing fresh.
+    // Messages that waited in its buffers are from before the pause and don't end the stale period.
     fleet.cuts.extend((0..9).map(|from| (from, 3)));
     fleet.resume(3);
     fleet.run(2000);
     expect_that!(fresh(&fleet, 3), is_false());
     fleet.cuts.clear();
     expect_that!(fleet.until(5000, |f| fresh(f, 3)), some(le(2000)));
-    let told = fleet.nodes[3].seen.iter().rev().map(|(_, action)| action);
-    let told = told.filter(|a| matches!(a, Action::Stale | Action::Fresh));
+    let reported = fleet.nodes[3].seen.iter().rev().map(|(_, action)| action);
+    let reported = reported.filter(|a| matches!(a, Action::Stale | Action::Fresh));
     expect_that!(
-        told.take(2).collect::<Vec<_>>(),
+        reported.take(2).collect::<Vec<_>>(),
         elements_are![eq(&&Action::Fresh), eq(&&Action::Stale)]
     );
 }
@@ -64,11 +64,11 @@
         let before = fleet.nodes[2].seen.len();
         fleet.resume(2);
         fleet.run(6000);
-        let doubts = fleet.nodes[2].seen[before..].iter().filter(|(_, action)| {
+        let suspected = fleet.nodes[2].seen[before..].iter().filter(|(_, action)| {
             let own = fleet.nodes[2].machine.own();
             matches!(action, Action::Changed(m) if m.daemon != own.daemon && !m.is_eligible())
         });
-        expect_that!(doubts.count(), eq(0));
+        expect_that!(suspected.count(), eq(0));
         expect_that!(fleet.until(20_000, Fleet::agreed), some(anything()));
     }
 }
--- a/crates/core/tests/membership/single.rs
+++ b/crates/core/tests/membership/single.rs
@@ -1,4 +1,4 @@
-//! One machine, message by message.
+//! A single membership state machine, message by message.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -32,7 +32,7 @@
     }
 }
 
-fn hear(machine: &mut Membership, from: &Member, message: Gossip, now: u64) -> Vec<Gossip> {
+fn receive(machine: &mut Membership, from: &Member, message: Gossip, now: u64) -> Vec<Gossip> {
     let from = peer(from);
     let actions = machine.handle(Event::Received { from, message }, Millis(now));
     let sent = actions.into_iter().filter_map(|action| match action {
@@ -65,16 +65,16 @@
 fn a_message_for_an_earlier_process_is_told_so() {
     let mut machine = machine();
     let other = member(1, 20);
-    hear(&mut machine, &other, records(&[&other]), 100);
+    receive(&mut machine, &other, records(&[&other]), 100);
     let message = Gossip {
         to: 9,
         ping: 5,
         ..Gossip::default()
     };
-    let answers = hear(&mut machine, &other, message, 200);
+    let answers = receive(&mut machine, &other, message, 200);
     expect_that!(answers.len(), eq(1));
-    let told = Member::from_record(&answers[0].records[0]).unwrap();
-    expect_that!(told.incarnation, eq(Incarnation(10)));
+    let reply = Member::from_record(&answers[0].records[0]).unwrap();
+    expect_that!(reply.incarnation, eq(Incarnation(10)));
     expect_that!(answers[0].ack, eq(0));
 }
 
@@ -83,9 +83,9 @@
     let mut machine = machine();
     let earlier = member(1, 30);
     let later = member(1, 20).with_epoch(1001);
-    hear(&mut machine, &earlier, records(&[&earlier]), 100);
-    hear(&mut machine, &later, records(&[&later]), 200);
-    hear(&mut machine, &earlier, records(&[&earlier]), 300);
+    receive(&mut machine, &earlier, records(&[&earlier]), 100);
+    receive(&mut machine, &later, records(&[&later]), 200);
+    receive(&mut machine, &earlier, records(&[&earlier]), 300);
     let known = machine.get(&earlier.daemon).unwrap();
     expect_that!(known.incarnation, eq(later.incarnation));
 }
@@ -94,28 +94,28 @@
 fn a_doubt_about_oneself_is_answered_by_a_higher_number() {
     let mut machine = machine();
     let other = member(1, 20);
-    hear(&mut machine, &other, records(&[&other]), 100);
+    receive(&mut machine, &other, records(&[&other]), 100);
     let before = machine.own().heartbeat;
-    let mut doubted = machine.own().clone();
-    doubted.liveness = Liveness::Suspect;
+    let mut suspected = machine.own().clone();
+    suspected.liveness = Liveness::Suspect;
     let message = Gossip {
-        changes: vec![doubted.change(false)],
+        changes: vec![suspected.change(false)],
         ..Gossip::default()
     };
-    hear(&mut machine, &other, message, 200);
+    receive(&mut machine, &other, message, 200);
     expect_that!(machine.own().heartbeat, gt(before));
     expect_that!(machine.own().state(), not(eq(State::Suspect)));
 }
 
 #[gtest]
 fn a_record_that_does_not_come_is_asked_for_again() {
-    let (mut machine, others) = met();
+    let (mut machine, others) = with_peers();
     let unknown = member(9, 90);
     let message = Gossip {
         changes: vec![unknown.change(false)],
         ..Gossip::default()
     };
-    let answers = hear(&mut machine, &others[0], message, 100);
+    let answers = receive(&mut machine, &others[0], message, 100);
     expect_that!(answers[0].wants, elements_are![eq(&90)]);
     let mut asked = 0;
     for now in (200..6000).step_by(100) {
@@ -132,16 +132,16 @@
 fn a_doubted_sender_is_told_of_the_doubt() {
     let mut machine = machine();
     let (other, third) = (member(1, 20), member(2, 30));
-    hear(&mut machine, &other, records(&[&other, &third]), 100);
-    let mut doubted = third.clone();
-    doubted.liveness = Liveness::Suspect;
-    let change = doubted.change(false);
+    receive(&mut machine, &other, records(&[&other, &third]), 100);
+    let mut suspected = third.clone();
+    suspected.liveness = Liveness::Suspect;
+    let change = suspected.change(false);
     let message = Gossip {
         changes: vec![change],
         ..Gossip::default()
     };
-    hear(&mut machine, &other, message, 200);
-    let answers = hear(&mut machine, &third, Gossip::default(), 300);
+    receive(&mut machine, &other, message, 200);
+    let answers = receive(&mut machine, &third, Gossip::default(), 300);
     expect_that!(answers.len(), eq(1));
     expect_that!(answers[0].changes, contains(eq(&change)));
 }
@@ -150,14 +150,14 @@
 fn a_member_that_another_holds_gone_is_probed_and_told() {
     let mut machine = machine();
     let (other, third) = (member(1, 20), member(2, 30));
-    hear(&mut machine, &other, records(&[&other, &third]), 100);
+    receive(&mut machine, &other, records(&[&other, &third]), 100);
     let mut gone = third.clone();
     gone.liveness = Liveness::Gone;
     let message = Gossip {
         changes: vec![gone.change(false)],
         ..Gossip::default()
     };
-    hear(&mut machine, &other, message, 200);
+    receive(&mut machine, &other, message, 200);
     let wall = Millis(300);
     let actions = machine.handle(Event::Tick { wall }, Millis(300));
     let probed = actions.iter().any(|action| match action {
@@ -171,7 +171,7 @@
     expect_that!(probed, is_true());
 }
 
-/// Lets time pass; whom the machine has probed, and under which numbers.
+/// Sends a tick, and returns the probed members with the numbers of their probes.
 fn probes(machine: &mut Membership, now: u64) -> Vec<(DaemonId, u32)> {
     let wall = Millis(now);
     let actions = machine.handle(Event::Tick { wall }, wall);
@@ -182,7 +182,7 @@
     sent.collect()
 }
 
-/// Answers probes, with the digests of another table if `buckets` are given.
+/// Answers probes, with the digests of a different table if `buckets` are given.
 fn answer(
     machine: &mut Membership,
     others: &[Member],
@@ -197,26 +197,26 @@
             buckets: buckets.to_vec(),
             ..Gossip::default()
         };
-        hear(machine, other, ack, now);
+        receive(machine, other, ack, now);
     }
 }
 
-fn met() -> (Membership, [Member; 3]) {
+fn with_peers() -> (Membership, [Member; 3]) {
     let mut machine = machine();
     let others = [member(1, 20), member(2, 30), member(3, 40)];
     for other in &others {
-        hear(&mut machine, other, records(&[other]), 50);
+        receive(&mut machine, other, records(&[other]), 50);
     }
     (machine, others)
 }
 
 #[gtest]
 fn answers_to_probes_from_before_a_pause_make_nothing_fresh() {
-    let (mut machine, others) = met();
+    let (mut machine, others) = with_peers();
     let before = probes(&mut machine, 100);
     let after = probes(&mut machine, 5000);
-    let doubted = machine.members().filter(|m| m.liveness != Liveness::Alive);
-    expect_that!(doubted.count(), eq(0));
+    let suspected = machine.members().filter(|m| m.liveness != Liveness::Alive);
+    expect_that!(suspected.count(), eq(0));
     answer(&mut machine, &others, &before, &[], 5001);
     expect_that!(machine.is_fresh(Millis(5002)), is_false());
     answer(&mut machine, &others, &after, &[], 5003);
@@ -225,7 +225,7 @@
 
 #[gtest]
 fn a_new_process_is_fresh_once_a_peer_knows_the_same() {
-    let (mut machine, others) = met();
+    let (mut machine, others) = with_peers();
     let first = probes(&mut machine, 100);
     answer(&mut machine, &others, &first, &[1; 16], 101);
     expect_that!(machine.is_fresh(Millis(102)), is_false());
@@ -242,7 +242,7 @@
     let rival = member(0, 99).with_epoch(2000);
     let mut young = machine();
     let other = member(1, 20);
-    hear(&mut young, &other, records(&[&other, &rival]), 100);
+    receive(&mut young, &other, records(&[&other, &rival]), 100);
     expect_that!(young.own().epoch, eq(2001));
     let mut old = machine();
     let from = peer(&other);
@@ -313,7 +313,7 @@
     expect_that!(centres.len(), eq(2));
     expect_that!(centres.contains_key(&first), is_false());
     for sums in centres.values() {
-        // Three daemons of 13 endpoints each, over four pools.
+        // Three daemons with 13 endpoints each, over four pools.
         let endpoints: u32 = sums.iter().map(|sum| sum.endpoints).sum();
         expect_that!(endpoints, eq(39));
     }
