--- a/crates/core/src/admission/in_flight.rs
+++ b/crates/core/src/admission/in_flight.rs
@@ -78,12 +78,12 @@
 }
 
 impl Dispatched {
-    pub(super) fn new(offer: Offer, charged: u64, now: Millis, busy: Millis) -> Self {
+    pub(super) fn new(offer: Offer, charged: u64, now: Millis, busy_before: Millis) -> Self {
         Self {
             offer,
             charged,
             since: now,
-            busy_before: busy,
+            busy_before,
             output: 0,
             remaining: charged,
         }
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -74,9 +74,7 @@
             }
             Merged::Contested => self.contest(incarnation),
             Merged::SelfSuspected => self.refute(record.change.as_ref()),
-            Merged::NameConflict(later) => {
-                self.resolve_conflict(record, later && !gone, reply, now);
-            }
+            Merged::NameTaken(later) => self.resolve_conflict(record, later && !gone, reply, now),
             Merged::Former => {
                 let known = self.table.by_name(&daemon);
                 reply.records.extend(known.map(|e| e.member.record()));
@@ -107,7 +105,7 @@
             | Merged::Joined
             | Merged::Older
             | Merged::Same
-            | Merged::NameConflict(_) => {}
+            | Merged::NameTaken(_) => {}
         }
     }
 
@@ -119,11 +117,13 @@
             return;
         }
         if pass_on {
-            let request = RecordRequest {
-                sent: now,
-                attempts: 1,
-            };
-            self.record_requests.insert(incarnation, request);
+            self.record_requests.insert(
+                incarnation,
+                RecordRequest {
+                    sent: now,
+                    attempts: 1,
+                },
+            );
         }
         reply.wants.push(incarnation.0);
     }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -46,7 +46,7 @@
     /// It suspects this daemon, or has a higher heartbeat number for it.
     SelfSuspected,
     /// Another process has this daemon's name; the value is whether that process is later.
-    NameConflict(bool),
+    NameTaken(bool),
 }
 
 /// Known members by name.
@@ -237,7 +237,7 @@
         let known = self.entries.get(&member.daemon).map(|e| e.member.order());
         let later = known.is_none_or(|order| order < member.order());
         if member.daemon == self.own {
-            return Merged::NameConflict(later);
+            return Merged::NameTaken(later);
         }
         let forgotten = known.is_none() && self.is_former(member.incarnation);
         if !later || forgotten {
