--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -45,7 +45,7 @@
 const MAX_RETRY_AFTER: Millis = Millis::from_secs(30);
 /// Retry delay, before jitter, when the endpoint accepts no work.
 const CLOSED_RETRY_AFTER: Millis = Millis::from_secs(1);
-/// Divisor of the slots that gives the number reserved for institutions below their share.
+/// Slots divided by this are reserved for institutions below their share.
 const RESERVED_DIVISOR: u32 = 4;
 /// Priority of requests of institutions that are not behind their share.
 const BASE_PRIORITY: u8 = 5;
--- a/crates/core/src/admission/bound.rs
+++ b/crates/core/src/admission/bound.rs
@@ -13,9 +13,9 @@
 const MEAN_STALE: Millis = Millis::from_secs(10);
 /// Age above which a report no longer lowers the estimate.
 const REPORT_STALE: Millis = Millis::from_secs(5);
-/// Divisor of the difference by which a report with a lower load reduces the estimate.
+/// A report with a lower load reduces the estimate by the difference divided by this.
 const DECREASE_DIVISOR: u64 = 2;
-/// Divisor of the slots that gives the number a former home may have filled without this home's knowledge.
+/// Slots divided by this may have been filled by a former home without this home's knowledge.
 const UNSEEN_DIVISOR: u32 = 4;
 
 /// What is known about the endpoint's load apart from the home's own count.
--- a/crates/core/src/admission/in_flight.rs
+++ b/crates/core/src/admission/in_flight.rs
@@ -14,7 +14,7 @@
 const SAMPLE_PERIOD: Millis = Millis(100);
 /// Number of samples kept in the history.
 const MAX_SAMPLES: usize = 100;
-/// Divisor of the expected output that gives the minimum assumed to remain, also once it is exceeded.
+/// Expected output divided by this is the minimum assumed to remain, also once it is exceeded.
 const TAIL_DIVISOR: u64 = 8;
 
 /// A request dispatched to the endpoint.
--- a/crates/core/src/admission/overload.rs
+++ b/crates/core/src/admission/overload.rs
@@ -12,7 +12,7 @@
 const STANDING_AFTER: Millis = Millis::from_secs(2);
 /// Time for which a standing queue must be empty to be kept short no longer; a queue kept short is empty at times.
 const CLEARED_AFTER: Millis = Millis::from_secs(1);
-/// Divisor of the patience that gives the maximum wait at a standing queue.
+/// Patience divided by this is the maximum wait at a standing queue.
 const PATIENCE_DIVISOR: u64 = 16;
 
 /// Tracks whether the queue is standing.
