--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -118,7 +118,10 @@
 
     /// Estimated load of the endpoint: the home's own count, corrected by the endpoint's report.
     pub fn load(&self, now: Millis) -> Tokens {
-        Tokens(self.bound.load(&self.in_flight, self.queue.mean_work(), now))
+        Tokens(
+            self.bound
+                .load(&self.in_flight, self.queue.mean_work(), now),
+        )
     }
 
     /// Load above which nothing more is dispatched.
@@ -270,7 +273,12 @@
                 id: waiting.offer.id,
                 priority: BASE_PRIORITY + boost.min(MAX_PRIORITY_BOOST) as u8,
             });
-            let request = Dispatched::new(waiting.offer, waiting.work, now, self.throughput.busy_time());
+            let request = Dispatched::new(
+                waiting.offer,
+                waiting.work,
+                now,
+                self.throughput.busy_time(),
+            );
             self.in_flight.add(request);
         }
     }
@@ -344,7 +352,11 @@
         }
         let wait = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         let retry_after = wait + Millis(self.rng.random_range(0..=wait.0));
-        Action::Refuse { id, reason, retry_after }
+        Action::Refuse {
+            id,
+            reason,
+            retry_after,
+        }
     }
 
     /// Whether one more request may be dispatched now.
@@ -372,7 +384,9 @@
         let excess = self.load(now).0.saturating_sub(self.limit(now).0);
         let work = self.queue.work_before(id) + excess + self.queue.mean_work();
         let wait = work as f64 / self.throughput.rate(self.settings.slots);
-        let paused = self.paused_until.map_or(Millis::ZERO, |until| until.since(now));
+        let paused = self
+            .paused_until
+            .map_or(Millis::ZERO, |until| until.since(now));
         Millis(wait as u64).max(paused)
     }
 }
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -145,11 +145,18 @@
             sequence: waiting.sequence,
         };
         self.positions.insert(offer.id, position);
-        queue.requests.entry(account).or_default().push_back(waiting);
+        queue
+            .requests
+            .entry(account)
+            .or_default()
+            .push_back(waiting);
     }
 
     /// Removes the next request of the first institution that is `eligible`, to be served; returns it with its lag.
-    pub(super) fn pop(&mut self, eligible: impl Fn(Candidate<'_>) -> bool) -> Option<(Waiting, u64)> {
+    pub(super) fn pop(
+        &mut self,
+        eligible: impl Fn(Candidate<'_>) -> bool,
+    ) -> Option<(Waiting, u64)> {
         let eligible = |institution: &&InstitutionId| {
             eligible(Candidate {
                 institution,
@@ -181,7 +188,8 @@
         let (position, waiting) = self.take(id)?;
         let queue = self.queues.get_mut(&position.institution)?;
         queue.accounts.remove(&position.account, waiting.work);
-        self.institutions.remove(&position.institution, waiting.work);
+        self.institutions
+            .remove(&position.institution, waiting.work);
         self.remove_idle(&position.institution);
         Some(waiting)
     }
--- a/crates/core/src/endpoint_state/record.rs
+++ b/crates/core/src/endpoint_state/record.rs
@@ -191,7 +191,8 @@
             return 1.0;
         };
         let past = (self.penalty - 1.0).max(0.0);
-        let ramp = (settings.slow_start.0 as f64 * past.exp2()).min(settings.max_slow_start.0 as f64);
+        let ramp =
+            (settings.slow_start.0 as f64 * past.exp2()).min(settings.max_slow_start.0 as f64);
         let done = now.since(returned_at).0 as f64 / ramp;
         (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * done).min(1.0)
     }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -170,7 +170,8 @@
     ///
     /// A suspect member is included until it is gone; see [`Member::is_eligible`].
     pub fn eligible(&self, scope: &Scope) -> impl Iterator<Item = &Member> {
-        self.members().filter(|m| m.is_eligible() && scope.contains(m))
+        self.members()
+            .filter(|m| m.is_eligible() && scope.contains(m))
     }
 
     /// The member with this name, if it is known.
--- a/crates/core/src/membership/anti_entropy.rs
+++ b/crates/core/src/membership/anti_entropy.rs
@@ -92,8 +92,9 @@
                 continue;
             }
             self.hasten_exchange(now);
-            let in_bucket =
-                |e: &&Entry| bucket(e.member.incarnation) == at && is_compared(e, &self.settings, now);
+            let in_bucket = |e: &&Entry| {
+                bucket(e.member.incarnation) == at && is_compared(e, &self.settings, now)
+            };
             let listed: Vec<_> = self.table.entries().filter(in_bucket).collect();
             if reply.covers != 0 && reply.changes.len() + listed.len() > MAX_LISTED {
                 break;
--- a/crates/core/src/membership/leave.rs
+++ b/crates/core/src/membership/leave.rs
@@ -49,7 +49,7 @@
                 true => Action::Departed { peers },
                 false => Action::LeaveAcknowledged { peers },
             };
-            self.out.push(action);
+            self.actions.push(action);
             self.leave_notice = None;
             return;
         }
--- a/crates/core/src/membership/load.rs
+++ b/crates/core/src/membership/load.rs
@@ -71,7 +71,13 @@
         let peers = all.iter().filter(|i| is_local(i)).count().min(LOAD_FANOUT);
         if self.loads.pending.len() < peers {
             let local: Vec<_> = all.into_iter().filter(is_local).collect();
-            let left: Vec<_> = self.loads.pending.iter().copied().filter(is_local).collect();
+            let left: Vec<_> = self
+                .loads
+                .pending
+                .iter()
+                .copied()
+                .filter(is_local)
+                .collect();
             let next = local.into_iter().filter(|i| !left.contains(i)).collect();
             self.loads.pending = [next, left].concat();
         }
@@ -123,7 +129,8 @@
         if let Some(entry) = self.table.get(from.incarnation) {
             let data_centre = entry.member.data_centre.clone();
             let sums = std::mem::take(&mut message.sums);
-            self.actions.push(Action::SumsReceived { data_centre, sums });
+            self.actions
+                .push(Action::SumsReceived { data_centre, sums });
         }
     }
 }
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -110,7 +110,13 @@
     }
 
     /// Requests a record; with `pass_on` it is passed on when it is received.
-    fn request_record(&mut self, incarnation: Incarnation, pass_on: bool, reply: &mut Gossip, now: Millis) {
+    fn request_record(
+        &mut self,
+        incarnation: Incarnation,
+        pass_on: bool,
+        reply: &mut Gossip,
+        now: Millis,
+    ) {
         let request = self.record_requests.get(&incarnation);
         let recent = request.is_some_and(|request| now.since(request.sent) < RECORD_RETRY);
         if recent || reply.wants.len() >= MAX_RECORDS {
@@ -174,7 +180,8 @@
         self.table.set_generation(from.incarnation, generation);
         if generation > self.table.own().generation {
             let from = from.daemon.clone();
-            self.actions.push(Action::NewerGeneration { from, generation });
+            self.actions
+                .push(Action::NewerGeneration { from, generation });
         }
     }
 
--- a/crates/core/src/membership/seeds.rs
+++ b/crates/core/src/membership/seeds.rs
@@ -55,7 +55,9 @@
         if !entry.member.is_gone() {
             return false;
         }
-        let recent = self.updated.is_some_and(|at| now.since(at) < settings.gone_retention);
+        let recent = self
+            .updated
+            .is_some_and(|at| now.since(at) < settings.gone_retention);
         let retention = match recent {
             true => settings.gone_retention,
             false => Millis(settings.gone_retention.0 * UNLISTED_FACTOR),
@@ -68,7 +70,6 @@
     /// Removes addresses that were last listed long ago.
     pub fn prune(&mut self, settings: &Settings, now: Millis) {
         let retention = Millis(settings.gone_retention.0 * UNLISTED_FACTOR);
-        self.last_listed
-            .retain(|_, at| now.since(*at) < retention);
+        self.last_listed.retain(|_, at| now.since(*at) < retention);
     }
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -178,7 +178,12 @@
     }
 
     /// Sets the liveness of a member; returns false if it has it already or isn't known.
-    pub fn set_liveness(&mut self, incarnation: Incarnation, liveness: Liveness, now: Millis) -> bool {
+    pub fn set_liveness(
+        &mut self,
+        incarnation: Incarnation,
+        liveness: Liveness,
+        now: Millis,
+    ) -> bool {
         let Some(entry) = self.get_mut(incarnation) else {
             return false;
         };
--- a/crates/core/src/membership/tick.rs
+++ b/crates/core/src/membership/tick.rs
@@ -122,7 +122,11 @@
             .table
             .get(probe.target)
             .is_some_and(|e| e.member.liveness == Liveness::Alive && !e.member.is_gone());
-        if alive && self.table.set_liveness(probe.target, Liveness::Suspect, now) {
+        if alive
+            && self
+                .table
+                .set_liveness(probe.target, Liveness::Suspect, now)
+        {
             self.report_change(probe.target);
             self.updates.push(probe.target);
         }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -285,9 +285,7 @@
             Outcome::NotRun => Reason::RetryBudget,
             Outcome::Ran | Outcome::Unknown => reason,
         };
-        Decision::GiveUp {
-            reason: reported,
-        }
+        Decision::GiveUp { reason: reported }
     }
 }
 
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -117,7 +117,9 @@
 
     fn from_str(text: &str) -> Result<Self> {
         let invalid = || UnitError::new(text, "a link's rate: write a number and Mbit/s");
-        parse_with_unit(text, "Mbit/s").map(Self).ok_or_else(invalid)
+        parse_with_unit(text, "Mbit/s")
+            .map(Self)
+            .ok_or_else(invalid)
     }
 }
 
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -157,7 +157,12 @@
         let mut offer = offer(number, "a", "a1");
         offer.patience = Millis(if number < 100 { 3_600_000 } else { 300 });
         for action in home.handle(Event::Offer(offer), Millis(10)) {
-            if let Action::Refuse { id, reason, retry_after } = action {
+            if let Action::Refuse {
+                id,
+                reason,
+                retry_after,
+            } = action
+            {
                 expect_that!(id, eq(engine::id(number)));
                 expect_that!(retry_after, gt(Millis(0)));
                 reasons.push(reason);
--- a/crates/core/tests/membership/faults.rs
+++ b/crates/core/tests/membership/faults.rs
@@ -271,9 +271,14 @@
             if !gone {
                 *since = now;
             }
-            let begun = self.healthy_since[at].max(self.healthy_since[of]).max(*since);
+            let begun = self.healthy_since[at]
+                .max(self.healthy_since[of])
+                .max(*since);
             self.worst = self.worst.max(now - begun);
-            assert!(now - begun <= FALSELY_GONE, "{at} considers {of} gone at {now}");
+            assert!(
+                now - begun <= FALSELY_GONE,
+                "{at} considers {of} gone at {now}"
+            );
         }
     }
 }
--- a/crates/core/tests/membership/single.rs
+++ b/crates/core/tests/membership/single.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, Generation, Incarnation};
 use medlarrill_core::membership::{
-    Action, Announced, Liveness, Event, ListedVm, Member, Membership, Peer, State,
+    Action, Announced, Event, ListedVm, Liveness, Member, Membership, Peer, State,
 };
 use medlarrill_core::wire::Gossip;
 
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -129,7 +129,8 @@
         ..Settings::default()
     });
     let mut rng = Pcg32::seed_from_u64(1);
-    let mut fail = |reason| plan(true).record_failure(Failure::new(reason), &mut budget, Millis(0), &mut rng);
+    let mut fail =
+        |reason| plan(true).record_failure(Failure::new(reason), &mut budget, Millis(0), &mut rng);
     let reason = Reason::RetryBudget;
     expect_that!(fail(Reason::QueueFull), eq(Decision::GiveUp { reason }));
     let reason = Reason::EndpointLost;
@@ -173,6 +174,8 @@
         })
     );
     // A retry that isn't made takes nothing from the budget.
-    let left = (0..10).filter(|_| budget.withdraw(&pool(), Millis(0))).count();
+    let left = (0..10)
+        .filter(|_| budget.withdraw(&pool(), Millis(0)))
+        .count();
     expect_that!(left, eq(3));
 }
--- a/crates/core/tests/support/engine.rs
+++ b/crates/core/tests/support/engine.rs
@@ -149,7 +149,10 @@
             if wake <= next {
                 self.handle(Event::Tick, wake);
                 let later = self.home.wake().is_none_or(|at| at.0 > wake);
-                assert!(later, "the home must not ask for a tick that it has just had");
+                assert!(
+                    later,
+                    "the home must not ask for a tick that it has just had"
+                );
                 continue;
             }
             let Some(Reverse((at, _, step))) = self.steps.pop() else {
@@ -217,7 +220,11 @@
                     }
                     self.push(now + (work as f64 / SPEED) as u64, Step::Finish(id, work));
                 }
-                Action::Refuse { reason, retry_after, .. } => {
+                Action::Refuse {
+                    reason,
+                    retry_after,
+                    ..
+                } => {
                     *self.tally.refused.entry(reason).or_default() += 1;
                     self.tally.empty_after += u64::from(retry_after == Millis::ZERO);
                 }
