--- a/crates/core/src/ids/text.rs
+++ b/crates/core/src/ids/text.rs
@@ -19,7 +19,7 @@
     /// The name is empty.
     #[display("a name must not be empty")]
     Empty,
-    /// The name is longer than [`MAX_NAME`] bytes.
+    /// The name is longer than `MAX_NAME` bytes.
     #[display("a name has at most {MAX_NAME} bytes, this one has {_0}")]
     Long(#[error(not(source))] usize),
     /// The name has a character outside the allowed set.
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -84,7 +84,7 @@
     caught_up: bool,
     /// Unanswered requests for the records of members that an update was about.
     record_requests: BTreeMap<Incarnation, RecordRequest>,
-    /// Members that are alive here and gone according to another daemon.
+    /// Members that this daemon considers alive and another daemon considers gone.
     contested: BTreeSet<Incarnation>,
     /// Number of records that may be sent before the next round.
     record_budget: usize,
