--- a/crates/core/tests/membership/pause.rs
+++ b/crates/core/tests/membership/pause.rs
@@ -1,4 +1,4 @@
-//! A daemon that was paused acts on nothing until it has heard again.
+//! A daemon that was paused doesn't act until peers have answered again.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -15,7 +15,7 @@
 }
 
 fn fresh(fleet: &Fleet, at: usize) -> bool {
-    fleet.nodes[at].machine.fresh(fleet.clock(at))
+    fleet.nodes[at].machine.is_fresh(fleet.clock(at))
 }
 
 #[gtest]
@@ -24,17 +24,17 @@
     fleet.set(3, Health::Paused);
     fleet.run(5000);
     expect_that!(fresh(&fleet, 3), is_false());
-    // What waited in its buffers is from before, and makes nothing fresh.
+    // Messages that waited in its buffers are from before the pause and don't end the stale period.
     fleet.cuts.extend((0..9).map(|from| (from, 3)));
     fleet.resume(3);
     fleet.run(2000);
     expect_that!(fresh(&fleet, 3), is_false());
     fleet.cuts.clear();
     expect_that!(fleet.until(5000, |f| fresh(f, 3)), some(le(2000)));
-    let told = fleet.nodes[3].seen.iter().rev().map(|(_, action)| action);
-    let told = told.filter(|a| matches!(a, Action::Stale | Action::Fresh));
+    let reported = fleet.nodes[3].seen.iter().rev().map(|(_, action)| action);
+    let reported = reported.filter(|a| matches!(a, Action::Stale | Action::Fresh));
     expect_that!(
-        told.take(2).collect::<Vec<_>>(),
+        reported.take(2).collect::<Vec<_>>(),
         elements_are![eq(&&Action::Fresh), eq(&&Action::Stale)]
     );
 }
@@ -64,11 +64,11 @@
         let before = fleet.nodes[2].seen.len();
         fleet.resume(2);
         fleet.run(6000);
-        let doubts = fleet.nodes[2].seen[before..].iter().filter(|(_, action)| {
+        let suspected = fleet.nodes[2].seen[before..].iter().filter(|(_, action)| {
             let own = fleet.nodes[2].machine.own();
-            matches!(action, Action::Changed(m) if m.daemon != own.daemon && !m.is_place())
+            matches!(action, Action::Changed(m) if m.daemon != own.daemon && !m.is_eligible())
         });
-        expect_that!(doubts.count(), eq(0));
+        expect_that!(suspected.count(), eq(0));
         expect_that!(fleet.until(20_000, Fleet::agreed), some(anything()));
     }
 }
@@ -91,12 +91,12 @@
 fn a_wall_clock_set_back_is_no_pause() {
     let mut freshness = Freshness::new(Millis(0));
     freshness.tick(Millis(100), Millis(900_100));
-    freshness.settle(0);
+    freshness.try_confirm(0);
     expect_that!(freshness.tick(Millis(200), Millis(500_200)), is_false());
     expect_that!(freshness.tick(Millis(300), Millis(500_300)), is_false());
-    expect_that!(freshness.fresh(Millis(300)), is_true());
-    expect_that!(freshness.until(), some(eq(Millis(1300))));
-    expect_that!(freshness.fresh(Millis(1301)), is_false());
+    expect_that!(freshness.is_fresh(Millis(300)), is_true());
+    expect_that!(freshness.valid_until(), some(eq(Millis(1300))));
+    expect_that!(freshness.is_fresh(Millis(1301)), is_false());
     freshness.tick(Millis(1400), Millis(501_400));
-    expect_that!(freshness.until(), none());
+    expect_that!(freshness.valid_until(), none());
 }
--- a/crates/lab/src/policy/central.rs
+++ b/crates/lab/src/policy/central.rs
@@ -235,8 +235,8 @@
             prompt: prompt_work(Tokens(u64::from(request.prompt - cached))),
             output: Tokens(plant.size.output as u64),
             patience: PATIENCE,
-            passable: self.keeps_bound() && job.tried.len() < MAX_TRIED,
-            stays: false,
+            movable: self.keeps_bound() && job.tried.len() < MAX_TRIED,
+            keep_local: false,
         };
         self.tell(endpoint, Event::Offer(offer), now);
     }
@@ -256,7 +256,11 @@
                     self.failed(plant, id, endpoint, now);
                 }
             }
-            Action::Refuse { reason, after, .. } => plant.refuse(id, reason, after, now),
+            Action::Refuse {
+                reason,
+                retry_after,
+                ..
+            } => plant.refuse(id, reason, retry_after, now),
             Action::PassOn { .. } => {
                 if let Some(job) = plant.jobs.get_mut(&id) {
                     job.tried.push(endpoint);
--- a/crates/lab/src/policy/fleet/request.rs
+++ b/crates/lab/src/policy/fleet/request.rs
@@ -156,8 +156,8 @@
             prompt: prompt_work(Tokens(u64::from(request.prompt).saturating_sub(job.cached))),
             output: Tokens(plant.size.output as u64),
             patience: PATIENCE,
-            passable,
-            stays,
+            movable: passable,
+            keep_local: stays,
         };
         self.tell(plant, number, endpoint, Event::Offer(offer), now);
     }
@@ -199,7 +199,11 @@
                     self.failed(plant, id, number, endpoint, now);
                 }
             }
-            Action::Refuse { reason, after, .. } => plant.refuse(id, reason, after, now),
+            Action::Refuse {
+                reason,
+                retry_after,
+                ..
+            } => plant.refuse(id, reason, retry_after, now),
             Action::PassOn { .. } => self.pass_on(plant, id, number, endpoint, now),
         }
     }
