--- a/crates/daemon/tests/route/copies.rs
+++ b/crates/daemon/tests/route/copies.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::routing::mirror::{Change, Update};
 use medlarrill_platform::store::Kind;
 use medlarrill_platform_standin::Outage;
-use medlarrill_router::store::relay::message::{Ask, Tell};
+use medlarrill_router::store::relay::message::{Subscription, Tell};
 use medlarrill_testkit::proxy::{Harm, Proxy};
 use medlarrill_testkit::routed::WAIT;
 use tokio::net::TcpStream;
@@ -18,7 +18,7 @@
 async fn first_told(source: SocketAddr, kind: Kind, reached: u64) -> Update {
     let stream = TcpStream::connect(source).await.expect("a connection");
     let mut link = Framed::new(stream, LengthDelimitedCodec::new());
-    let ask = Ask::new(&[(kind, Some(reached))]);
+    let ask = Subscription::new(&[(kind, Some(reached))]);
     link.send(ask.encode()).await.expect("a message is sent");
     loop {
         let frame = link.next().await.expect("a message").expect("a frame");
--- a/crates/router/src/store/relay.rs
+++ b/crates/router/src/store/relay.rs
@@ -23,7 +23,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 pub use self::message::Packed;
-use self::message::{Ask, Tell};
+use self::message::{Subscription, Tell};
 use super::Store;
 use super::copies::KINDS;
 use super::direct::FIRST_START;
@@ -88,7 +88,7 @@
 async fn serve_one(store: &Store, mut link: Link) -> Result<()> {
     let ask = tokio::time::timeout(ASK.as_duration(), link.next()).await;
     let ask = ask.map_err(|_| RelayError::Silent)?;
-    let ask = Ask::read(&ask.ok_or(RelayError::Closed)??)?;
+    let ask = Subscription::read(&ask.ok_or(RelayError::Closed)??)?;
     let mut effects = store.copies.subscribe();
     let mut follower = Follower::new(store, link, ask);
     let mut beat = tokio::time::interval(BEAT.as_duration());
@@ -113,13 +113,13 @@
     store: &'a Store,
     link: Link,
     /// What it had reached when it asked.
-    ask: Ask,
+    ask: Subscription,
     /// The kinds of which it was told what it lacked then.
     started: Vec<Kind>,
 }
 
 impl<'a> Follower<'a> {
-    const fn new(store: &'a Store, link: Link, ask: Ask) -> Self {
+    const fn new(store: &'a Store, link: Link, ask: Subscription) -> Self {
         Self {
             store,
             link,
@@ -209,7 +209,7 @@
 
 async fn take(store: &Store, source: SocketAddr, mut link: Link) -> Result<()> {
     let reached = KINDS.map(|kind| (kind, store.copies.revision(kind)));
-    link.send(Ask::new(&reached).encode()).await?;
+    link.send(Subscription::new(&reached).encode()).await?;
     log::info!(target: "relay", source:%; "relay: follows");
     loop {
         let frame = tokio::time::timeout(SILENT.as_duration(), link.next()).await;
--- a/crates/router/src/store/relay/message.rs
+++ b/crates/router/src/store/relay/message.rs
@@ -25,7 +25,7 @@
 /// Which revisions a follower has reached.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Ask {
+pub struct Subscription {
     #[prost(message, repeated, tag = "1")]
     positions: Vec<Position>,
 }
@@ -117,7 +117,7 @@
     }
 }
 
-impl Ask {
+impl Subscription {
     /// The revisions reached.
     pub fn new(reached: &[(Kind, Option<u64>)]) -> Self {
         let position = |(kind, revision): &(Kind, Option<u64>)| {
--- a/crates/router/tests/relay_properties.rs
+++ b/crates/router/tests/relay_properties.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::mirror::{Change, Object, Update};
 use medlarrill_platform::store::Kind;
-use medlarrill_router::store::relay::message::{Ask, Packed, Tell};
+use medlarrill_router::store::relay::message::{Subscription, Packed, Tell};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -41,7 +41,7 @@
 proptest! {
     #[test]
     fn any_bytes_are_read_or_refused(bytes in vec(any::<u8>(), 0..512)) {
-        Ask::read(&bytes).ok();
+        Subscription::read(&bytes).ok();
         if let Ok(tell) = Tell::read(&bytes) {
             tell.into_update().ok();
         }
