--- a/crates/daemon/tests/route/copies.rs
+++ b/crates/daemon/tests/route/copies.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::routing::mirror::{Change, Update};
 use medlarrill_platform::store::Kind;
 use medlarrill_platform_standin::Outage;
-use medlarrill_router::store::relay::message::{Subscription, Tell};
+use medlarrill_router::store::relay::message::{Subscription, Notification};
 use medlarrill_testkit::proxy::{Harm, Proxy};
 use medlarrill_testkit::routed::WAIT;
 use tokio::net::TcpStream;
@@ -22,7 +22,7 @@
     link.send(ask.encode()).await.expect("a message is sent");
     loop {
         let frame = link.next().await.expect("a message").expect("a frame");
-        let tell = Tell::read(&frame).expect("a message");
+        let tell = Notification::read(&frame).expect("a message");
         let told = tell.into_update().expect("an update");
         let update = told.filter(|told| told.0 == kind).map(|told| told.1);
         if let Some(update) = update.filter(|update| !update.changes.is_empty()) {
--- a/crates/router/src/store/relay.rs
+++ b/crates/router/src/store/relay.rs
@@ -23,7 +23,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 pub use self::message::Packed;
-use self::message::{Subscription, Tell};
+use self::message::{Subscription, Notification};
 use super::Store;
 use super::copies::KINDS;
 use super::direct::FIRST_START;
@@ -144,7 +144,7 @@
             }
         };
         let failing = self.store.copies.failing(kind, now());
-        let message = Tell::new(kind, update, age, failing).encode();
+        let message = Notification::new(kind, update, age, failing).encode();
         let sending = self.link.send(message);
         let sent = tokio::time::timeout(SILENT.as_duration(), sending).await;
         Ok(sent.map_err(|_| RelayError::Silent)??)
@@ -214,7 +214,7 @@
     loop {
         let frame = tokio::time::timeout(SILENT.as_duration(), link.next()).await;
         let frame = frame.map_err(|_| RelayError::Silent)?;
-        let tell = Tell::read(&frame.ok_or(RelayError::Closed)??)?;
+        let tell = Notification::read(&frame.ok_or(RelayError::Closed)??)?;
         let at = now();
         if tell.is_fresh() {
             store.roster.heard_relay(at);
--- a/crates/router/src/store/relay/message.rs
+++ b/crates/router/src/store/relay/message.rs
@@ -42,7 +42,7 @@
 /// Changes of one kind, and how old the copy is.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Tell {
+pub struct Notification {
     #[prost(uint32, tag = "1")]
     kind: u32,
     /// Milliseconds since the copy was known to be up to date.
@@ -183,7 +183,7 @@
     }
 }
 
-impl Tell {
+impl Notification {
     /// Changes, or none and only the age.
     pub fn new(kind: Kind, packed: Option<Packed>, age: Millis, failing: Option<Millis>) -> Self {
         let packed = packed.unwrap_or(Packed {
--- a/crates/router/tests/relay_properties.rs
+++ b/crates/router/tests/relay_properties.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::mirror::{Change, Object, Update};
 use medlarrill_platform::store::Kind;
-use medlarrill_router::store::relay::message::{Subscription, Packed, Tell};
+use medlarrill_router::store::relay::message::{Subscription, Packed, Notification};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_copy_that_is_old_is_not_relied_on_unless_the_platform_is_away() {
-    let tell = |age, failing| Tell::new(Kind::Endpoints, None, Millis(age), failing);
+    let tell = |age, failing| Notification::new(Kind::Endpoints, None, Millis(age), failing);
     // The platform holds a call and pauses after it for 2.4 s together.
     assert!(tell(2400, None).is_fresh());
     assert!(!tell(3500, None).is_fresh());
@@ -42,7 +42,7 @@
     #[test]
     fn any_bytes_are_read_or_refused(bytes in vec(any::<u8>(), 0..512)) {
         Subscription::read(&bytes).ok();
-        if let Ok(tell) = Tell::read(&bytes) {
+        if let Ok(tell) = Notification::read(&bytes) {
             tell.into_update().ok();
         }
     }
@@ -56,8 +56,8 @@
     ) {
         let update = Update { whole, changes, revision };
         let packed = Packed::new(&update);
-        let sent = Tell::new(Kind::Endpoints, Some(packed), Millis(age), None).encode();
-        let tell = Tell::read(&sent).expect("a message");
+        let sent = Notification::new(Kind::Endpoints, Some(packed), Millis(age), None).encode();
+        let tell = Notification::read(&sent).expect("a message");
         let (kind, read, told) = tell.into_update().expect("an update").expect("a kind");
         prop_assert_eq!(kind, Kind::Endpoints);
         prop_assert_eq!(told, Millis(age));
@@ -73,12 +73,12 @@
         byte: u8,
     ) {
         let update = Update { whole: true, changes, revision: 9 };
-        let sent = Tell::new(Kind::Configuration, Some(Packed::new(&update)), Millis(1), None);
+        let sent = Notification::new(Kind::Configuration, Some(Packed::new(&update)), Millis(1), None);
         let mut sent = sent.encode().to_vec();
         let place = at.index(sent.len());
         sent[place] = byte;
         sent.truncate(cut.index(sent.len()) + 1);
-        if let Ok(tell) = Tell::read(&Bytes::from(sent)) {
+        if let Ok(tell) = Notification::read(&Bytes::from(sent)) {
             tell.into_update().ok();
         }
     }
