--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{broadcast, watch};
 
 use super::effect::Sinks;
-use super::relay::Packed;
+use super::relay::EncodedUpdate;
 
 /// The kinds that are kept.
 pub const KINDS: [Kind; 4] = [
@@ -25,13 +25,13 @@
 
 /// Changes of one kind, as they took effect here; none where the copy was only found to be up to
 /// date.
-type Effects = (Kind, Option<Packed>);
+type Effects = (Kind, Option<EncodedUpdate>);
 
 /// A copy, and all of it coded for followers until it changes.
 #[derive(Debug, Default)]
 struct Copy {
     mirror: Mirror,
-    whole: Option<Packed>,
+    whole: Option<EncodedUpdate>,
 }
 
 impl Copy {
@@ -135,13 +135,13 @@
     }
 
     /// What brings a copy of a revision up to this one, none before the first list.
-    pub fn since(&self, kind: Kind, revision: Option<u64>) -> Option<Packed> {
+    pub fn since(&self, kind: Kind, revision: Option<u64>) -> Option<EncodedUpdate> {
         let mut copy = self.lock(kind);
         let update = copy.mirror.since(revision)?;
         if !update.whole {
-            return Some(Packed::new(&update));
+            return Some(EncodedUpdate::new(&update));
         }
-        let whole = copy.whole.get_or_insert_with(|| Packed::new(&update));
+        let whole = copy.whole.get_or_insert_with(|| EncodedUpdate::new(&update));
         Some(whole.clone())
     }
 
@@ -197,7 +197,7 @@
             return;
         }
         // Fails only where the last follower has just left.
-        self.effects.send((kind, Some(Packed::new(&update)))).ok();
+        self.effects.send((kind, Some(EncodedUpdate::new(&update)))).ok();
     }
 
     /// Notes that calls to the platform fail, here or at a source.
--- a/crates/router/src/store/relay.rs
+++ b/crates/router/src/store/relay.rs
@@ -22,7 +22,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-pub use self::message::Packed;
+pub use self::message::EncodedUpdate;
 use self::message::{Subscription, Notification};
 use super::Store;
 use super::copies::KINDS;
@@ -129,7 +129,7 @@
     }
 
     /// Tells changes of a kind, or only how old the copy is; nothing before that is known.
-    async fn tell(&mut self, kind: Kind, update: Option<Packed>) -> Result<()> {
+    async fn tell(&mut self, kind: Kind, update: Option<EncodedUpdate>) -> Result<()> {
         let Some(age) = self.store.copies.age(kind, now()) else {
             return Ok(());
         };
--- a/crates/router/src/store/relay/message.rs
+++ b/crates/router/src/store/relay/message.rs
@@ -60,7 +60,7 @@
 
 /// An update, coded once for all followers.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Packed {
+pub struct EncodedUpdate {
     bytes: Bytes,
     compressed: bool,
 }
@@ -153,7 +153,7 @@
     }
 }
 
-impl Packed {
+impl EncodedUpdate {
     /// Codes an update.
     pub fn new(update: &Update) -> Self {
         let mut changes = Changes {
@@ -185,8 +185,8 @@
 
 impl Notification {
     /// Changes, or none and only the age.
-    pub fn new(kind: Kind, packed: Option<Packed>, age: Millis, failing: Option<Millis>) -> Self {
-        let packed = packed.unwrap_or(Packed {
+    pub fn new(kind: Kind, packed: Option<EncodedUpdate>, age: Millis, failing: Option<Millis>) -> Self {
+        let packed = packed.unwrap_or(EncodedUpdate {
             bytes: Bytes::new(),
             compressed: false,
         });
--- a/crates/router/tests/relay_properties.rs
+++ b/crates/router/tests/relay_properties.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::mirror::{Change, Object, Update};
 use medlarrill_platform::store::Kind;
-use medlarrill_router::store::relay::message::{Subscription, Packed, Notification};
+use medlarrill_router::store::relay::message::{Subscription, EncodedUpdate, Notification};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -55,7 +55,7 @@
         age in 0_u64..1 << 40,
     ) {
         let update = Update { whole, changes, revision };
-        let packed = Packed::new(&update);
+        let packed = EncodedUpdate::new(&update);
         let sent = Notification::new(Kind::Endpoints, Some(packed), Millis(age), None).encode();
         let tell = Notification::read(&sent).expect("a message");
         let (kind, read, told) = tell.into_update().expect("an update").expect("a kind");
@@ -73,7 +73,7 @@
         byte: u8,
     ) {
         let update = Update { whole: true, changes, revision: 9 };
-        let sent = Notification::new(Kind::Configuration, Some(Packed::new(&update)), Millis(1), None);
+        let sent = Notification::new(Kind::Configuration, Some(EncodedUpdate::new(&update)), Millis(1), None);
         let mut sent = sent.encode().to_vec();
         let place = at.index(sent.len());
         sent[place] = byte;
