--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -203,7 +203,7 @@
     endpoint: InstanceId,
 ) -> Result<Answered> {
     let (head, body) = sent.answer.into_parts();
-    let told = headers::answer(head.status, &head.headers);
+    let told = headers::read_answer(head.status, &head.headers);
     let unread = &order.shared.unread;
     unread.report(&head.headers, &endpoint, &order.call.attempt);
     hear(order, &endpoint, &told, sent.handed);
--- a/crates/router/src/entry/handler.rs
+++ b/crates/router/src/entry/handler.rs
@@ -63,7 +63,7 @@
     trace: &mut Trace,
 ) -> Result<Order> {
     let (parts, body) = request.into_parts();
-    let call = headers::call(&parts.headers).map_err(|error| (Reason::BadHead, error.to_string()));
+    let call = headers::read_request(&parts.headers).map_err(|error| (Reason::BadHead, error.to_string()));
     if let Ok(call) = &call {
         trace.request(&call.attempt);
     }
