--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/effect.rs
@@ -75,13 +75,13 @@
 
     fn take_drain(&self, change: &Change) {
         match change {
-            Change::Put(object) => match objects::drained(&object.name) {
+            Change::Put(object) => match objects::drained_data_centre(&object.name) {
                 Ok(name) => self.placement.drain(&name, object.revision, now()),
                 Err(error) => self.unreadable.report(Kind::Drains, &object.name, &error),
             },
             Change::Removed { name, revision } => {
                 // A name that can't be read has drained nothing.
-                if let Ok(name) = objects::drained(name) {
+                if let Ok(name) = objects::drained_data_centre(name) {
                     self.placement.restore(&name, *revision, now());
                 }
             }
@@ -185,7 +185,7 @@
             self.placement.spare(&endpoint.id, warming, now());
         }
         if listed == Listed::Ignored(Entry::Foreign) {
-            let error = objects::birth_missing();
+            let error = objects::start_missing();
             self.unreadable
                 .report(Kind::Endpoints, &object.name, &error);
         }
--- a/crates/router/src/store/quarantine.rs
+++ b/crates/router/src/store/quarantine.rs
@@ -94,7 +94,7 @@
             let copies = &self.store.copies;
             copies.report(wire::QUARANTINE, &page.unreadable);
             for object in &page.objects {
-                match objects::kept(object) {
+                match objects::quarantined(object) {
                     Ok(kept) => all.push(kept),
                     Err(error) => copies.report_one(wire::QUARANTINE, &object.name, &error),
                 }
@@ -122,7 +122,7 @@
         let Some(kept) = self.store.placement.kept(fingerprint, now(), wall()) else {
             return Ok(());
         };
-        let (name, spec) = (fingerprint.to_string(), objects::kept_spec(&kept));
+        let (name, spec) = (fingerprint.to_string(), objects::quarantined_spec(&kept));
         match self.call(&call(wire::QUARANTINE, &name, &spec)).await {
             // Another daemon was first, or the answer to an earlier call was lost.
             Err(error) if error.exists() => {}
