--- a/crates/daemon/tests/route/copies.rs
+++ b/crates/daemon/tests/route/copies.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::routing::mirror::{Change, Update};
 use medlarrill_platform::store::Kind;
 use medlarrill_platform_standin::Outage;
-use medlarrill_router::store::relay::message::{Subscription, Notification};
+use medlarrill_router::store::relay::message::{Notification, Subscription};
 use medlarrill_testkit::proxy::{Harm, Proxy};
 use medlarrill_testkit::routed::WAIT;
 use tokio::net::TcpStream;
--- a/crates/router/tests/relay_properties.rs
+++ b/crates/router/tests/relay_properties.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::mirror::{Change, Object, Update};
 use medlarrill_platform::store::Kind;
-use medlarrill_router::store::relay::message::{Subscription, EncodedUpdate, Notification};
+use medlarrill_router::store::relay::message::{EncodedUpdate, Notification, Subscription};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
