--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -1,7 +1,7 @@
-//! Connections to endpoints, and one exchange over one of them.
+//! Connections to endpoints, and a report of response headers that nothing reads.
 
 mod connections;
 mod unread;
 
-pub use connections::{Connections, Kept, SendError, Sent, spare};
+pub use connections::{ConnectionPool, LeasedConnection, SendError, Sent, idle_limit};
 pub use unread::UnreadHeaders;
--- a/crates/router/src/endpoints/connections.rs
+++ b/crates/router/src/endpoints/connections.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints, one request at a time on each.
+//! Pool of HTTP/1 connections to endpoints, with one request at a time on each.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,29 +17,30 @@
 
 use crate::socket;
 
-/// Longest time to connect: endpoints are some milliseconds away and take one to accept.
-const CONNECT: Millis = Millis(400);
-/// How long a connection is kept idle where the endpoint doesn't say.
-const KEEP: Millis = Millis(4000);
-/// Kept connections are given up this long before the endpoint does, so that its close doesn't
-/// cross a request: a delay of lost packets, and the second to which the time is rounded.
-const KEEP_MARGIN: Millis = Millis(1200);
-/// Most idle connections kept for one endpoint.
-const SPARE: u32 = 16;
-/// Part of the connections that an endpoint takes that all daemons may keep idle together; the
-/// rest is for those in use.
-const IDLE_PART: f64 = 0.5;
+/// Timeout for connecting: endpoints are some milliseconds away and take one to accept.
+const CONNECT_TIMEOUT: Millis = Millis(400);
+/// Time for which a connection is kept idle if the endpoint announces none.
+const DEFAULT_IDLE: Millis = Millis(4000);
+/// Idle connections are closed this long before the endpoint closes them, so that its close
+/// doesn't cross a request: a delay by lost packets, plus the second to which the announced time
+/// is rounded.
+const IDLE_MARGIN: Millis = Millis(1200);
+/// Maximum number of idle connections per endpoint.
+const MAX_IDLE: u32 = 16;
+/// Share of the connections that an endpoint accepts which all daemons together may keep idle;
+/// the rest is for those in use.
+const IDLE_SHARE: f64 = 0.5;
 
 /// Result of sending a request.
 pub type Result<T> = std::result::Result<T, SendError>;
 
-/// Why there is no head of an answer.
+/// Why no response head was received.
 #[derive(Debug, Display, Error)]
 pub enum SendError {
-    /// There was no connection; nothing was sent.
+    /// No connection could be made; nothing was sent.
     #[display("not sent: {_0}")]
     NotSent(#[error(not(source))] String),
-    /// The exchange broke off after the request was handed to a connection.
+    /// The connection failed after the request was passed to it.
     #[display("lost: {_0}")]
     Lost(#[error(not(source))] String),
 }
@@ -55,54 +56,54 @@
 
 type Table = HashMap<InstanceId, Vec<Idle>>;
 
-/// Connections to all endpoints.
+/// Idle connections to all endpoints.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: Arc<Mutex<Table>>,
 }
 
-/// A connection whose answer is being read.
+/// A connection in use by one request.
 #[derive(Debug)]
-pub struct Kept {
+pub struct LeasedConnection {
     #[debug(skip)]
     sender: Sender,
-    connections: Connections,
+    pool: ConnectionPool,
     id: InstanceId,
 }
 
-/// A request whose answer has begun.
+/// A sent request whose response head was received.
 #[derive(Debug)]
 pub struct Sent {
-    /// The answer.
+    /// The response; its body is still to be read.
     pub answer: Response<Incoming>,
-    /// Its connection; closed when this is dropped before the answer's end.
-    pub kept: Kept,
-    /// Whether the connection was made for this request.
-    pub fresh: bool,
-    /// When the request was handed to the connection, since the Unix epoch: whoever answers had
-    /// started by then.
-    pub handed: Millis,
+    /// Its connection; closed if dropped before the end of the response.
+    pub connection: LeasedConnection,
+    /// Whether the connection was opened for this request.
+    pub is_new: bool,
+    /// When the request was passed to the connection, since the Unix epoch: the process that
+    /// answers had started by then.
+    pub sent_at: Millis,
 }
 
-impl Connections {
-    /// Sends a request and waits for the head of its answer.
+impl ConnectionPool {
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Saying whether anything was sent.
+    /// When there is no response; the variant says whether the request may have been sent.
     pub async fn send(&self, endpoint: &Endpoint, request: Request<Full<Bytes>>) -> Result<Sent> {
         let mut request = request;
-        while let Some(mut sender) = self.take(&endpoint.id) {
-            let handed = wall();
+        while let Some(mut sender) = self.take_idle(&endpoint.id) {
+            let sent_at = wall();
             match sender.try_send_request(request).await {
                 Ok(answer) => {
-                    let kept = self.kept(endpoint, sender);
+                    let connection = self.lease(endpoint, sender);
                     return Ok(Sent {
                         answer,
-                        kept,
-                        fresh: false,
-                        handed,
+                        connection,
+                        is_new: false,
+                        sent_at,
                     });
                 }
                 Err(mut error) => match error.take_message() {
@@ -112,13 +113,13 @@
             }
         }
         let mut sender = self.connect(endpoint.address).await?;
-        let handed = wall();
+        let sent_at = wall();
         match sender.try_send_request(request).await {
             Ok(answer) => Ok(Sent {
                 answer,
-                kept: self.kept(endpoint, sender),
-                fresh: true,
-                handed,
+                connection: self.lease(endpoint, sender),
+                is_new: true,
+                sent_at,
             }),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
@@ -131,16 +132,16 @@
         }
     }
 
-    fn kept(&self, endpoint: &Endpoint, sender: Sender) -> Kept {
-        Kept {
+    fn lease(&self, endpoint: &Endpoint, sender: Sender) -> LeasedConnection {
+        LeasedConnection {
             sender,
-            connections: self.clone(),
+            pool: self.clone(),
             id: endpoint.id.clone(),
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Sender> {
-        let stream = socket::connect(address, CONNECT)
+        let stream = socket::connect(address, CONNECT_TIMEOUT)
             .await
             .map_err(|error| SendError::NotSent(error.to_string()))?;
         let (sender, connection) = Builder::new()
@@ -155,8 +156,8 @@
         Ok(sender)
     }
 
-    /// The connection that was used last, if it can be used again.
-    fn take(&self, id: &InstanceId) -> Option<Sender> {
+    /// Takes the most recently used idle connection that is still usable.
+    fn take_idle(&self, id: &InstanceId) -> Option<Sender> {
         let mut table = self.lock();
         let idle = table.get_mut(id)?;
         let now = now();
@@ -168,7 +169,7 @@
         None
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle time has passed.
     pub fn sweep(&self) {
         let now = now();
         self.lock().retain(|_, idle| {
@@ -182,27 +183,29 @@
     }
 }
 
-/// Idle connections that one of some daemons keeps for an endpoint that takes so many.
-pub fn spare(connections: u32, daemons: usize) -> usize {
-    let part = f64::from(connections) * IDLE_PART / daemons.max(1) as f64;
-    (part as u32).clamp(1, SPARE) as usize
+/// How many idle connections one daemon may keep to an endpoint that accepts `connections`,
+/// which `daemons` share.
+pub fn idle_limit(connections: u32, daemons: usize) -> usize {
+    let share = f64::from(connections) * IDLE_SHARE / daemons.max(1) as f64;
+    (share as u32).clamp(1, MAX_IDLE) as usize
 }
 
-impl Kept {
-    /// Keeps the connection for further requests, after the whole answer was read.
-    pub fn release(self, keep: Option<Millis>, spare: usize) {
+impl LeasedConnection {
+    /// Returns the connection to the pool after the complete response was read, unless `limit`
+    /// idle ones are there already.
+    pub fn release(self, idle_timeout: Option<Millis>, limit: usize) {
         if self.sender.is_closed() {
             return;
         }
-        let until = now() + (keep.unwrap_or(KEEP) - KEEP_MARGIN);
+        let until = now() + (idle_timeout.unwrap_or(DEFAULT_IDLE) - IDLE_MARGIN);
         let idle = Idle {
             sender: self.sender,
             until,
         };
-        let mut table = self.connections.lock();
-        let kept = table.entry(self.id).or_default();
-        if kept.len() < spare {
-            kept.push(idle);
+        let mut table = self.pool.lock();
+        let list = table.entry(self.id).or_default();
+        if list.len() < limit {
+            list.push(idle);
         }
     }
 }
--- a/crates/router/src/endpoints/unread.rs
+++ b/crates/router/src/endpoints/unread.rs
@@ -1,7 +1,8 @@
-//! Headers of endpoints' answers that nothing reads: counted all, each name logged once.
+//! Reports response headers of endpoints that nothing reads: all are counted,
+//! and each name is logged once.
 //!
-//! A header that is new on the endpoints' side may say something that should
-//! decide where requests go.
+//! A header that endpoints have newly introduced may carry information that
+//! routing should use.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,12 +15,12 @@
 
 use crate::metrics::Metrics;
 
-/// Names that are logged, at most.
-const NAMES: usize = 64;
-/// Characters of a value that are logged, at most.
-const VALUE: usize = 80;
+/// Maximum number of names that are logged.
+const MAX_NAMES: usize = 64;
+/// Maximum number of logged characters of a value.
+const MAX_VALUE_CHARS: usize = 80;
 
-/// Takes the heads of endpoints' answers.
+/// Counts and logs unread headers.
 #[derive(Debug)]
 pub struct UnreadHeaders {
     seen: Mutex<HashSet<HeaderName>>,
@@ -27,7 +28,7 @@
 }
 
 impl UnreadHeaders {
-    /// Counts into these metrics.
+    /// Creates a reporter that counts in `metrics`.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         Self {
             seen: Mutex::default(),
@@ -35,13 +36,13 @@
         }
     }
 
-    /// Reports what nothing reads of an answer's head.
+    /// Reports the headers of a response that nothing reads.
     pub fn report(&self, headers: &HeaderMap, endpoint: &InstanceId, request: &str) {
         for (name, value) in headers::unread(headers) {
-            self.metrics.unread.inc();
+            self.metrics.unread_headers.inc();
             if self.is_new(name) {
                 log::warn!(
-                    target: "endpoints", header = name.as_str(), value = text(value), endpoint:%, request;
+                    target: "endpoints", header = name.as_str(), value = truncated(value), endpoint:%, request;
                     "endpoints: nothing reads a header of this name"
                 );
             }
@@ -50,11 +51,11 @@
 
     fn is_new(&self, name: &HeaderName) -> bool {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        !seen.contains(name) && seen.len() < NAMES && seen.insert(name.clone())
+        !seen.contains(name) && seen.len() < MAX_NAMES && seen.insert(name.clone())
     }
 }
 
-fn text(value: &HeaderValue) -> String {
+fn truncated(value: &HeaderValue) -> String {
     let text = String::from_utf8_lossy(value.as_bytes());
-    text.chars().take(VALUE).collect()
+    text.chars().take(MAX_VALUE_CHARS).collect()
 }
