--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -1,10 +1,10 @@
-//! Takes callers' requests and brings them answers.
+//! HTTP server for callers: reads requests, routes them to endpoints, and relays the responses.
 
 mod answer;
 mod dispatch;
 mod handler;
-mod order;
 mod relay;
+mod request;
 mod server;
 mod trace;
 
--- a/crates/router/src/entry/answer.rs
+++ b/crates/router/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the entry itself, and the body type of all answers.
+//! Responses of the entry's own, and the body type of all responses.
 
 use bytes::Bytes;
 use derive_more::{Debug, Display, Error};
@@ -12,26 +12,26 @@
 use medlarrill_platform::headers;
 use rand::RngExt;
 
-/// Shortest and longest time after which a refused caller may come back: endpoints that are
-/// full free a slot within some tens of milliseconds, and callers that were refused together
-/// shouldn't come back together.
-const COME_BACK: (Millis, Millis) = (Millis(100), Millis(400));
+/// Minimum and maximum delay after which a refused caller may retry. Full endpoints free a slot
+/// within some tens of milliseconds, and callers that were refused together shouldn't retry
+/// together.
+const RETRY_DELAY: (Millis, Millis) = (Millis(100), Millis(400));
 
-/// A stream that can't go on; the connection ends without the stream's end mark.
+/// A stream that can't be continued; its connection is closed without the final chunk.
 #[derive(Debug, Display, Error)]
 #[display("the stream broke off")]
-pub struct Broken;
+pub struct BrokenStream;
 
-/// Body of any answer.
-pub type Body = UnsyncBoxBody<Bytes, Broken>;
-/// Any answer.
+/// Body of any response.
+pub type Body = UnsyncBoxBody<Bytes, BrokenStream>;
+/// Any response to a caller.
 pub type Answer = Response<Body>;
 
-/// Why the entry answers itself.
+/// Why the entry responds itself.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display)]
 pub enum Reason {
-    /// No configuration was read yet.
+    /// No configuration was received yet.
     #[display("no-configuration")]
     NoConfiguration,
     /// This daemon is stopping.
@@ -40,16 +40,16 @@
     /// No route matches.
     #[display("no-route")]
     NoRoute,
-    /// The caller's key isn't accepted.
+    /// The caller's key was not accepted.
     #[display("denied")]
     Denied(Denied),
-    /// A header can't be read.
+    /// A header is missing or invalid.
     #[display("bad-head")]
     BadHead,
-    /// The body broke off.
+    /// The connection failed before the end of the body.
     #[display("bad-body")]
     BadBody,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     #[display("body-too-large")]
     TooLarge,
     /// The body didn't arrive in time.
@@ -61,7 +61,7 @@
 }
 
 impl Reason {
-    /// Short name, for counters.
+    /// Stable code, for metrics and logs.
     pub const fn code(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The status; 503 and 408 promise that the request hasn't run.
+    /// HTTP status; 503 and 408 promise that the request hasn't run.
     pub const fn status(self) -> StatusCode {
         match self {
             Self::NoConfiguration
@@ -102,9 +102,9 @@
         }
     }
 
-    /// When a refused caller may come back.
-    fn come_back(self) -> Millis {
-        let (least, most) = COME_BACK;
+    /// Delay after which a refused caller may retry.
+    fn retry_delay(self) -> Millis {
+        let (least, most) = RETRY_DELAY;
         let mut rng = rand::rng();
         match self {
             Self::Refused(Refusal::Overloaded { wait } | Refusal::Quarantined { wait }) => wait,
@@ -116,24 +116,24 @@
     }
 }
 
-/// The entry's own answer.
-pub fn own(reason: Reason, detail: &str) -> Answer {
+/// Creates the entry's own response, with a JSON body.
+pub fn own_answer(reason: Reason, detail: &str) -> Answer {
     let text = serde_json::json!({ "error": reason.to_string(), "detail": detail }).to_string();
-    let mut answer = whole(reason.status(), HeaderMap::new(), text.into());
+    let mut answer = full_answer(reason.status(), HeaderMap::new(), text.into());
     let headers = answer.headers_mut();
     let json = HeaderValue::from_static("application/json");
     headers.insert(header::CONTENT_TYPE, json);
     if reason.status() == StatusCode::SERVICE_UNAVAILABLE {
         headers.insert(
             header::RETRY_AFTER,
-            headers::retry_after(reason.come_back()),
+            headers::retry_after(reason.retry_delay()),
         );
     }
     answer
 }
 
-/// An answer whose body is at hand.
-pub fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Answer {
+/// Creates a response with a complete body.
+pub fn full_answer(status: StatusCode, headers: HeaderMap, body: Bytes) -> Answer {
     let body = Full::new(body)
         .map_err(|never| match never {})
         .boxed_unsync();
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends a request to endpoints until one answers.
+//! Sends a request to endpoints until one answers or no attempt is left.
 
 use bytes::Bytes;
 use derive_more::Debug;
@@ -15,68 +15,68 @@
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
 
-use super::order::Order;
+use super::request::RoutedRequest;
 use super::trace::Trace;
-use crate::endpoints::{Kept, SendError, Sent};
-use crate::placement::Flight;
+use crate::endpoints::{LeasedConnection, SendError, Sent};
+use crate::placement::InFlight;
 
-/// Time beyond the deadline in which an endpoint's own answer to it may come.
-const GRACE: Millis = Millis(80);
-/// Largest answer that isn't a stream.
-const ANSWER_MAX: usize = 8 << 20;
+/// Time beyond the deadline in which an endpoint's own timeout response may still arrive.
+const DEADLINE_GRACE: Millis = Millis(80);
+/// Maximum size of a response that isn't a stream, in bytes.
+const MAX_ANSWER: usize = 8 << 20;
 
-/// What came of a request.
+/// Result of dispatching a request.
 #[derive(Debug)]
-pub enum Answered {
-    /// A whole answer.
-    Whole(Whole),
-    /// The start of a stream.
-    Events(Box<Opened>),
-    /// No answer that can be handed on.
-    Nothing(Refusal),
+pub enum Dispatched {
+    /// A complete response.
+    Answer(FullAnswer),
+    /// A stream whose head was received.
+    Stream(Box<OpenStream>),
+    /// No response that can be forwarded.
+    Refused(Refusal),
 }
 
-/// An endpoint's whole answer.
+/// A complete response of an endpoint.
 #[derive(Debug)]
-pub struct Whole {
-    /// Its status.
+pub struct FullAnswer {
+    /// Status of the response.
     pub status: StatusCode,
     /// Headers for the caller.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// Whether the body's end was marked.
+    /// Whether a length or chunks marked the end of the body.
     pub is_framed: bool,
 }
 
-/// A stream that has begun.
+/// A stream of events whose head was received.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenStream {
     /// Headers for the caller.
     pub headers: HeaderMap,
-    /// The events.
+    /// Body that carries the events.
     pub body: Incoming,
-    /// Its connection.
-    pub kept: Kept,
-    /// How long the connection may be idle.
-    pub keep: Option<Millis>,
-    /// Whether the stream's end will be marked.
+    /// Connection that carries the body.
+    pub connection: LeasedConnection,
+    /// Idle time that the endpoint announced for the connection.
+    pub idle_timeout: Option<Millis>,
+    /// Whether a length or chunks will mark the end of the stream.
     pub is_framed: bool,
-    /// The request at its endpoint.
-    pub flight: Flight,
-    /// The endpoint.
+    /// Counts the request at its endpoint.
+    pub in_flight: InFlight,
+    /// The endpoint that sends the stream.
     pub endpoint: InstanceId,
 }
 
-/// A failed attempt, with the endpoint's answer if that can be handed on.
+/// A failed attempt, with the endpoint's response if that may be forwarded.
 #[derive(Debug)]
-struct Failed {
+struct FailedAttempt {
     fault: Fault,
     cause: String,
-    answer: Option<Box<Whole>>,
+    answer: Option<Box<FullAnswer>>,
 }
 
-impl Failed {
+impl FailedAttempt {
     fn new(fault: Fault, cause: impl ToString) -> Self {
         Self {
             fault,
@@ -86,24 +86,24 @@
     }
 }
 
-type Result<T> = std::result::Result<T, Failed>;
+type Result<T> = std::result::Result<T, FailedAttempt>;
 
-/// Sends a request until an endpoint answers, or nothing more can be done.
+/// Sends a request until an endpoint answers, or no further attempt is possible.
 pub async fn dispatch(
-    order: &Order,
+    routed: &RoutedRequest,
     plan: &mut Plan,
     last_event: Option<u64>,
     trace: &mut Trace,
-) -> Answered {
-    let placement = &order.shared.placement;
-    let shared = order.call.shared().filter(|_| order.route.cached);
-    let shared = shared.as_ref();
-    let mut failure = None;
+) -> Dispatched {
+    let placement = &routed.shared.placement;
+    let shared_prefix = routed.call.shared().filter(|_| routed.route.cached);
+    let shared_prefix = shared_prefix.as_ref();
+    let mut failed_answer = None;
     let refusal = loop {
-        let (choice, flight) = match placement.choose(&order.pool, shared, plan, now()) {
+        let (choice, in_flight) = match placement.choose(&routed.pool, shared_prefix, plan, now()) {
             Ok(placed) => placed,
             Err(NoPlace::Overloaded(overload)) => {
-                trace.overloaded(&overload);
+                trace.log_overload(&overload);
                 break Refusal::Overloaded {
                     wait: overload.wait,
                 };
@@ -112,159 +112,169 @@
             Err(NoPlace::Nothing) => break plan.refusal(plan.deadline() <= now()),
         };
         let left = plan.deadline().since(now());
-        trace.attempt(&choice, shared, left);
-        let request = order.to_endpoint(&choice, left, last_event);
+        trace.log_attempt(&choice, shared_prefix, left);
+        let request = routed.to_endpoint(&choice, left, last_event);
         let id = choice.endpoint.id.clone();
-        let failed = match attempt(order, plan, &choice.endpoint, flight, request).await {
-            Ok(answered) => {
-                placement.good(&id, now());
-                if let Answered::Whole(whole) = &answered
-                    && whole.is_framed
+        let failed = match attempt(routed, plan, &choice.endpoint, in_flight, request).await {
+            Ok(dispatched) => {
+                placement.record_success(&id, now());
+                if let Dispatched::Answer(answer) = &dispatched
+                    && answer.is_framed
                 {
-                    placement.served(plan, now());
+                    placement.record_served(plan, now());
                 }
-                return answered;
+                return dispatched;
             }
             Err(failed) => failed,
         };
-        if let Some(prefix) = shared
+        if let Some(prefix) = shared_prefix
             && failed.fault.outcome() != Outcome::Ran
         {
-            placement.take_back(prefix, &id);
+            placement.retract_prefix(prefix, &id);
         }
-        let next = fail(order, plan, &id, &failed, trace);
-        failure = failed.answer.or(failure);
+        let next = record_failure(routed, plan, &id, &failed, trace);
+        failed_answer = failed.answer.or(failed_answer);
         if let Next::GiveUp(refusal) = next {
             break refusal;
         }
     };
-    let refusal = closed(order, refusal, trace);
-    match (refusal, failure) {
-        (Refusal::Unknown | Refusal::Timeout, Some(answer)) => Answered::Whole(*answer),
-        _ => Answered::Nothing(refusal),
+    let refusal = refine_refusal(routed, refusal, trace);
+    match (refusal, failed_answer) {
+        (Refusal::Unknown | Refusal::Timeout, Some(answer)) => Dispatched::Answer(*answer),
+        _ => Dispatched::Refused(refusal),
     }
 }
 
-/// Tells a caller that is refused when its pool takes work again, where it takes none.
-fn closed(order: &Order, refusal: Refusal, trace: &Trace) -> Refusal {
+/// Turns a refusal into `Unavailable`, with the time until the pool takes work again, if no
+/// endpoint of the pool takes any now.
+fn refine_refusal(routed: &RoutedRequest, refusal: Refusal, trace: &Trace) -> Refusal {
     if refusal != Refusal::NotRun {
         return refusal;
     }
-    let Some(wait) = order.shared.placement.closed_for(&order.pool, now()) else {
+    let Some(wait) = routed.shared.placement.closed_for(&routed.pool, now()) else {
         return refusal;
     };
-    trace.closed(&order.pool, wait);
+    trace.log_closed_pool(&routed.pool, wait);
     Refusal::Unavailable { wait }
 }
 
-/// Sends a request to one endpoint and waits for its answer.
+/// Sends a request to one endpoint and waits for its response.
 async fn attempt(
-    order: &Order,
+    routed: &RoutedRequest,
     plan: &Plan,
     endpoint: &Endpoint,
-    flight: Flight,
+    in_flight: InFlight,
     request: Request<Full<Bytes>>,
-) -> Result<Answered> {
-    let wait = patience(plan);
-    let sending = order.shared.connections.send(endpoint, request);
+) -> Result<Dispatched> {
+    let wait = head_timeout(plan);
+    let sending = routed.shared.connections.send(endpoint, request);
     match tokio::time::timeout(wait.as_duration(), sending).await {
-        Ok(Ok(sent)) => receive(order, plan, sent, flight, endpoint.id.clone()).await,
-        Ok(Err(SendError::NotSent(cause))) => Err(Failed::new(Fault::NotSent, cause)),
-        Ok(Err(SendError::Lost(cause))) => Err(Failed::new(Fault::Lost, cause)),
-        Err(_) => Err(Failed::new(Fault::Slow, format!("no head in {wait}"))),
+        Ok(Ok(sent)) => receive(routed, plan, sent, in_flight, endpoint.id.clone()).await,
+        Ok(Err(SendError::NotSent(cause))) => Err(FailedAttempt::new(Fault::NotSent, cause)),
+        Ok(Err(SendError::Lost(cause))) => Err(FailedAttempt::new(Fault::Lost, cause)),
+        Err(_) => Err(FailedAttempt::new(
+            Fault::Slow,
+            format!("no head in {wait}"),
+        )),
     }
 }
 
-/// Takes note of a failed attempt and says what follows.
-fn fail(order: &Order, plan: &mut Plan, id: &InstanceId, failed: &Failed, trace: &Trace) -> Next {
-    let next = order.fail(plan, id, failed.fault, now());
-    let repeats = order.shared.placement.repeats(&order.pool, now());
-    trace.fault(failed.fault, &failed.cause, next == Next::Again, &repeats);
+/// Records and logs a failed attempt; returns whether to try again.
+fn record_failure(
+    routed: &RoutedRequest,
+    plan: &mut Plan,
+    id: &InstanceId,
+    failed: &FailedAttempt,
+    trace: &Trace,
+) -> Next {
+    let next = routed.record_failure(plan, id, failed.fault, now());
+    let budget = routed.shared.placement.retry_budget(&routed.pool, now());
+    trace.log_fault(failed.fault, &failed.cause, next == Next::Again, &budget);
     next
 }
 
-/// Longest wait for the head of an answer.
-fn patience(plan: &Plan) -> Millis {
+/// Timeout for the head of a response.
+fn head_timeout(plan: &Plan) -> Millis {
     let patience = plan.patience(now());
     let left = plan.deadline().since(now());
     if patience >= left {
-        left + GRACE
+        left + DEADLINE_GRACE
     } else {
         patience
     }
 }
 
-/// Judges the head of an answer, and reads its body unless it is a stream.
+/// Checks the head of a response, and reads its body unless it is a stream.
 async fn receive(
-    order: &Order,
+    routed: &RoutedRequest,
     plan: &Plan,
     sent: Sent,
-    flight: Flight,
+    in_flight: InFlight,
     endpoint: InstanceId,
-) -> Result<Answered> {
+) -> Result<Dispatched> {
     let (head, body) = sent.answer.into_parts();
-    let told = headers::read_answer(head.status, &head.headers);
-    let unread = &order.shared.unread;
-    unread.report(&head.headers, &endpoint, &order.call.attempt);
-    hear(order, &endpoint, &told, sent.handed);
-    if sent.fresh {
-        order.shared.metrics.connects.inc();
+    let decoded = headers::read_answer(head.status, &head.headers);
+    let unread = &routed.shared.unread_headers;
+    unread.report(&head.headers, &endpoint, &routed.call.attempt);
+    apply_head(routed, &endpoint, &decoded, sent.sent_at);
+    if sent.is_new {
+        routed.shared.metrics.connects.inc();
     }
-    if let Some((fault, cause)) = told.fault(&order.call.attempt) {
-        return Err(Failed::new(fault, cause));
+    if let Some((fault, cause)) = decoded.fault(&routed.call.attempt) {
+        return Err(FailedAttempt::new(fault, cause));
     }
     let headers = headers::to_caller(&head.headers);
-    if head.status == StatusCode::OK && told.events {
-        return Ok(Answered::Events(Box::new(Opened {
+    if head.status == StatusCode::OK && decoded.events {
+        return Ok(Dispatched::Stream(Box::new(OpenStream {
             headers,
             body,
-            kept: sent.kept,
-            keep: told.keep,
-            is_framed: told.framed,
-            flight,
+            connection: sent.connection,
+            idle_timeout: decoded.keep,
+            is_framed: decoded.framed,
+            in_flight,
             endpoint,
         })));
     }
-    let body = read(plan, body).await?;
-    sent.kept.release(told.keep, order.spare());
-    let whole = Whole {
+    let body = read_body(plan, body).await?;
+    sent.connection.release(decoded.keep, routed.idle_limit());
+    let answer = FullAnswer {
         status: head.status,
         headers,
         body,
-        is_framed: told.framed,
+        is_framed: decoded.framed,
     };
-    if !told.is_failure() {
-        return Ok(Answered::Whole(whole));
+    if !decoded.is_failure() {
+        return Ok(Dispatched::Answer(answer));
     }
-    let mut failed = Failed::new(Fault::Failed, head.status);
-    // A status that tells the caller that the request hasn't run would be untrue.
-    failed.answer = (!told.says_not_run()).then(|| Box::new(whole));
+    let mut failed = FailedAttempt::new(Fault::Failed, head.status);
+    // Not forwarded if its status would tell the caller that the request hasn't run: it may have.
+    failed.answer = (!decoded.says_not_run()).then(|| Box::new(answer));
     Err(failed)
 }
 
-/// Takes note of what an endpoint says of itself in the head of the answer to a request that was
-/// handed over at a time since the Unix epoch.
-fn hear(order: &Order, id: &InstanceId, told: &AnswerHead, handed: Millis) {
-    if !told.is_from(&id.endpoint, &order.call.attempt) {
+/// Applies what an endpoint reports of itself in the head of the response to a request that was
+/// sent at `sent_at`, since the Unix epoch.
+fn apply_head(routed: &RoutedRequest, id: &InstanceId, head: &AnswerHead, sent_at: Millis) {
+    if !head.is_from(&id.endpoint, &routed.call.attempt) {
         return;
     }
-    let placement = &order.shared.placement;
-    if let Some(load) = told.load {
-        placement.report(id, load, now());
+    let placement = &routed.shared.placement;
+    if let Some(load) = head.load {
+        placement.update_load(id, load, now());
     }
-    if let Some(left) = told.warming {
-        placement.spare(id, left, now());
+    if let Some(left) = head.warming {
+        placement.begin_slow_start(id, left, now());
     }
-    placement.note(id, told.notice(), handed, &order.call.attempt);
+    placement.apply_notice(id, head.notice(), sent_at, &routed.call.attempt);
 }
 
-/// Reads a body that isn't a stream.
-async fn read(plan: &Plan, body: Incoming) -> Result<Bytes> {
-    let left = plan.deadline().since(now()) + GRACE;
-    let reading = Limited::new(body, ANSWER_MAX).collect();
+/// Reads the complete body of a response that isn't a stream.
+async fn read_body(plan: &Plan, body: Incoming) -> Result<Bytes> {
+    let left = plan.deadline().since(now()) + DEADLINE_GRACE;
+    let reading = Limited::new(body, MAX_ANSWER).collect();
     match tokio::time::timeout(left.as_duration(), reading).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) => Err(Failed::new(Fault::Cut, error)),
-        Err(_) => Err(Failed::new(Fault::Slow, "the answer didn't end")),
+        Ok(Err(error)) => Err(FailedAttempt::new(Fault::Cut, error)),
+        Err(_) => Err(FailedAttempt::new(Fault::Slow, "the answer didn't end")),
     }
 }
--- a/crates/router/src/entry/handler.rs
+++ b/crates/router/src/entry/handler.rs
@@ -1,4 +1,4 @@
-//! Reads a request, checks it, and has it answered.
+//! Reads and checks a request, and dispatches it.
 
 use std::sync::Arc;
 
@@ -17,31 +17,31 @@
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
 
-use super::answer::{Answer, Reason, own, whole};
-use super::dispatch::{Answered, dispatch};
-use super::order::Order;
+use super::answer::{Answer, Reason, full_answer, own_answer};
+use super::dispatch::{Dispatched, dispatch};
 use super::relay;
+use super::request::RoutedRequest;
 use super::trace::Trace;
 use crate::shared::Shared;
 
-/// Longest time for a body to arrive; callers send some tens of kilobytes over fast links.
-const BODY_WAIT: Millis = Millis::from_secs(10);
+/// Timeout for the body of a request; callers send some tens of kilobytes over fast links.
+const BODY_TIMEOUT: Millis = Millis::from_secs(10);
 
-/// Time since the start within which requests wait for the first configuration. It is read
-/// within some 20 ms, some 200 where many daemons start at once; a refused caller would lose
-/// more, since it comes back once only.
-const STARTING: Millis = Millis(600);
+/// Time since the start of the process within which requests wait for the first configuration. It
+/// arrives within some 20 ms, or 200 ms when many daemons start at once; a refused caller would
+/// lose more, since it retries only once.
+const STARTUP_WAIT: Millis = Millis(600);
 
-/// A refusal with what is wrong.
-type Refused = (Reason, String);
-type Result<T> = std::result::Result<T, Refused>;
+/// Reason of a refusal, with details for the caller.
+type Rejection = (Reason, String);
+type Result<T> = std::result::Result<T, Rejection>;
 
-/// Answers one request.
+/// Handles one request of a caller.
 pub async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Answer {
     let arrived = now();
     let mut trace = Trace::new(&shared, arrived);
-    let mut answer = match read(&shared, request, &mut trace).await {
-        Ok(order) => serve(order, arrived, trace).await,
+    let mut answer = match read_request(&shared, request, &mut trace).await {
+        Ok(routed) => serve(routed, arrived, trace).await,
         Err((reason, detail)) => refuse(trace, reason, &detail),
     };
     if shared.stage(now()) != Stage::Serving {
@@ -52,25 +52,26 @@
 }
 
 fn refuse(mut trace: Trace, reason: Reason, detail: &str) -> Answer {
-    trace.refused(reason);
-    own(reason, detail)
+    trace.record_refused(reason);
+    own_answer(reason, detail)
 }
 
-/// Reads and checks a request.
-async fn read(
+/// Reads a request, checks it, and picks its route and pool.
+async fn read_request(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
     trace: &mut Trace,
-) -> Result<Order> {
+) -> Result<RoutedRequest> {
     let (parts, body) = request.into_parts();
-    let call = headers::read_request(&parts.headers).map_err(|error| (Reason::BadHead, error.to_string()));
+    let call =
+        headers::read_request(&parts.headers).map_err(|error| (Reason::BadHead, error.to_string()));
     if let Ok(call) = &call {
-        trace.request(&call.attempt);
+        trace.set_id(&call.attempt);
     }
     if shared.stage(now()) >= Stage::Draining {
         return Err((Reason::Stopping, String::new()));
     }
-    let Some(config) = configuration(shared).await else {
+    let Some(config) = wait_for_config(shared).await else {
         return Err((Reason::NoConfiguration, String::new()));
     };
     let path = parts.uri.path();
@@ -88,13 +89,13 @@
             )
         })?
         .cloned();
-    let pool = route.pool(shared.placement.draw()).cloned();
+    let pool = route.pool(shared.placement.random()).cloned();
     let Some(pool) = pool else {
         return Err((Reason::NoRoute, format!("route {} has no pool", route.name)));
     };
     let body = read_body(&config, body).await?;
     let fingerprint = fingerprint(&parts, account.as_deref(), &body);
-    let order = Order {
+    let routed = RoutedRequest {
         shared: Arc::clone(shared),
         config,
         route,
@@ -107,40 +108,40 @@
         headers: parts.headers,
         body,
     };
-    trace.order(&order);
-    Ok(order)
+    trace.set_request(&routed);
+    Ok(routed)
 }
 
-/// The configuration in force. A daemon that has just started is about to read one, and the
-/// list of endpoints.
-async fn configuration(shared: &Shared) -> Option<Arc<Configuration>> {
-    let wait = STARTING.since(now());
+/// Returns the active configuration. A daemon that has just started waits for it and for the list
+/// of endpoints, both of which arrive soon.
+async fn wait_for_config(shared: &Shared) -> Option<Arc<Configuration>> {
+    let wait = STARTUP_WAIT.since(now());
     let mut config = shared.config.clone();
-    let mut listed = shared.listed.clone();
+    let mut listed = shared.is_listed.clone();
     if wait > Millis::ZERO {
-        let known = async {
+        let ready = async {
             config.wait_for(Option::is_some).await.ok();
             listed.wait_for(|listed| *listed).await.ok();
         };
-        // Where it is too late, the request is refused below.
-        tokio::time::timeout(wait.as_duration(), known).await.ok();
+        // On timeout the request is refused below.
+        tokio::time::timeout(wait.as_duration(), ready).await.ok();
     }
-    // Endpoints that aren't known to take work get none.
-    let is_listed = *shared.listed.borrow();
+    // Until the endpoints are listed, none is known to take work.
+    let is_listed = *shared.is_listed.borrow();
     shared.config.borrow().clone().filter(|_| is_listed)
 }
 
-/// The host that the caller asked for, without a port.
+/// Returns the requested host without its port.
 fn host(parts: &Parts) -> Option<&str> {
-    let named = parts.headers.get(header::HOST);
+    let host_header = parts.headers.get(header::HOST);
     let host = match parts.uri.host() {
         Some(host) => host,
-        None => named?.to_str().ok()?,
+        None => host_header?.to_str().ok()?,
     };
     Some(host.split_once(':').map_or(host, |(host, _)| host))
 }
 
-/// What tells whether another request asks for the same.
+/// Computes the fingerprint of a request.
 fn fingerprint(parts: &Parts, account: Option<&Account>, body: &[u8]) -> Fingerprint {
     let host = host(parts).unwrap_or_default();
     let path = parts.uri.path_and_query();
@@ -148,46 +149,46 @@
     Fingerprint::new(host, path, account.map(|account| &account.id), body)
 }
 
-/// Path and query only, as an endpoint is asked.
+/// Returns only the path and query, as sent to endpoints.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
 }
 
 async fn read_body(config: &Configuration, body: Incoming) -> Result<Bytes> {
-    let most = usize::try_from(config.limits.body.0).unwrap_or(usize::MAX);
-    let too_large = || (Reason::TooLarge, format!("at most {most} bytes"));
-    if body.size_hint().lower() > most as u64 {
+    let limit = usize::try_from(config.limits.body.0).unwrap_or(usize::MAX);
+    let too_large = || (Reason::TooLarge, format!("at most {limit} bytes"));
+    if body.size_hint().lower() > limit as u64 {
         return Err(too_large());
     }
-    let read = Limited::new(body, most).collect();
-    match tokio::time::timeout(BODY_WAIT.as_duration(), read).await {
+    let read = Limited::new(body, limit).collect();
+    match tokio::time::timeout(BODY_TIMEOUT.as_duration(), read).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
         Ok(Err(error)) => Err((Reason::BadBody, error.to_string())),
-        Err(_) => Err((Reason::SlowBody, format!("not whole after {BODY_WAIT}"))),
+        Err(_) => Err((Reason::SlowBody, format!("not whole after {BODY_TIMEOUT}"))),
     }
 }
 
-/// Has a request answered by an endpoint.
-async fn serve(order: Order, arrived: Millis, mut trace: Trace) -> Answer {
-    let wait = order.call.wait.unwrap_or(Millis::MAX);
-    let plan = Plan::new(&order.route, arrived + wait.min(order.route.timeout));
-    let mut plan = plan.with_fingerprint(order.fingerprint);
-    order.shared.placement.request(&order.pool, now());
-    let first = order.call.last_event;
-    match dispatch(&order, &mut plan, first, &mut trace).await {
-        Answered::Whole(answer) => {
-            trace.head(answer.status.as_u16());
-            trace.bytes(answer.body.len());
-            trace.answered();
-            whole(answer.status, answer.headers, answer.body)
+/// Dispatches a request and answers the caller.
+async fn serve(routed: RoutedRequest, arrived: Millis, mut trace: Trace) -> Answer {
+    let wait = routed.call.wait.unwrap_or(Millis::MAX);
+    let plan = Plan::new(&routed.route, arrived + wait.min(routed.route.timeout));
+    let mut plan = plan.with_fingerprint(routed.fingerprint);
+    routed.shared.placement.record_request(&routed.pool, now());
+    let last_event = routed.call.last_event;
+    match dispatch(&routed, &mut plan, last_event, &mut trace).await {
+        Dispatched::Answer(answer) => {
+            trace.record_head(answer.status.as_u16());
+            trace.add_bytes(answer.body.len());
+            trace.record_answered();
+            full_answer(answer.status, answer.headers, answer.body)
         }
-        Answered::Events(opened) => {
-            trace.head(200);
-            relay::start(order, plan, *opened, trace)
+        Dispatched::Stream(stream) => {
+            trace.record_head(200);
+            relay::start(routed, plan, *stream, trace)
         }
-        Answered::Nothing(refusal) => refuse(trace, Reason::Refused(refusal), detail(refusal)),
+        Dispatched::Refused(refusal) => refuse(trace, Reason::Refused(refusal), detail(refusal)),
     }
 }
 
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -1,4 +1,4 @@
-//! Hands a stream of events on, and goes on at another endpoint where it may.
+//! Relays a stream of events to the caller, and resumes it at another endpoint if allowed.
 
 use bytes::Bytes;
 use derive_more::Debug;
@@ -14,58 +14,58 @@
 use medlarrill_core::routing::plan::{Next, Plan};
 use medlarrill_net::now::now;
 
-use super::answer::{Answer, Broken, whole};
-use super::dispatch::{Answered, Opened, dispatch};
-use super::order::Order;
+use super::answer::{Answer, BrokenStream, full_answer};
+use super::dispatch::{Dispatched, OpenStream, dispatch};
+use super::request::RoutedRequest;
 use super::trace::Trace;
-use crate::endpoints::Kept;
-use crate::placement::Flight;
+use crate::endpoints::LeasedConnection;
+use crate::placement::InFlight;
 
-/// Time beyond the deadline in which the end of a stream may come.
-const GRACE: Millis = Millis(80);
-/// Pauses between events, against the longest that the route wants, after which a stream that
-/// may go on elsewhere does.
-const STUCK: u64 = 2;
+/// Time beyond the deadline in which the end of a stream may still arrive.
+const DEADLINE_GRACE: Millis = Millis(80);
+/// A pause between events counts as stuck from this multiple of the route's target gap on; the
+/// stream is then resumed elsewhere, if it may be.
+const STUCK_GAPS: u64 = 2;
 
-/// A stream on its way to the caller.
+/// A stream that is being relayed to the caller.
 #[derive(Debug)]
-struct Relay {
-    order: Order,
+struct StreamRelay {
+    routed: RoutedRequest,
     plan: Plan,
     trace: Trace,
     source: Option<Source>,
     splitter: Splitter,
 }
 
-/// Where events come from.
+/// The endpoint's response from which events are read.
 #[derive(Debug)]
 struct Source {
     body: Incoming,
-    kept: Kept,
-    keep: Option<Millis>,
+    connection: LeasedConnection,
+    idle_timeout: Option<Millis>,
     is_framed: bool,
     #[expect(
         dead_code,
         reason = "counts the request at its endpoint until it is dropped"
     )]
-    flight: Flight,
+    in_flight: InFlight,
     endpoint: InstanceId,
 }
 
-/// What came of waiting for a piece.
+/// Result of waiting for the next bytes.
 enum Piece {
     Bytes(Bytes),
     End,
     Fault(Fault, String),
 }
 
-/// The answer that hands a stream on.
-pub fn start(order: Order, plan: Plan, opened: Opened, trace: Trace) -> Answer {
-    let headers = opened.headers.clone();
-    let relay = Relay {
-        splitter: Splitter::new(order.call.last_event),
-        source: Some(opened.into()),
-        order,
+/// Creates the response that relays a stream.
+pub fn start(routed: RoutedRequest, plan: Plan, stream: OpenStream, trace: Trace) -> Answer {
+    let headers = stream.headers.clone();
+    let relay = StreamRelay {
+        splitter: Splitter::new(routed.call.last_event),
+        source: Some(stream.into()),
+        routed,
         plan,
         trace,
     };
@@ -77,36 +77,36 @@
             None => None,
         }
     });
-    let mut answer = whole(StatusCode::OK, headers, Bytes::new());
+    let mut answer = full_answer(StatusCode::OK, headers, Bytes::new());
     *answer.body_mut() = StreamBody::new(pieces).boxed_unsync();
     answer
 }
 
-impl From<Opened> for Source {
-    fn from(opened: Opened) -> Self {
+impl From<OpenStream> for Source {
+    fn from(stream: OpenStream) -> Self {
         Self {
-            body: opened.body,
-            kept: opened.kept,
-            keep: opened.keep,
-            is_framed: opened.is_framed,
-            flight: opened.flight,
-            endpoint: opened.endpoint,
+            body: stream.body,
+            connection: stream.connection,
+            idle_timeout: stream.idle_timeout,
+            is_framed: stream.is_framed,
+            in_flight: stream.in_flight,
+            endpoint: stream.endpoint,
         }
     }
 }
 
-impl Relay {
+impl StreamRelay {
     fn may_resume(&self) -> bool {
-        self.order.route.repeat == Repeat::Resume
+        self.routed.route.repeat == Repeat::Resume
     }
 
-    /// The next piece for the caller, none at the stream's end.
-    async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
+    /// Returns the next bytes for the caller, `None` at the end of the stream.
+    async fn next(&mut self) -> Option<Result<Bytes, BrokenStream>> {
         loop {
             let (fault, cause) = match self.piece().await {
                 Piece::Bytes(bytes) if bytes.is_empty() => continue,
                 Piece::Bytes(bytes) => {
-                    self.trace.bytes(bytes.len());
+                    self.trace.add_bytes(bytes.len());
                     return Some(Ok(bytes));
                 }
                 Piece::End => {
@@ -116,12 +116,13 @@
                 Piece::Fault(fault, cause) => (fault, cause),
             };
             if !self.resume(fault, &cause).await {
-                self.trace.broken();
-                return Some(Err(Broken));
+                self.trace.record_broken();
+                return Some(Err(BrokenStream));
             }
         }
     }
 
+    /// Waits for the next bytes from the source; with resumption allowed, only complete events.
     async fn piece(&mut self) -> Piece {
         let wait = self.wait();
         let resumes = self.may_resume();
@@ -146,57 +147,65 @@
         }
     }
 
-    /// Longest wait for the next piece.
+    /// Timeout for the next bytes.
     fn wait(&self) -> Millis {
         let left = self.plan.deadline().since(now());
-        let stuck = Millis(self.order.route.gap.0 * STUCK);
+        let stuck = Millis(self.routed.route.gap.0 * STUCK_GAPS);
         match self.plan.may_run_again() && stuck > Millis::ZERO {
-            true => (left + GRACE).min(stuck),
-            false => left + GRACE,
+            true => (left + DEADLINE_GRACE).min(stuck),
+            false => left + DEADLINE_GRACE,
         }
     }
 
-    /// Goes on at another endpoint; false if it can't.
+    /// Resumes the stream at another endpoint; returns false if that isn't possible.
     async fn resume(&mut self, fault: Fault, cause: &str) -> bool {
         let Some(source) = self.source.take() else {
             return false;
         };
         let id = source.endpoint.clone();
-        // Ends the work at the endpoint before the same request runs at another.
+        // Ends the request at this endpoint before it runs at another.
         drop(source);
         let next = match self.may_resume() {
-            true => self.order.fail(&mut self.plan, &id, fault, now()),
+            true => self
+                .routed
+                .record_failure(&mut self.plan, &id, fault, now()),
             false => {
-                self.order.note_fault(&self.plan, &id, fault, now());
+                self.routed.record_fault(&self.plan, &id, fault, now());
                 Next::GiveUp(self.plan.refusal(false))
             }
         };
-        let placement = &self.order.shared.placement;
-        let repeats = placement.repeats(&self.order.pool, now());
+        let placement = &self.routed.shared.placement;
+        let budget = placement.retry_budget(&self.routed.pool, now());
         self.trace
-            .fault(fault, cause, next == Next::Again, &repeats);
+            .log_fault(fault, cause, next == Next::Again, &budget);
         if next != Next::Again {
             return false;
         }
         self.splitter.trim();
         let last = self.splitter.last();
-        let answered = dispatch(&self.order, &mut self.plan, last, &mut self.trace).await;
-        let Answered::Events(opened) = answered else {
+        let dispatched = dispatch(&self.routed, &mut self.plan, last, &mut self.trace).await;
+        let Dispatched::Stream(stream) = dispatched else {
             return false;
         };
-        self.order.shared.metrics.resumed.inc();
-        self.source = Some((*opened).into());
+        self.routed.shared.metrics.resumed.inc();
+        self.source = Some((*stream).into());
         true
     }
 
+    /// Completes the request and returns the connection to the pool.
     fn end(&mut self) {
-        self.trace.answered();
+        self.trace.record_answered();
         if let Some(source) = self.source.take() {
-            // An endpoint that ends in an answer without a marked end seems to have ended that.
+            // Without a marked end, an endpoint that dies looks like one that has finished.
             if source.is_framed {
-                self.order.shared.placement.served(&self.plan, now());
+                self.routed
+                    .shared
+                    .placement
+                    .record_served(&self.plan, now());
             }
-            source.kept.release(source.keep, self.order.spare());
+            source
+                .connection
+                .release(source.idle_timeout, self.routed.idle_limit());
         }
     }
 }
--- a/crates/router/src/entry/order.rs
+++ b/crates/router/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! A request that was read and may be sent to endpoints.
+//! A request with its route and pool, ready to be sent to endpoints.
 
 use std::sync::Arc;
 
@@ -19,75 +19,81 @@
 use medlarrill_core::routing::request::Call;
 use medlarrill_platform::headers::{self, Outgoing};
 
-use crate::endpoints::spare;
+use crate::endpoints::idle_limit;
 use crate::shared::Shared;
 
-/// A request, checked against one configuration.
+/// A request that was read completely, checked against one configuration and routed to a pool.
 #[derive(Debug)]
-pub struct Order {
-    /// What the daemon's tasks share.
+pub struct RoutedRequest {
+    /// State shared by the daemon's tasks.
     #[debug(skip)]
     pub shared: Arc<Shared>,
-    /// The configuration it was checked against.
+    /// Configuration against which it was checked.
     #[debug("{}", config.version)]
     pub config: Arc<Configuration>,
-    /// Its route.
+    /// Matching route.
     pub route: Arc<Route>,
-    /// Its account.
+    /// Account of the caller's key, if there is one.
     pub account: Option<Arc<Account>>,
-    /// The pool that serves it.
+    /// Pool that serves it.
     pub pool: PoolId,
-    /// Its head, decoded.
+    /// Decoded head.
     pub call: Call,
-    /// What tells whether another request asks for the same.
+    /// Fingerprint, equal for requests that ask for the same.
     pub fingerprint: Fingerprint,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query, without scheme and host.
     pub uri: Uri,
-    /// Its headers as they came.
+    /// Headers as received.
     #[debug(skip)]
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     #[debug("{} bytes", body.len())]
     pub body: Bytes,
 }
 
-impl Order {
-    /// Its rank, by the account before the route.
+impl RoutedRequest {
+    /// Priority of the account if it has one, else of the route.
     pub fn priority(&self) -> Priority {
         let account = self.account.as_ref();
         let rank = account.and_then(|account| account.priority);
         rank.unwrap_or(self.route.priority)
     }
 
-    /// Idle connections that this daemon keeps for an endpoint of the pool.
-    pub fn spare(&self) -> usize {
+    /// Maximum number of idle connections that this daemon keeps to each endpoint of the pool.
+    pub fn idle_limit(&self) -> usize {
         let pool = self.config.pools.get(&self.pool);
         let connections = pool.map_or(0, |pool| pool.connections);
-        spare(connections, self.shared.placement.daemons())
+        idle_limit(connections, self.shared.placement.daemon_count())
     }
 
-    /// Takes note of a failed attempt and says what follows. Where no endpoint is left to try,
-    /// the budget of repeats isn't charged.
-    pub fn fail(&self, plan: &mut Plan, id: &InstanceId, fault: Fault, now: Millis) -> Next {
-        self.note_fault(plan, id, fault, now);
+    /// Records a failed attempt; returns whether to try again. If no other endpoint is left to
+    /// try, the retry budget isn't charged.
+    pub fn record_failure(
+        &self,
+        plan: &mut Plan,
+        id: &InstanceId,
+        fault: Fault,
+        now: Millis,
+    ) -> Next {
+        self.record_fault(plan, id, fault, now);
         let placement = &self.shared.placement;
-        let has_other = placement.has_other(&self.pool, plan, id, now);
-        let spend = || has_other && placement.spend(&self.pool, now);
+        let has_other = placement.has_alternative(&self.pool, plan, id, now);
+        let spend = || has_other && placement.spend_retry(&self.pool, now);
         plan.fail(id, fault, spend, now)
     }
 
-    /// Takes note of a failed attempt, and of an endpoint that was lost with it.
-    pub fn note_fault(&self, plan: &Plan, id: &InstanceId, fault: Fault, now: Millis) {
+    /// Records a failed attempt, and the loss of its endpoint if it was lost.
+    pub fn record_fault(&self, plan: &Plan, id: &InstanceId, fault: Fault, now: Millis) {
         let placement = &self.shared.placement;
-        placement.bad(id, fault, now);
+        placement.record_failure(id, fault, now);
         if fault.is_loss() {
-            placement.lost(plan, id, now);
+            placement.record_loss(plan, id, now);
         }
     }
 
-    /// The request as an endpoint gets it.
+    /// Builds the request that is sent to an endpoint.
     pub fn to_endpoint(
         &self,
         choice: &Choice,
--- a/crates/router/src/entry/server.rs
+++ b/crates/router/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! Listens for callers, for the balancer's question, and for metrics.
+//! HTTP servers for callers, for readiness checks, and for metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use crate::shared::Shared;
 use crate::socket;
 
-/// Idle time of callers' connections before a configuration says it.
-const IDLE: Millis = Millis::from_secs(15);
-/// Largest head before a configuration says it.
-const HEAD: ByteSize = ByteSize(16 << 10);
-/// Bytes read ahead on one connection.
-const BUFFER: usize = 64 << 10;
+/// Idle timeout of callers' connections until a configuration sets it.
+const DEFAULT_IDLE: Millis = Millis::from_secs(15);
+/// Maximum size of a request's head until a configuration sets it.
+const DEFAULT_HEAD: ByteSize = ByteSize(16 << 10);
+/// Read buffer of one connection, in bytes.
+const READ_BUFFER: usize = 64 << 10;
 
-/// Takes callers' connections until the process ends.
+/// Serves callers' connections until the process ends.
 pub async fn serve_callers(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         let stream = socket::accept(&listener).await;
@@ -41,7 +41,9 @@
 
 async fn serve_caller(stream: TcpStream, shared: &Arc<Shared>) {
     let limits = shared.config.borrow().as_ref().map(|config| config.limits);
-    let (head, idle) = limits.map_or((HEAD, IDLE), |limits| (limits.head, limits.idle));
+    let (head, idle) = limits.map_or((DEFAULT_HEAD, DEFAULT_IDLE), |limits| {
+        (limits.head, limits.idle)
+    });
     let head = usize::try_from(head.0).unwrap_or(usize::MAX);
     let service = service_fn(|request| {
         let shared = Arc::clone(shared);
@@ -51,11 +53,11 @@
         .timer(TokioTimer::new())
         .header_read_timeout(idle.as_duration())
         .max_header_size(head)
-        .max_buf_size(BUFFER.max(head))
+        .max_buf_size(READ_BUFFER.max(head))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut closing = shared.closing.subscribe();
-    // A connection that is made later still has its first request served.
+    // A connection that is opened after closing began still has its first request served.
     let is_closing = *closing.borrow_and_update();
     let served = tokio::select! {
         served = connection.as_mut() => served,
@@ -69,45 +71,47 @@
     }
 }
 
-/// Answers whether this daemon should be given connections.
+/// Serves readiness checks: 200 if the load balancer should send connections here, else 503.
 pub async fn serve_ready(listener: TcpListener, shared: Arc<Shared>) {
-    let answer = move |_: &Request<Incoming>| match shared.is_ready(now()) {
+    let respond = move |_: &Request<Incoming>| match shared.is_ready(now()) {
         true => Response::new(Full::default()),
-        false => status(StatusCode::SERVICE_UNAVAILABLE),
+        false => empty(StatusCode::SERVICE_UNAVAILABLE),
     };
-    serve_simple(listener, Arc::new(answer)).await;
+    serve_simple(listener, Arc::new(respond)).await;
 }
 
-/// Answers with the metrics as text.
+/// Serves the metrics as text.
 pub async fn serve_metrics(listener: TcpListener, shared: Arc<Shared>) {
-    let answer = move |request: &Request<Incoming>| match *request.method() {
+    let respond = move |request: &Request<Incoming>| match *request.method() {
         Method::GET => Response::new(Full::new(shared.metrics.text().into())),
-        _ => status(StatusCode::METHOD_NOT_ALLOWED),
+        _ => empty(StatusCode::METHOD_NOT_ALLOWED),
     };
-    serve_simple(listener, Arc::new(answer)).await;
+    serve_simple(listener, Arc::new(respond)).await;
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = status;
-    answer
+/// Creates a response without a body.
+fn empty(status: StatusCode) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = status;
+    response
 }
 
-async fn serve_simple<F>(listener: TcpListener, answer: Arc<F>)
+/// Serves requests with a function that needs no waiting.
+async fn serve_simple<F>(listener: TcpListener, respond: Arc<F>)
 where
     F: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Send + Sync + 'static,
 {
     loop {
         let stream = socket::accept(&listener).await;
-        let answer = Arc::clone(&answer);
+        let respond = Arc::clone(&respond);
         tokio::spawn(async move {
             let service = service_fn(|request| {
-                let answered = answer(&request);
-                async move { Ok::<_, Infallible>(answered) }
+                let response = respond(&request);
+                async move { Ok::<_, Infallible>(response) }
             });
             let served = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE.as_duration())
+                .header_read_timeout(DEFAULT_IDLE.as_duration())
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
                 log::debug!(target: "entry", "entry: connection ended: {error}");
--- a/crates/router/src/entry/trace.rs
+++ b/crates/router/src/entry/trace.rs
@@ -1,4 +1,4 @@
-//! One line of log for each request, when it ends.
+//! Logs and counts what happens to a request, with a final line when it ends.
 
 use std::sync::Arc;
 
@@ -16,11 +16,11 @@
 use medlarrill_platform::store::Kind;
 
 use super::answer::Reason;
-use super::order::Order;
+use super::request::RoutedRequest;
 use crate::metrics::{Metrics, seconds};
 use crate::shared::Shared;
 
-/// What happened to a request; logged when it is dropped.
+/// What happened to a request. Dropping it logs the final line.
 #[derive(Debug)]
 pub struct Trace {
     #[debug(skip)]
@@ -33,14 +33,14 @@
     version: u64,
     endpoint: Option<InstanceId>,
     attempts: u32,
-    first: Option<Millis>,
+    head_time: Option<Millis>,
     bytes: u64,
     outcome: Option<&'static str>,
     status: u16,
 }
 
 impl Trace {
-    /// The trace of a request whose head has arrived.
+    /// Starts the trace of a request whose head arrived at `arrived`.
     pub fn new(shared: &Arc<Shared>, arrived: Millis) -> Self {
         shared.metrics.requests.inc();
         shared.metrics.in_flight.inc();
@@ -54,31 +54,36 @@
             version: 0,
             endpoint: None,
             attempts: 0,
-            first: None,
+            head_time: None,
             bytes: 0,
             outcome: None,
             status: 0,
         }
     }
 
-    /// Notes what was asked for.
-    pub fn order(&mut self, order: &Order) {
-        self.request.clone_from(&order.call.attempt);
-        self.route.clone_from(&order.route.name);
-        self.version = order.config.version.0;
-        self.fingerprint = order.fingerprint;
-        if let Some(account) = &order.account {
+    /// Records the request's route, account and fingerprint.
+    pub fn set_request(&mut self, routed: &RoutedRequest) {
+        self.request.clone_from(&routed.call.attempt);
+        self.route.clone_from(&routed.route.name);
+        self.version = routed.config.version.0;
+        self.fingerprint = routed.fingerprint;
+        if let Some(account) = &routed.account {
             account.id.as_str().clone_into(&mut self.account);
         }
     }
 
-    /// Notes the request's id.
-    pub fn request(&mut self, id: &str) {
+    /// Records the request's id.
+    pub fn set_id(&mut self, id: &str) {
         id.clone_into(&mut self.request);
     }
 
-    /// Notes an attempt and logs why it goes where it goes.
-    pub fn attempt(&mut self, choice: &Choice, shared: Option<&SharedPrefix>, left: Millis) {
+    /// Counts an attempt and logs why its endpoint was chosen. `left` is the time to the deadline.
+    pub fn log_attempt(
+        &mut self,
+        choice: &Choice,
+        shared_prefix: Option<&SharedPrefix>,
+        left: Millis,
+    ) {
         self.attempts += 1;
         self.endpoint = Some(choice.endpoint.id.clone());
         let list_age = self.shared.copies.age(Kind::Endpoints, now());
@@ -87,14 +92,14 @@
             endpoint:% = choice.endpoint.id, why:% = choice.why, load = choice.load,
             load_age = choice.load_age.map(|age| age.0), list_age = list_age.map(|age| age.0),
             bound = choice.bound, trial = choice.trial, left = left.0,
-            prefix = shared.map_or(0, |shared| shared.key), tokens = shared.map_or(0, |shared| shared.tokens.0),
+            prefix = shared_prefix.map_or(0, |prefix| prefix.key), tokens = shared_prefix.map_or(0, |prefix| prefix.tokens.0),
             source = choice.source.as_ref().map_or_else(String::new, |source| source.id.to_string());
             "entry: sent"
         );
     }
 
-    /// Logs why a pool isn't given the request.
-    pub fn overloaded(&self, overload: &Overload) {
+    /// Logs that the pool is overloaded, and on what that is based.
+    pub fn log_overload(&self, overload: &Overload) {
         let Overload { choice, share, .. } = overload;
         log::info!(
             target: "entry", request = self.request, version = self.version,
@@ -105,8 +110,8 @@
         );
     }
 
-    /// Logs that no endpoint of a pool takes work.
-    pub fn closed(&self, pool: &PoolId, wait: Millis) {
+    /// Logs that no endpoint of a pool takes work, and for how long.
+    pub fn log_closed_pool(&self, pool: &PoolId, wait: Millis) {
         log::info!(
             target: "entry", request = self.request, version = self.version, pool = pool.as_str(),
             wait = wait.0;
@@ -114,55 +119,55 @@
         );
     }
 
-    /// Logs a failed attempt.
-    pub fn fault(&self, fault: Fault, cause: &str, again: bool, repeats: &State) {
+    /// Counts and logs a failed attempt.
+    pub fn log_fault(&self, fault: Fault, cause: &str, is_retried: bool, budget: &State) {
         Metrics::count(&self.shared.metrics.faults, fault.code());
-        if again {
+        if is_retried {
             Metrics::count(&self.shared.metrics.retries, fault.code());
         }
         log::info!(
             target: "entry", request = self.request, attempt = self.attempts,
             endpoint = self.endpoint(), fingerprint:% = self.fingerprint,
-            fault = fault.code(), cause, outcome:% = fault.outcome(), again, repeats:%,
+            fault = fault.code(), cause, outcome:% = fault.outcome(), again = is_retried, repeats:% = budget,
             passed = now().since(self.arrived).0;
             "entry: attempt failed"
         );
     }
 
-    /// The endpoint that was tried last; empty before the first.
+    /// The endpoint of the last attempt; empty before the first.
     fn endpoint(&self) -> String {
         let last = self.endpoint.as_ref();
         last.map_or_else(String::new, InstanceId::to_string)
     }
 
-    /// Notes the head of the answer.
-    pub fn head(&mut self, status: u16) {
-        let first = now().since(self.arrived);
-        self.first = Some(first);
+    /// Records the head of the response.
+    pub fn record_head(&mut self, status: u16) {
+        let head_time = now().since(self.arrived);
+        self.head_time = Some(head_time);
         self.status = status;
-        self.shared.metrics.first.observe(seconds(first));
+        self.shared.metrics.head_seconds.observe(seconds(head_time));
     }
 
-    /// Notes bytes of the answer.
-    pub fn bytes(&mut self, count: usize) {
+    /// Counts forwarded bytes of the response.
+    pub fn add_bytes(&mut self, count: usize) {
         self.bytes += count as u64;
     }
 
-    /// Notes that an endpoint's answer was handed on whole.
-    pub fn answered(&mut self) {
+    /// Records that an endpoint's response was forwarded completely.
+    pub fn record_answered(&mut self) {
         self.outcome = Some("answered");
         self.shared.metrics.answered.inc();
     }
 
-    /// Notes that the entry answered itself.
-    pub fn refused(&mut self, reason: Reason) {
+    /// Records that the entry refused the request.
+    pub fn record_refused(&mut self, reason: Reason) {
         self.outcome = Some(reason.code());
         self.status = reason.status().as_u16();
         Metrics::count(&self.shared.metrics.refusals, reason.code());
     }
 
-    /// Notes that a stream couldn't go on.
-    pub fn broken(&mut self) {
+    /// Records that a stream broke off and couldn't be resumed.
+    pub fn record_broken(&mut self) {
         self.outcome = Some("broken-off");
         Metrics::count(&self.shared.metrics.refusals, "broken-off");
     }
@@ -170,15 +175,15 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        let whole = now().since(self.arrived);
+        let total_time = now().since(self.arrived);
         let metrics = &self.shared.metrics;
         metrics.in_flight.dec();
-        metrics.whole.observe(seconds(whole));
+        metrics.total_seconds.observe(seconds(total_time));
         log::info!(
             target: "entry", request = self.request, route = self.route, account = self.account,
             fingerprint:% = self.fingerprint, version = self.version, endpoint = self.endpoint(),
             attempts = self.attempts, status = self.status, bytes = self.bytes,
-            first = self.first.map_or(0, |first| first.0), whole = whole.0,
+            first = self.head_time.map_or(0, |time| time.0), whole = total_time.0,
             outcome = self.outcome.unwrap_or("caller-left");
             "entry: ended"
         );
