--- a/crates/router/src/store.rs
+++ b/crates/router/src/store.rs
@@ -1,15 +1,15 @@
-//! Keeps copies of the platform's objects: the configuration, the endpoints, the data centres that
-//! are drained, and the daemons.
+//! Keeps local copies of the platform's objects: the configuration, the endpoints, the drained data
+//! centres, and the daemons.
 //!
-//! Some daemons follow the platform itself ([`direct`]); the others follow
-//! those ([`relay`]). Whatever the source, a change goes into the copy, from
-//! there to whoever follows this daemon, and takes effect here.
+//! Watchers read the platform's store themselves ([`direct`]); other daemons copy from
+//! them ([`relay`]). Whatever its source, a change is applied to the local copy,
+//! takes effect in this daemon, and is sent to the daemons that follow it.
 
+mod apply;
 mod client;
 mod copies;
 mod daemons;
 mod direct;
-mod effect;
 mod quarantine;
 pub mod relay;
 mod unreadable;
@@ -21,48 +21,48 @@
 use medlarrill_net::now::now;
 use tokio::net::TcpListener;
 
+pub use self::apply::{ActiveConfig, ChangeApplier};
 pub use self::copies::Copies;
-pub use self::effect::{InForce, Sinks};
-pub use self::unreadable::Unreadable;
+pub use self::unreadable::UnreadableReporter;
 use crate::metrics::Metrics;
 use crate::peers::Roster;
 use crate::placement::Placement;
 
-/// Between two looks for objects that were missing for too long.
-const SWEEP: Millis = Millis(100);
+/// Interval between sweeps that remove objects which were missing for too long.
+const SWEEP_INTERVAL: Millis = Millis(100);
 
-/// What the tasks of this room share.
+/// State that the tasks of this module share.
 #[derive(Clone)]
-pub struct Store {
-    /// The copies.
+pub struct StoreContext {
+    /// Local copies of the objects.
     pub copies: Arc<Copies>,
-    /// Who lives, and who follows the platform.
+    /// Live daemons and their roles.
     pub roster: Roster,
-    /// Endpoints, and what is known against requests.
+    /// Routing state.
     pub placement: Arc<Placement>,
-    /// Where this daemon runs.
+    /// Data centre of this daemon.
     pub data_centre: DataCentreId,
-    /// Counters.
+    /// Metrics of the daemon.
     pub metrics: Arc<Metrics>,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the complete fleet starts for the first time.
     pub first_start: bool,
 }
 
 /// Keeps the copies up to date until the process ends.
-pub async fn run(store: Store, platform: std::net::SocketAddr, listener: TcpListener) {
+pub async fn run(store: StoreContext, platform: std::net::SocketAddr, listener: TcpListener) {
     let kinds = copies::KINDS.map(|kind| direct::follow(store.clone(), platform, kind));
     tokio::join!(
         futures_util::future::join_all(kinds),
         relay::serve(store.clone(), listener),
         relay::follow(store.clone()),
-        quarantine::keep(store.clone(), platform),
-        daemons::keep(store.clone(), platform),
+        quarantine::sync(store.clone(), platform),
+        daemons::sync(store.clone(), platform),
         sweep(&store.copies),
     );
 }
 
 async fn sweep(copies: &Copies) {
-    let mut ticks = tokio::time::interval(SWEEP.as_duration());
+    let mut ticks = tokio::time::interval(SWEEP_INTERVAL.as_duration());
     loop {
         ticks.tick().await;
         copies.tick(now());
--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/apply.rs
@@ -1,4 +1,4 @@
-//! What changes of objects do here.
+//! Puts changes of the platform's objects into effect in this daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,58 +14,61 @@
 use medlarrill_platform::store::{CONFIGURATION, Kind};
 use tokio::sync::watch;
 
-use super::unreadable::Unreadable;
+use super::unreadable::UnreadableReporter;
 use crate::metrics::Metrics;
 use crate::placement::Placement;
 
-/// The configuration in force, none before the first was read.
-pub type InForce = Option<Arc<Configuration>>;
+/// The active configuration, `None` before the first one was read.
+pub type ActiveConfig = Option<Arc<Configuration>>;
 
-/// Changes of endpoints from which on one line tells of all: a line for each of 326 endpoints took
-/// a daemon with an eighth of a core 13 ms and the pause after its share was used up.
-const MANY: usize = 16;
+/// Number of changes of endpoints from which on they are logged in one line. A line for each of 326
+/// endpoints took a daemon with an eighth of a core 13 ms, plus the pause once its CPU share was
+/// used up.
+const BATCH_LOG_MIN: usize = 16;
 
-/// An endpoint's entry and what it changed.
+/// An endpoint's entry, and what changed by it.
 #[derive(Debug)]
-struct Known {
+struct AppliedEntry {
     endpoint: Endpoint,
     listed: Listed,
     revision: u64,
 }
 
-/// Where changes take effect.
+/// Applies changes of objects to the daemon's state.
 #[derive(Debug)]
-pub struct Sinks {
-    /// The configuration in force.
-    pub in_force: watch::Sender<InForce>,
-    /// Endpoints.
+pub struct ChangeApplier {
+    /// Sender of the active configuration.
+    pub active_config: watch::Sender<ActiveConfig>,
+    /// Routing state.
     pub placement: Arc<Placement>,
-    /// Where this daemon listens for others.
+    /// Address on which this daemon listens for other daemons.
     pub me: SocketAddr,
-    /// Counters.
+    /// Metrics of the daemon.
     pub metrics: Arc<Metrics>,
-    /// Who is told of entries that can't be read.
-    pub unreadable: Unreadable,
+    /// Reporter of entries that can't be decoded.
+    pub unreadable: UnreadableReporter,
 }
 
-impl Sinks {
-    /// Takes changes of objects of one kind.
-    pub fn take(&self, kind: Kind, changes: &[Change]) {
+impl ChangeApplier {
+    /// Applies changes of objects of one kind.
+    pub fn apply(&self, kind: Kind, changes: &[Change]) {
         match kind {
-            Kind::Configuration => changes.iter().for_each(|change| self.take_version(change)),
-            Kind::Endpoints if changes.len() >= MANY => self.list_many(changes),
-            Kind::Endpoints => changes.iter().for_each(|change| self.take_entry(change)),
-            Kind::Drains => changes.iter().for_each(|change| self.take_drain(change)),
-            Kind::Daemons => changes.iter().for_each(|change| self.take_daemons(change)),
+            Kind::Configuration => changes
+                .iter()
+                .for_each(|change| self.apply_configuration(change)),
+            Kind::Endpoints if changes.len() >= BATCH_LOG_MIN => self.apply_entries(changes),
+            Kind::Endpoints => changes.iter().for_each(|change| self.apply_entry(change)),
+            Kind::Drains => changes.iter().for_each(|change| self.apply_drain(change)),
+            Kind::Daemons => changes.iter().for_each(|change| self.apply_daemons(change)),
         }
-        let count = self.placement.endpoints();
+        let count = self.placement.endpoint_count();
         let endpoints = &self.metrics.endpoints;
         endpoints.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    fn take_version(&self, change: &Change) {
+    fn apply_configuration(&self, change: &Change) {
         match change {
-            Change::Put(object) => self.configure(object),
+            Change::Put(object) => self.put_configuration(object),
             Change::Removed { name, revision } => log::warn!(
                 target: "store", object = name, revision;
                 "store: configuration removed, the one in force stays"
@@ -73,22 +76,22 @@
         }
     }
 
-    fn take_drain(&self, change: &Change) {
+    fn apply_drain(&self, change: &Change) {
         match change {
             Change::Put(object) => match objects::drained_data_centre(&object.name) {
                 Ok(name) => self.placement.drain(&name, object.revision, now()),
                 Err(error) => self.unreadable.report(Kind::Drains, &object.name, &error),
             },
             Change::Removed { name, revision } => {
-                // A name that can't be read has drained nothing.
+                // An invalid name has drained nothing.
                 if let Ok(name) = objects::drained_data_centre(name) {
-                    self.placement.restore(&name, *revision, now());
+                    self.placement.undrain(&name, *revision, now());
                 }
             }
         }
     }
 
-    fn take_daemons(&self, change: &Change) {
+    fn apply_daemons(&self, change: &Change) {
         let (name, daemons) = match change {
             Change::Put(object) => match objects::daemons(object) {
                 Ok(daemons) => (&object.name, daemons),
@@ -100,29 +103,29 @@
             Change::Removed { name, .. } => (name, Vec::new()),
         };
         log::info!(target: "store", part = name, count = daemons.len(); "store: daemons listed");
-        self.placement.deal(self.me, name, daemons);
+        self.placement.set_daemons(self.me, name, daemons);
     }
 
-    fn take_entry(&self, change: &Change) {
+    fn apply_entry(&self, change: &Change) {
         match change {
             Change::Put(object) => {
-                if let Some(entry) = self.list(object) {
+                if let Some(entry) = self.put_entry(object) {
                     log_entry(&entry);
                 }
             }
-            Change::Removed { name, revision } => self.remove(name, *revision),
+            Change::Removed { name, revision } => self.remove_entry(name, *revision),
         }
     }
 
-    /// Takes a list of endpoints, and logs what is new in one line.
-    fn list_many(&self, changes: &[Change]) {
+    /// Applies many changes of endpoints, and logs new or changed ones in one line.
+    fn apply_entries(&self, changes: &[Change]) {
         let mut listed = Vec::new();
         for change in changes {
             let Change::Put(object) = change else {
-                self.take_entry(change);
+                self.apply_entry(change);
                 continue;
             };
-            match self.list(object) {
+            match self.put_entry(object) {
                 Some(entry) if entry.listed == Listed::Changed && !entry.endpoint.leaving => {
                     let Endpoint {
                         id, pool, address, ..
@@ -137,8 +140,8 @@
         log::info!(target: "store", count, endpoints; "store: endpoints listed");
     }
 
-    /// Puts a configuration in force if it is newer.
-    fn configure(&self, object: &Object) {
+    /// Activates a configuration if its version is newer.
+    fn put_configuration(&self, object: &Object) {
         if object.name != CONFIGURATION {
             return;
         }
@@ -150,17 +153,21 @@
                 return;
             }
         };
-        let before = self.in_force.borrow().as_ref().map(|config| config.version);
+        let before = self
+            .active_config
+            .borrow()
+            .as_ref()
+            .map(|config| config.version);
         let version = config.version;
         if before.is_some_and(|before| before >= version) {
             return;
         }
         let pools = config.pools.iter();
         let slow = pools.filter_map(|(name, pool)| Some((name.clone(), pool.slow_start?)));
-        self.placement.set_slow_starts(slow.collect());
-        self.in_force.send_replace(Some(Arc::new(config)));
+        self.placement.configure_slow_starts(slow.collect());
+        self.active_config.send_replace(Some(Arc::new(config)));
         let number = i64::try_from(version.0).unwrap_or(i64::MAX);
-        self.metrics.version.set(number);
+        self.metrics.config_version.set(number);
         log::info!(
             target: "store", version = version.0, before = before.map_or(0, |before| before.0),
             revision = object.revision;
@@ -168,21 +175,22 @@
         );
     }
 
-    /// Takes an endpoint's entry. Anyone may write entries: one that can't be read, or that isn't
-    /// the endpoint's own, names no endpoint to use, whatever stood there before.
-    fn list(&self, object: &Object) -> Option<Known> {
+    /// Applies an endpoint's entry. Anyone may write entries: one that can't be decoded, or that
+    /// isn't the endpoint's own, leaves no usable endpoint of that name, even if there was one.
+    fn put_entry(&self, object: &Object) -> Option<AppliedEntry> {
         let Listing { endpoint, warming } = match objects::endpoint(object) {
             Ok(listing) => listing,
             Err(error) => {
                 self.unreadable
                     .report(Kind::Endpoints, &object.name, &error);
-                self.remove(&object.name, object.revision);
+                self.remove_entry(&object.name, object.revision);
                 return None;
             }
         };
-        let listed = self.placement.list(endpoint.clone(), now());
+        let listed = self.placement.upsert(endpoint.clone(), now());
         if !matches!(listed, Listed::Ignored(_)) {
-            self.placement.spare(&endpoint.id, warming, now());
+            self.placement
+                .begin_slow_start(&endpoint.id, warming, now());
         }
         if listed == Listed::Ignored(Entry::Foreign) {
             let error = objects::start_missing();
@@ -190,24 +198,24 @@
                 .report(Kind::Endpoints, &object.name, &error);
         }
         let revision = object.revision;
-        Some(Known {
+        Some(AppliedEntry {
             endpoint,
             listed,
             revision,
         })
     }
 
-    fn remove(&self, name: &str, revision: u64) {
+    fn remove_entry(&self, name: &str, revision: u64) {
         let id: Option<EndpointId> = name.parse().ok();
-        if id.is_some_and(|id| self.placement.remove(&id)) {
+        if id.is_some_and(|id| self.placement.remove_entry(&id)) {
             log::info!(target: "store", endpoint = name, revision; "store: endpoint gone");
         }
     }
 }
 
 /// Logs what an endpoint's entry changed.
-fn log_entry(entry: &Known) {
-    let Known {
+fn log_entry(entry: &AppliedEntry) {
+    let AppliedEntry {
         endpoint,
         listed,
         revision,
--- a/crates/router/src/store/client.rs
+++ b/crates/router/src/store/client.rs
@@ -1,4 +1,4 @@
-//! One kept connection to the store.
+//! HTTP client of the platform's store, with one persistent connection.
 
 use std::net::SocketAddr;
 
@@ -13,60 +13,60 @@
 
 use crate::socket;
 
-/// Longest time to connect: the store answers in some milliseconds.
-const CONNECT: Millis = Millis(700);
-/// Largest answer; the store's lists end at about 1 MB.
-const BODY_MAX: usize = 4 << 20;
+/// Timeout for connecting: the store answers in some milliseconds.
+const CONNECT_TIMEOUT: Millis = Millis(700);
+/// Maximum size of a response in bytes; the store limits its lists to about 1 MB.
+const MAX_BODY: usize = 4 << 20;
 
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, CallError>;
 
-/// Why a call has no usable answer.
+/// Why a call has no usable response.
 #[derive(Debug, Display, Error)]
 pub enum CallError {
-    /// No answer came in time.
+    /// No response arrived in time.
     #[display("no answer within {_0}")]
     Timeout(#[error(not(source))] Millis),
-    /// The connection failed.
+    /// The connection couldn't be opened.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// The exchange failed.
+    /// The HTTP exchange failed.
     #[display("{_0}")]
     Http(#[error(not(source))] String),
-    /// The store refused the call.
+    /// The store answered with an error status.
     #[display("status {_0}")]
     Status(#[error(not(source))] StatusCode),
-    /// The answer can't be read.
+    /// The response can't be decoded.
     #[display("{_0}")]
     Decode(medlarrill_platform::store::DecodeError),
-    /// More of a list follows, after no name that can be read.
+    /// A list has more pages, but no readable name after which the next one starts.
     #[display("a part of the list has no name to go on from")]
     Stuck,
 }
 
 impl CallError {
-    /// Whether the store says that the history asked for is gone.
+    /// Whether the store no longer has the requested history (410).
     pub fn is_gone(&self) -> bool {
         matches!(self, Self::Status(StatusCode::GONE))
     }
 
-    /// Whether the store says that the object exists already.
+    /// Whether the object exists already or has changed (409).
     pub fn exists(&self) -> bool {
         matches!(self, Self::Status(StatusCode::CONFLICT))
     }
 
-    /// Whether the store says that there is no such object.
+    /// Whether there is no such object (404).
     pub fn is_missing(&self) -> bool {
         matches!(self, Self::Status(StatusCode::NOT_FOUND))
     }
 
-    /// Whether the store refused the call since there were too many.
+    /// Whether the store refused the call by its rate limit (429).
     pub fn is_over_rate(&self) -> bool {
         matches!(self, Self::Status(StatusCode::TOO_MANY_REQUESTS))
     }
 }
 
-/// A connection that is made when it is needed.
+/// A client that connects on demand.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -75,7 +75,7 @@
 }
 
 impl Client {
-    /// A client that isn't connected yet.
+    /// Creates a client that isn't connected yet.
     pub const fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Makes a call. A connection on which one failed isn't used again, since answers to
-    /// that call may come later.
+    /// Makes a call. A connection on which a call failed isn't reused, since the response to that
+    /// call may still arrive.
     ///
     /// # Errors
     ///
-    /// When there is no answer in time that says that it was done.
+    /// When no response with a success status arrives in time.
     pub async fn call(&mut self, call: &Call, wait: Millis) -> Result<Bytes> {
         let sender = self.sender.take().filter(|sender| !sender.is_closed());
         let call = self.exchange(sender, call);
@@ -121,7 +121,7 @@
             .map_err(|error| CallError::Http(error.to_string()))?;
         let answer = sender.send_request(request).await.map_err(http)?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), BODY_MAX).collect().await;
+        let body = Limited::new(answer.into_body(), MAX_BODY).collect().await;
         let body = body.map_err(|error| CallError::Http(error.to_string()))?;
         let result = match status.is_success() {
             true => Ok(body.to_bytes()),
@@ -131,7 +131,7 @@
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>> {
-        let stream = socket::connect(self.address, CONNECT)
+        let stream = socket::connect(self.address, CONNECT_TIMEOUT)
             .await
             .map_err(CallError::Io)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(http)?;
--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -1,4 +1,4 @@
-//! The copies, one of each kind, and who is told of their changes.
+//! Local copies of the platform's objects, one per kind, and the distribution of their changes.
 
 use std::fmt::Display;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,74 +10,74 @@
 use medlarrill_platform::store::{DecodeError, Kind};
 use tokio::sync::{broadcast, watch};
 
-use super::effect::Sinks;
+use super::apply::ChangeApplier;
 use super::relay::EncodedUpdate;
 
-/// The kinds that are kept.
+/// The kinds of objects that are copied.
 pub const KINDS: [Kind; 4] = [
     Kind::Configuration,
     Kind::Drains,
     Kind::Endpoints,
     Kind::Daemons,
 ];
-/// Changes that a follower may lag behind before it has to ask anew.
-const LAG: usize = 256;
+/// Maximum number of changes that a follower may lag behind before it must subscribe again.
+const MAX_LAG: usize = 256;
 
-/// Changes of one kind, as they took effect here; none where the copy was only found to be up to
+/// Changes of one kind that took effect here; none if the copy was only confirmed to be up to
 /// date.
-type Effects = (Kind, Option<EncodedUpdate>);
+type ChangeEvent = (Kind, Option<EncodedUpdate>);
 
-/// A copy, and all of it coded for followers until it changes.
+/// The copy of one kind, with its complete encoding for followers, cached until it changes.
 #[derive(Debug, Default)]
-struct Copy {
+struct KindCopy {
     mirror: Mirror,
-    whole: Option<EncodedUpdate>,
+    encoded: Option<EncodedUpdate>,
 }
 
-impl Copy {
-    /// A copy of objects that only somebody's word removes; entries of endpoints lapse.
-    fn lasting() -> Self {
+impl KindCopy {
+    /// Creates a copy of objects that are kept until removed; entries of endpoints expire.
+    fn persistent() -> Self {
         Self {
             mirror: Mirror::lasting(),
-            whole: None,
+            encoded: None,
         }
     }
 }
 
-/// The copies.
+/// The local copies of all kinds.
 #[derive(Debug)]
 pub struct Copies {
-    configuration: Mutex<Copy>,
-    drains: Mutex<Copy>,
-    endpoints: Mutex<Copy>,
-    daemons: Mutex<Copy>,
-    sinks: Sinks,
-    effects: broadcast::Sender<Effects>,
-    /// Whether the platform may drain data centres.
+    configuration: Mutex<KindCopy>,
+    drains: Mutex<KindCopy>,
+    endpoints: Mutex<KindCopy>,
+    daemons: Mutex<KindCopy>,
+    applier: ChangeApplier,
+    events: broadcast::Sender<ChangeEvent>,
+    /// Whether operators drain data centres through the platform.
     has_drains: bool,
-    /// Set once the endpoints were listed, and which of them take work.
-    listed: watch::Sender<bool>,
-    /// Whether calls to the platform fail.
+    /// Becomes true once the endpoints and, where used, the drained data centres were listed.
+    is_listed: watch::Sender<bool>,
+    /// Whether this daemon's calls to the platform fail.
     cut_off: AtomicBool,
 }
 
 impl Copies {
-    /// Copies of nothing.
-    pub fn new(sinks: Sinks, has_drains: bool, listed: watch::Sender<bool>) -> Self {
+    /// Creates empty copies.
+    pub fn new(applier: ChangeApplier, has_drains: bool, is_listed: watch::Sender<bool>) -> Self {
         Self {
-            configuration: Mutex::new(Copy::lasting()),
-            drains: Mutex::new(Copy::lasting()),
+            configuration: Mutex::new(KindCopy::persistent()),
+            drains: Mutex::new(KindCopy::persistent()),
             endpoints: Mutex::default(),
-            daemons: Mutex::new(Copy::lasting()),
-            sinks,
-            effects: broadcast::Sender::new(LAG),
+            daemons: Mutex::new(KindCopy::persistent()),
+            applier,
+            events: broadcast::Sender::new(MAX_LAG),
             has_drains,
-            listed,
+            is_listed,
             cut_off: AtomicBool::new(false),
         }
     }
 
-    fn lock(&self, kind: Kind) -> MutexGuard<'_, Copy> {
+    fn lock(&self, kind: Kind) -> MutexGuard<'_, KindCopy> {
         let copy = match kind {
             Kind::Configuration => &self.configuration,
             Kind::Drains => &self.drains,
@@ -87,20 +87,20 @@
         copy.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reports parts of the platform's answers that can't be read.
-    pub fn report(&self, kind: impl Display + std::marker::Copy, errors: &[DecodeError]) {
+    /// Reports all objects in a response of the platform that can't be decoded.
+    pub fn report_all_unreadable(&self, kind: impl Display + Copy, errors: &[DecodeError]) {
         for error in errors {
-            self.report_one(kind, "", error);
+            self.report_unreadable(kind, "", error);
         }
     }
 
-    /// Reports an object that can't be read; without a name where that can't be either.
-    pub fn report_one(&self, kind: impl Display, name: &str, error: &DecodeError) {
-        self.sinks.unreadable.report(kind, name, error);
+    /// Reports an object that can't be decoded; `name` is empty if that can't be read either.
+    pub fn report_unreadable(&self, kind: impl Display, name: &str, error: &DecodeError) {
+        self.applier.unreadable.report(kind, name, error);
     }
 
-    /// Whether a kind has to be known before requests can be served.
-    pub const fn is_needed(&self, kind: Kind) -> bool {
+    /// Whether requests can be served only once a kind is known.
+    pub const fn is_required(&self, kind: Kind) -> bool {
         match kind {
             Kind::Configuration | Kind::Endpoints => true,
             Kind::Drains => self.has_drains,
@@ -108,18 +108,18 @@
         }
     }
 
-    /// Whether all is known that has to be.
-    pub fn knows_all(&self) -> bool {
-        let mut needed = KINDS.into_iter().filter(|kind| self.is_needed(*kind));
-        needed.all(|kind| self.revision(kind).is_some())
+    /// Whether all required kinds are known.
+    pub fn is_complete(&self) -> bool {
+        let mut required = KINDS.into_iter().filter(|kind| self.is_required(*kind));
+        required.all(|kind| self.revision(kind).is_some())
     }
 
-    /// An object as it was last copied.
+    /// Returns the current copy of an object.
     pub fn get(&self, kind: Kind, name: &str) -> Option<Object> {
         self.lock(kind).mirror.get(name).cloned()
     }
 
-    /// The revision that a copy has reached.
+    /// Revision that a copy has reached, `None` before the first list.
     pub fn revision(&self, kind: Kind) -> Option<u64> {
         self.lock(kind).mirror.revision()
     }
@@ -129,93 +129,98 @@
         self.lock(kind).mirror.age(now)
     }
 
-    /// Changes of all kinds from now on.
-    pub fn subscribe(&self) -> broadcast::Receiver<Effects> {
-        self.effects.subscribe()
+    /// Subscribes to changes of all kinds from now on.
+    pub fn subscribe(&self) -> broadcast::Receiver<ChangeEvent> {
+        self.events.subscribe()
     }
 
-    /// What brings a copy of a revision up to this one, none before the first list.
-    pub fn since(&self, kind: Kind, revision: Option<u64>) -> Option<EncodedUpdate> {
+    /// The update that brings a copy from a revision up to this one, `None` before the first list.
+    pub fn update_since(&self, kind: Kind, revision: Option<u64>) -> Option<EncodedUpdate> {
         let mut copy = self.lock(kind);
         let update = copy.mirror.since(revision)?;
         if !update.whole {
             return Some(EncodedUpdate::new(&update));
         }
-        let whole = copy.whole.get_or_insert_with(|| EncodedUpdate::new(&update));
-        Some(whole.clone())
+        let encoded = copy
+            .encoded
+            .get_or_insert_with(|| EncodedUpdate::new(&update));
+        Some(encoded.clone())
     }
 
-    /// Takes an update that was up to date at `heard`, if that is known.
-    pub fn apply(&self, kind: Kind, update: Update, heard: Option<Millis>, now: Millis) {
+    /// Applies an update that was up to date at `as_of`, if that is known.
+    pub fn apply(&self, kind: Kind, update: Update, as_of: Option<Millis>, now: Millis) {
         let mut copy = self.lock(kind);
-        let is_news = heard.is_some_and(|heard| copy.mirror.is_news(heard));
-        let (age, waited) = (copy.mirror.age(now), copy.mirror.grace(now).is_some());
-        let failing = copy.mirror.failing(now);
-        let changes = copy.mirror.apply(update, heard, now);
-        if !waited && copy.mirror.grace(now).is_some() {
+        let should_notify = as_of.is_some_and(|as_of| copy.mirror.is_news(as_of));
+        let (age, was_waiting) = (copy.mirror.age(now), copy.mirror.grace(now).is_some());
+        let outage = copy.mirror.failing(now);
+        let changes = copy.mirror.apply(update, as_of, now);
+        if !was_waiting && copy.mirror.grace(now).is_some() {
             log::info!(
                 target: "store", kind:%, age = age.map_or(0, |age| age.0),
-                failing = failing.map_or(0, |span| span.0);
+                failing = outage.map_or(0, |span| span.0);
                 "store: out of date before, removals wait"
             );
         }
-        if changes.is_empty() && is_news {
-            // Followers of followers would otherwise lag by a beat for each daemon on the way.
-            self.effects.send((kind, None)).ok();
+        if changes.is_empty() && should_notify {
+            // Without this, copies would lag by one heartbeat for each daemon that relays them.
+            self.events.send((kind, None)).ok();
         }
-        self.tell(kind, &mut copy, changes);
+        self.publish(kind, &mut copy, changes);
         drop(copy);
-        let places = [Kind::Endpoints, Kind::Drains];
-        let mut needed = places.into_iter().filter(|kind| self.is_needed(*kind));
-        if needed.all(|kind| self.revision(kind).is_some()) {
-            self.listed
-                .send_if_modified(|listed| !std::mem::replace(listed, true));
+        let kinds = [Kind::Endpoints, Kind::Drains];
+        let mut required = kinds.into_iter().filter(|kind| self.is_required(*kind));
+        if required.all(|kind| self.revision(kind).is_some()) {
+            self.is_listed
+                .send_if_modified(|is_listed| !std::mem::replace(is_listed, true));
         }
     }
 
-    /// Drops objects that were missing for too long.
+    /// Removes objects that were missing for too long.
     pub fn tick(&self, now: Millis) {
         for kind in KINDS {
             let mut copy = self.lock(kind);
             let changes = copy.mirror.tick(now);
-            self.tell(kind, &mut copy, changes);
+            self.publish(kind, &mut copy, changes);
         }
     }
 
-    fn tell(&self, kind: Kind, copy: &mut Copy, changes: Vec<Change>) {
+    /// Puts changes into effect and sends them to followers.
+    fn publish(&self, kind: Kind, copy: &mut KindCopy, changes: Vec<Change>) {
         if changes.is_empty() {
             return;
         }
-        self.sinks.take(kind, &changes);
+        self.applier.apply(kind, &changes);
         let update = Update {
             whole: false,
             changes,
             revision: copy.mirror.revision().unwrap_or_default(),
         };
-        copy.whole = None;
-        if self.effects.receiver_count() == 0 {
+        copy.encoded = None;
+        if self.events.receiver_count() == 0 {
             return;
         }
-        // Fails only where the last follower has just left.
-        self.effects.send((kind, Some(EncodedUpdate::new(&update)))).ok();
+        // Fails only if the last follower has just disconnected.
+        self.events
+            .send((kind, Some(EncodedUpdate::new(&update))))
+            .ok();
     }
 
-    /// Notes that calls to the platform fail, here or at a source.
-    pub fn fail(&self, kind: Kind, since: Millis, now: Millis) {
+    /// Records that calls to the platform fail since `since`, here or at a source.
+    pub fn record_failure(&self, kind: Kind, since: Millis, now: Millis) {
         self.lock(kind).mirror.fail(since, now);
     }
 
-    /// For how long calls to the platform have failed, none if they don't.
-    pub fn failing(&self, kind: Kind, now: Millis) -> Option<Millis> {
+    /// How long calls to the platform have been failing, `None` if they don't fail.
+    pub fn outage(&self, kind: Kind, now: Millis) -> Option<Millis> {
         self.lock(kind).mirror.failing(now)
     }
 
-    /// Notes whether calls to the platform fail.
+    /// Sets whether this daemon's calls to the platform fail.
     pub fn set_cut_off(&self, cut_off: bool) {
         self.cut_off.store(cut_off, Ordering::Relaxed);
     }
 
-    /// Whether calls to the platform fail.
+    /// Whether this daemon's calls to the platform fail.
     pub fn is_cut_off(&self) -> bool {
         self.cut_off.load(Ordering::Relaxed)
     }
--- a/crates/router/src/store/daemons.rs
+++ b/crates/router/src/store/daemons.rs
@@ -1,9 +1,9 @@
-//! Has the platform keep which daemons there are, for the part that each has
-//! of what the fleet may send.
+//! Writes the list of daemons to the platform's store; by it, each daemon computes its share of
+//! what the fleet may send.
 //!
-//! Each data centre has an object, written by its hubs, which hear from all
-//! daemons there. Daemons that end stay on it for long: a share that nobody uses harms
-//! nobody, and a daemon that starts again finds its own.
+//! Each data centre has one object, written by its hubs, which receive reports
+//! from all daemons there. Daemons that end stay listed for long: an unused share
+//! does no harm, and a daemon that starts again finds its own.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,32 +16,32 @@
 use medlarrill_platform::store::{Call, Kind};
 use rand::RngExt;
 
-use super::Store;
+use super::StoreContext;
 use super::client::{Client, Result};
-use super::direct::DAEMONS_PAUSE;
+use super::direct::DAEMONS_INTERVAL;
 
-/// Between two looks at which daemons aren't listed.
-const LOOK: Millis = Millis(1000);
-/// Time since the start after which daemons agree on who is a hub.
-const SETTLED: Millis = Millis(2000);
-/// Longest time for an answer: it comes in some milliseconds, in a fifth of a second from a slow
+/// Interval between checks for daemons that aren't listed.
+const CHECK_INTERVAL: Millis = Millis(1000);
+/// Time since the start of the process after which daemons agree on who is a hub.
+const SETTLE_TIME: Millis = Millis(2000);
+/// Timeout for a response: it takes some milliseconds, or a fifth of a second from a slow
 /// platform.
-const ANSWER: Millis = Millis(900);
-/// Time in which a hub writes before the next one in rank does.
-const TURN: Millis = Millis::from_secs(8);
+const ANSWER_TIMEOUT: Millis = Millis(900);
+/// Time that each hub has to write before the next one in rank does.
+const WRITE_TURN: Millis = Millis::from_secs(8);
 
-/// Keeps them until the process ends.
-pub async fn keep(store: Store, platform: SocketAddr) {
-    let mut keeping = Keeping {
+/// Keeps the list in the store up to date until the process ends.
+pub async fn sync(store: StoreContext, platform: SocketAddr) {
+    let mut writer = DaemonListWriter {
         client: Client::new(platform),
         store,
-        seen: Sightings::default(),
-        missing: None,
+        last_seen: Sightings::default(),
+        missing_since: None,
     };
     let mut failures = 0;
     loop {
-        tokio::time::sleep(LOOK.as_duration()).await;
-        let Err(error) = keeping.step().await else {
+        tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
+        let Err(error) = writer.step().await else {
             failures = 0;
             continue;
         };
@@ -52,51 +52,57 @@
     }
 }
 
-struct Keeping {
+struct DaemonListWriter {
     client: Client,
-    store: Store,
-    seen: Sightings,
-    /// Since when some daemons aren't listed, or when that was last mended.
-    missing: Option<Millis>,
+    store: StoreContext,
+    last_seen: Sightings,
+    /// Since when some daemons aren't listed; after a write, the time from which on they count as
+    /// missing again.
+    missing_since: Option<Millis>,
 }
 
-impl Keeping {
+impl DaemonListWriter {
     async fn step(&mut self) -> Result<()> {
-        let roster = self.store.roster.borrow();
+        let roster = self.store.roster.snapshot();
         let is_known = self.store.copies.revision(Kind::Daemons).is_some();
         let Some(rank) = roster.hubs.iter().position(|hub| *hub == roster.me) else {
             return Ok(());
         };
-        if !is_known || now() < SETTLED {
+        if !is_known || now() < SETTLE_TIME {
             return Ok(());
         }
-        self.seen.see(&roster.known, now());
-        if self.store.placement.unlisted(&roster.known).is_empty() {
-            self.missing = None;
+        self.last_seen.see(&roster.live_daemons, now());
+        if self
+            .store
+            .placement
+            .unlisted(&roster.live_daemons)
+            .is_empty()
+        {
+            self.missing_since = None;
             return Ok(());
         }
-        // The next hub in rank writes where the first one doesn't, and each again after its copy
-        // had time to show what was written.
-        let turn = Millis(TURN.0 * rank as u64);
-        let since = *self.missing.get_or_insert(now());
+        // If the first hub in rank doesn't write, the next one does. Each hub waits for its copy to
+        // show what was written before it writes again.
+        let turn = Millis(WRITE_TURN.0 * rank as u64);
+        let since = *self.missing_since.get_or_insert(now());
         if now() < since + turn {
             return Ok(());
         }
-        self.missing = Some(now() + DAEMONS_PAUSE + TURN);
-        self.write(&roster.known).await
+        self.missing_since = Some(now() + DAEMONS_INTERVAL + WRITE_TURN);
+        self.write(&roster.live_daemons).await
     }
 
-    /// Adds daemons to those of this data centre.
-    async fn write(&mut self, known: &[SocketAddr]) -> Result<()> {
+    /// Adds daemons to the object of this data centre.
+    async fn write(&mut self, live: &[SocketAddr]) -> Result<()> {
         let name = self.store.data_centre.as_str();
         let object = self.store.copies.get(Kind::Daemons, name);
-        // One that can't be read is reported where it is copied, and replaced here.
+        // An object that can't be decoded is reported by the copy, and replaced here.
         let listed = object
             .as_ref()
             .and_then(|object| objects::daemons(object).ok());
-        let kept = listed.into_iter().flatten();
-        let kept = kept.filter(|daemon| self.seen.keeps(*daemon, now()));
-        let all: BTreeSet<SocketAddr> = kept.chain(known.iter().copied()).collect();
+        let retained = listed.into_iter().flatten();
+        let retained = retained.filter(|daemon| self.last_seen.keeps(*daemon, now()));
+        let all: BTreeSet<SocketAddr> = retained.chain(live.iter().copied()).collect();
         let all: Vec<SocketAddr> = all.into_iter().collect();
         let spec = objects::daemons_spec(&all);
         let kind = Kind::Daemons.to_string();
@@ -104,9 +110,9 @@
             Some(object) => Call::replace_at(&kind, name, object.revision, &spec),
             None => Call::create(&kind, name, &spec),
         };
-        self.store.metrics.calls.inc();
-        match self.client.call(&call, ANSWER).await {
-            // Another hub was first, or an answer was lost: what is there now is read first.
+        self.store.metrics.platform_calls.inc();
+        match self.client.call(&call, ANSWER_TIMEOUT).await {
+            // Another hub wrote first, or a response was lost: the copy must show it first.
             Err(error) if error.exists() || error.is_missing() => {}
             result => drop(result?),
         }
--- a/crates/router/src/store/direct.rs
+++ b/crates/router/src/store/direct.rs
@@ -1,4 +1,4 @@
-//! Follows the platform itself: a list, then the changes since.
+//! Copies objects from the platform's store itself: first a list, then the changes since.
 
 use std::net::SocketAddr;
 
@@ -9,165 +9,172 @@
 use medlarrill_platform::store::{self as wire, Call, Freshness, Kind};
 use rand::RngExt;
 
-use super::Store;
+use super::StoreContext;
 use super::client::{CallError, Client, Result};
-use crate::peers::Watch;
+use crate::peers::RosterState;
 
-/// Longest time that the platform holds a call for changes. A connection that went silent is
-/// found out after this and [`ANSWER`]; each such call costs as much as any other.
-const HOLD: Millis = Millis(1500);
-/// The same for drained data centres, which change rarely. Where the connection of one daemon that
-/// follows the platform went silent, those of the others tell.
-const DRAINS_HOLD: Millis = Millis(4000);
-/// Longest time for an answer beyond the time that the platform holds it. It answers in some
-/// milliseconds, in a fifth of a second when it is slow.
-const ANSWER: Millis = Millis(900);
-/// Pause after changes of the configuration, in which further ones are gathered. Versions have
-/// to be in force within 2 s; this takes a tenth of that.
+/// Maximum time for which the platform holds a call for changes. A silent connection is detected
+/// after this and [`ANSWER_TIMEOUT`]; each such call costs as much as any other.
+const WATCH_HOLD: Millis = Millis(1500);
+/// The same for drained data centres, which change rarely. If one watcher's connection went silent,
+/// the other watchers still receive the changes.
+const DRAINS_WATCH_HOLD: Millis = Millis(4000);
+/// Timeout for a response, in addition to the time for which the platform holds the call. It
+/// answers in some milliseconds, or a fifth of a second when it is slow.
+const ANSWER_TIMEOUT: Millis = Millis(900);
+/// Pause after changes of the configuration, in which further ones are collected. Versions must be
+/// active within 2 s; this takes a tenth of that.
 const CONFIGURATION_PAUSE: Millis = Millis(200);
-/// Pause after changes of endpoints. A leaving endpoint gets no new work after 2 s at most;
-/// gathering for half of that saves four of five calls while endpoints report.
+/// Pause after changes of endpoints. A leaving endpoint must get no new work after 2 s; collecting
+/// changes for half of that saves four of five calls while endpoints report.
 const ENDPOINTS_PAUSE: Millis = Millis(900);
-/// Time since the start in which hubs may be writing the daemons that started together.
-const DAEMONS_JOIN: Millis = Millis::from_secs(10);
-/// Between two lists of daemons in that time.
-const DAEMONS_EARLY: Millis = Millis(2500);
-/// Between two lists of daemons.
-pub const DAEMONS_PAUSE: Millis = Millis::from_secs(20);
-/// Between two looks whether this daemon has to follow the platform.
-const IDLE: Millis = Millis(50);
-/// The same at a daemon that knows nothing yet.
-const EARLY: Millis = Millis(5);
-/// Age of a copy at which a daemon that doesn't follow the platform asks it, where no relay is
-/// heard. Beyond the age that copies reach while the platform holds a call.
-const STALE: Millis = Millis(2600);
-/// Time for which a daemon that knows nothing, and was refused by the platform, waits for a copy
-/// of another daemon.
-const OTHERS: Millis = Millis(1500);
-/// Time in which daemons that aren't seeds wait for others' copies when the whole fleet starts for
-/// the first time. Callers come after 10 s and more; 295 daemons would make 590 calls.
-pub const FIRST_START: Millis = Millis(3000);
-/// Time since the start after which a daemon that knows all begins to ask for changes. Where 295
-/// daemons start again at once, it takes that long until they agree on who asks for all; asking
-/// before took a day from 956 calls to 1,733.
-const SETTLED: Millis = Millis(1000);
-/// Time since the start in which seeds tell a daemon of the fleet, if they live: a round trip.
-const HEAR: Millis = Millis(10);
-/// Time since the start in which daemons that have hubs to serve them wait for these, which have a
-/// list after 0.1 to 0.3 s. Where 295 daemons start again at once, this and [`FIRST_START`] took
-/// a day from 2,692 calls to 1,733; nobody knows more sooner by it.
-const HELP: Millis = Millis(150);
-/// Time for which a part of a list is worth going on from.
-const PART: Millis = Millis(3000);
-/// Time for which a daemon that lost the platform isn't chosen to follow it.
-const CUT_OFF: Millis = Millis::from_secs(5);
+/// Time since the start of the process in which hubs may still be listing daemons that started
+/// together.
+const JOIN_PERIOD: Millis = Millis::from_secs(10);
+/// Interval between reads of the list of daemons within [`JOIN_PERIOD`].
+const DAEMONS_JOIN_INTERVAL: Millis = Millis(2500);
+/// Interval between reads of the list of daemons.
+pub const DAEMONS_INTERVAL: Millis = Millis::from_secs(20);
+/// Interval between checks whether this daemon must call the platform.
+const CHECK_INTERVAL: Millis = Millis(50);
+/// The same while this daemon has no copy yet.
+const EARLY_CHECK_INTERVAL: Millis = Millis(5);
+/// Age of a copy from which on a daemon that is no watcher calls the platform, if it receives no
+/// updates by relay. Above the age that copies reach while the platform holds a call.
+const MAX_COPY_AGE: Millis = Millis(2600);
+/// Time for which a daemon without a copy waits for another daemon's after the platform refused its
+/// call.
+const PEER_COPY_WAIT: Millis = Millis(1500);
+/// Time for which daemons other than seeds wait for others' copies when the complete fleet starts
+/// for the first time. Callers come after 10 s or more; 295 daemons would make 590 calls.
+pub const FIRST_START_WAIT: Millis = Millis(3000);
+/// Time since the start of the process after which a daemon with all copies begins to ask for
+/// changes. When 295 daemons restart at once, they take that long to agree on the watchers; asking
+/// earlier raised the calls of a day from 956 to 1,733.
+const SETTLE_TIME: Millis = Millis(1000);
+/// Time since the start of the process in which live seeds report the fleet to this daemon: a round
+/// trip.
+const SEED_WAIT: Millis = Millis(10);
+/// Time since the start of the process for which daemons with hubs wait for the hubs' copies; hubs
+/// have a list after 0.1 to 0.3 s. When 295 daemons restart at once, this and
+/// [`FIRST_START_WAIT`] reduced the calls of a day from 2,692 to 1,733; no daemon got its copies
+/// sooner by it.
+const HUB_WAIT: Millis = Millis(150);
+/// Maximum age of a partially read list that is continued after a failed call.
+const PARTIAL_LIST_MAX_AGE: Millis = Millis(3000);
+/// Time for which a daemon that lost the platform isn't chosen as a watcher.
+const CUT_OFF_PERIOD: Millis = Millis::from_secs(5);
 
-/// Follows one kind until the process ends, whenever it falls to this daemon.
-pub async fn follow(store: Store, platform: SocketAddr, kind: Kind) {
-    let mut follower = Follower {
+/// Keeps the copy of one kind up to date until the process ends, whenever this daemon must call the
+/// platform for it.
+pub async fn follow(store: StoreContext, platform: SocketAddr, kind: Kind) {
+    let mut follower = StoreFollower {
         client: Client::new(platform),
-        part: None,
+        partial: None,
         freshness: Freshness::Latest,
         kind,
         store,
-        heard: now(),
-        failing: None,
-        failed: None,
+        answered_at: now(),
+        failures: None,
+        failed_at: None,
     };
     loop {
         if follower.is_due() {
             follower.step().await;
         } else {
-            follower.forgive();
+            follower.clear_failures();
             tokio::time::sleep(follower.pause().as_duration()).await;
         }
     }
 }
 
-/// The first parts of a list.
-struct Part {
+/// The pages of a list that were read so far.
+struct PartialList {
     objects: Vec<Object>,
-    /// The platform's revision of the first part.
+    /// Lowest revision of the pages.
     revision: u64,
-    /// When the first part was asked for.
-    heard: Millis,
+    /// When the first page was requested.
+    called_at: Millis,
 }
 
-struct Follower {
+struct StoreFollower {
     client: Client,
-    /// What was read of a list before a call failed.
-    part: Option<Part>,
-    /// How fresh the next list has to be.
+    /// Pages of a list that were read before a call failed.
+    partial: Option<PartialList>,
+    /// Required freshness of the next list.
     freshness: Freshness,
     kind: Kind,
-    store: Store,
+    store: StoreContext,
     /// When the platform last answered.
-    heard: Millis,
-    /// The failed calls since the last answer, if there are any.
-    failing: Option<Failing>,
-    /// When a call last failed, until it is forgiven.
-    failed: Option<Millis>,
+    answered_at: Millis,
+    /// Failed calls since the last response, if there are any.
+    failures: Option<FailureSeries>,
+    /// When a call last failed, until an answer or [`CUT_OFF_PERIOD`] clears it.
+    failed_at: Option<Millis>,
 }
 
-/// Calls that failed one after the other.
+/// Consecutive failed calls.
 #[derive(Clone, Copy)]
-struct Failing {
+struct FailureSeries {
     since: Millis,
     calls: u32,
 }
 
-impl Follower {
-    /// Whether this daemon has to ask the platform: it is chosen, knows nothing, or hears of
-    /// nobody who knows more.
+impl StoreFollower {
+    /// Whether this daemon must call the platform: it is a watcher, has no copy, or its copy is old
+    /// and no relay updates it.
     fn is_due(&self) -> bool {
-        let roster = self.store.roster.borrow();
+        let roster = self.store.roster.snapshot();
         match self.kind {
             Kind::Daemons => return self.is_list_due(&roster),
-            Kind::Drains if !self.store.copies.is_needed(Kind::Drains) => return false,
+            Kind::Drains if !self.store.copies.is_required(Kind::Drains) => return false,
             _ => {}
         }
         let Some(age) = self.store.copies.age(self.kind, now()) else {
-            // Where many daemons start at once the platform refuses some; others soon know more.
-            let asked = self.failed.is_some_and(|at| now().since(at) < OTHERS);
-            return (roster.is_watcher() || !asked) && !self.waits(&roster);
+            // When many daemons start at once, the platform refuses some; others soon have copies.
+            let has_failed = self
+                .failed_at
+                .is_some_and(|at| now().since(at) < PEER_COPY_WAIT);
+            return (roster.is_watcher() || !has_failed) && !self.leaves_to_others(&roster);
         };
-        // Where all daemons start again, each knows of too few others to leave it to them.
-        let is_settled = now() >= SETTLED;
-        roster.is_watcher() && is_settled || age > STALE && !roster.is_relayed
+        // After a restart of all daemons, each knows too few others at first to rely on them.
+        let is_settled = now() >= SETTLE_TIME;
+        roster.is_watcher() && is_settled || age > MAX_COPY_AGE && !roster.is_relayed
     }
 
-    /// Whether the list of daemons is to be read again. It changes rarely and may be old, so that
-    /// no call waits for changes.
-    fn is_list_due(&self, roster: &Watch) -> bool {
+    /// Whether the list of daemons must be read again. It changes rarely and may be old, so it is
+    /// polled instead of watched.
+    fn is_list_due(&self, roster: &RosterState) -> bool {
         let age = self.store.copies.age(self.kind, now());
-        // Only hubs know of others for sure.
+        // Only hubs know other daemons reliably.
         let is_missing = |daemons: &[_]| !self.store.placement.unlisted(daemons).is_empty();
-        let is_short = || is_missing(&[roster.me]) || is_missing(&roster.known);
-        let pause = match now() < DAEMONS_JOIN && is_short() {
-            true => DAEMONS_EARLY,
-            false => DAEMONS_PAUSE,
+        let is_incomplete = || is_missing(&[roster.me]) || is_missing(&roster.live_daemons);
+        let pause = match now() < JOIN_PERIOD && is_incomplete() {
+            true => DAEMONS_JOIN_INTERVAL,
+            false => DAEMONS_INTERVAL,
         };
         let is_old = age.is_none_or(|age| age >= pause);
-        roster.is_watcher() && now() >= SETTLED && is_old
+        roster.is_watcher() && now() >= SETTLE_TIME && is_old
     }
 
-    /// Whether a daemon that has just started leaves it to others to ask for what it doesn't know.
-    fn waits(&self, roster: &Watch) -> bool {
+    /// Whether a daemon that has just started waits for others' copies instead of calling the
+    /// platform.
+    fn leaves_to_others(&self, roster: &RosterState) -> bool {
         let passed = now();
         if self.store.first_start && !roster.is_seed() {
-            return passed < FIRST_START;
+            return passed < FIRST_START_WAIT;
         }
         let longest = match roster.following.is_served {
-            true => HELP,
-            false => HEAR,
+            true => HUB_WAIT,
+            false => SEED_WAIT,
         };
         !roster.seeds.is_empty() && passed < longest
     }
 
     fn pause(&self) -> Millis {
         match self.store.copies.revision(self.kind) {
-            Some(_) => IDLE,
-            None => EARLY,
+            Some(_) => CHECK_INTERVAL,
+            None => EARLY_CHECK_INTERVAL,
         }
     }
 
@@ -179,77 +186,80 @@
         };
         let result = match result {
             Err(error) if error.is_gone() => {
-                log::info!(target: "store", kind:% = self.kind; "store: history gone, listing anew");
+                log::info!(target: "store", kind:% = self.kind; "store: history gone, listing again");
                 self.list().await
             }
             result => result,
         };
         if let Err(error) = result {
-            self.fail(&error).await;
+            self.record_failure(&error).await;
         }
     }
 
-    /// Reads the first list. Where many daemons start at once, the store's rate allows some of
-    /// them; the others take a list of endpoints that may be seconds old, and go on from there.
-    /// The configuration isn't taken so, since an older one may allow what was taken back.
+    /// Reads the first list. When many daemons start at once, the store's rate limit admits only
+    /// some; the others read a list of endpoints that may be seconds old, and continue from there.
+    /// A stale configuration isn't read, since it may allow what has been revoked.
     async fn first_list(&mut self) -> Result<()> {
         let result = self.list().await;
         let is_over_rate = result.as_ref().is_err_and(CallError::is_over_rate);
         if !is_over_rate || self.kind != Kind::Endpoints {
             return result;
         }
-        log::info!(target: "store", kind:% = self.kind; "store: over its rate, reading an old list");
+        log::info!(target: "store", kind:% = self.kind; "store: over the rate limit, reading a stale list");
         self.freshness = Freshness::Stale;
         let result = self.list().await;
         self.freshness = Freshness::Latest;
         result
     }
 
+    /// Reads a complete list, continuing one that was partially read before.
     async fn list(&mut self) -> Result<()> {
-        let mut part = self
-            .part
+        let mut partial = self
+            .partial
             .take()
-            .filter(|part| now().since(part.heard) < PART);
+            .filter(|partial| now().since(partial.called_at) < PARTIAL_LIST_MAX_AGE);
         loop {
-            let result = self.list_part(&mut part).await;
+            let result = self.list_page(&mut partial).await;
             if !matches!(result, Ok(true)) {
-                // A call that failed may be repeated; what was read before it stays.
-                self.part = part.filter(|_| result.is_err());
+                // The failed call may be retried; pages read before it are kept.
+                self.partial = partial.filter(|_| result.is_err());
                 return result.map(|_| ());
             }
         }
     }
 
-    /// Reads one part of a list; says whether more follow.
-    async fn list_part(&mut self, part: &mut Option<Part>) -> Result<bool> {
-        let after = part.as_ref().and_then(|part| part.objects.last());
+    /// Reads one page of a list; returns whether more follow.
+    async fn list_page(&mut self, partial: &mut Option<PartialList>) -> Result<bool> {
+        let after = partial.as_ref().and_then(|partial| partial.objects.last());
         let after = after.map(|object| object.name.as_str());
         let path = wire::list_path(self.kind, after, self.freshness);
-        let asked = now();
-        let body = self.call(&path, ANSWER).await?;
+        let called_at = now();
+        let body = self.call(&path, ANSWER_TIMEOUT).await?;
         let page = wire::page(&body).map_err(CallError::Decode)?;
-        self.store.copies.report(self.kind, &page.unreadable);
+        self.store
+            .copies
+            .report_all_unreadable(self.kind, &page.unreadable);
         if page.more && page.objects.is_empty() {
             return Err(CallError::Stuck);
         }
-        // Changes between two parts come again with the changes since the first.
-        let read = part.get_or_insert_with(|| Part {
+        // Changes between two pages are received again with the changes since the first page.
+        let list = partial.get_or_insert_with(|| PartialList {
             objects: Vec::new(),
             revision: page.revision,
-            heard: asked,
+            called_at,
         });
-        // Copies that answer with old lists may lag one behind the other.
-        read.revision = read.revision.min(page.revision);
+        // Stale pages may come from copies of the store that lag behind each other.
+        list.revision = list.revision.min(page.revision);
         let is_last = !page.more;
-        read.objects.extend(page.objects);
+        list.objects.extend(page.objects);
         if !is_last {
             return Ok(true);
         }
-        let Some(Part {
+        let Some(PartialList {
             objects,
             revision,
-            heard,
-        }) = part.take()
+            called_at,
+        }) = partial.take()
         else {
             return Ok(false);
         };
@@ -258,21 +268,24 @@
             changes: objects.into_iter().map(Change::Put).collect(),
             revision,
         };
-        let heard = (self.freshness == Freshness::Latest).then_some(heard);
-        self.store.copies.apply(self.kind, update, heard, now());
+        let as_of = (self.freshness == Freshness::Latest).then_some(called_at);
+        self.store.copies.apply(self.kind, update, as_of, now());
         Ok(false)
     }
 
+    /// Waits for changes after a revision and applies them.
     async fn watch(&mut self, revision: u64) -> Result<()> {
         let hold = match self.kind {
-            Kind::Drains => DRAINS_HOLD,
-            _ => HOLD,
+            Kind::Drains => DRAINS_WATCH_HOLD,
+            _ => WATCH_HOLD,
         };
         let path = wire::watch_path(self.kind, revision, hold);
-        let body = self.call(&path, hold + ANSWER).await?;
-        let heard = now();
+        let body = self.call(&path, hold + ANSWER_TIMEOUT).await?;
+        let received = now();
         let changes = wire::changes(&body).map_err(CallError::Decode)?;
-        self.store.copies.report(self.kind, &changes.unreadable);
+        self.store
+            .copies
+            .report_all_unreadable(self.kind, &changes.unreadable);
         let is_quiet = changes.changes.is_empty();
         let update = Update {
             whole: false,
@@ -281,7 +294,7 @@
         };
         self.store
             .copies
-            .apply(self.kind, update, Some(heard), heard);
+            .apply(self.kind, update, Some(received), received);
         if !is_quiet {
             let pause = match self.kind {
                 Kind::Configuration | Kind::Drains => CONFIGURATION_PAUSE,
@@ -293,54 +306,62 @@
     }
 
     async fn call(&mut self, path: &str, wait: Millis) -> Result<bytes::Bytes> {
-        self.store.metrics.calls.inc();
-        let asked = now();
+        self.store.metrics.platform_calls.inc();
+        let called_at = now();
         let call = Call::get(path.to_owned());
         let body = self.client.call(&call, wait).await;
         if body.as_ref().err().is_none_or(CallError::is_gone) {
-            self.answered(asked);
+            self.record_answer(called_at);
         }
         body
     }
 
-    fn answered(&mut self, asked: Millis) {
+    /// Records a response to a call that was made at `called_at`, which ends an outage.
+    fn record_answer(&mut self, called_at: Millis) {
         let at = now();
-        if let Some(failing) = self.failing.take() {
-            let outage = asked.since(self.heard);
+        if let Some(series) = self.failures.take() {
+            let outage = called_at.since(self.answered_at);
             log::info!(
-                target: "store", kind:% = self.kind, silent = outage.0, failures = failing.calls;
+                target: "store", kind:% = self.kind, silent = outage.0, failures = series.calls;
                 "store: answers again"
             );
         }
-        self.failed = None;
-        self.heard = at;
+        self.failed_at = None;
+        self.answered_at = at;
         self.store.copies.set_cut_off(false);
     }
 
-    /// Makes this daemon eligible again some time after it lost the platform.
-    fn forgive(&mut self) {
-        self.heard = now();
-        self.failing = None;
-        if self.failed.is_some_and(|at| now().since(at) >= CUT_OFF) {
-            self.failed = None;
+    /// Resets the failure state while this daemon makes no calls; after [`CUT_OFF_PERIOD`] it may
+    /// become a watcher again.
+    fn clear_failures(&mut self) {
+        self.answered_at = now();
+        self.failures = None;
+        if self
+            .failed_at
+            .is_some_and(|at| now().since(at) >= CUT_OFF_PERIOD)
+        {
+            self.failed_at = None;
             self.store.copies.set_cut_off(false);
         }
     }
 
-    async fn fail(&mut self, error: &CallError) {
+    /// Records and logs a failed call, and waits before the next one.
+    async fn record_failure(&mut self, error: &CallError) {
         self.store.metrics.failed_calls.inc();
         let at = now();
-        let first = Failing {
+        let first = FailureSeries {
             since: at,
             calls: 0,
         };
-        let failing = self.failing.get_or_insert(first);
-        failing.calls += 1;
-        let calls = failing.calls;
-        self.store.copies.fail(self.kind, failing.since, at);
-        self.failed = Some(at);
+        let series = self.failures.get_or_insert(first);
+        series.calls += 1;
+        let calls = series.calls;
+        self.store
+            .copies
+            .record_failure(self.kind, series.since, at);
+        self.failed_at = Some(at);
         self.store.copies.set_cut_off(true);
-        let silent = now().since(self.heard);
+        let silent = now().since(self.answered_at);
         if calls == 1 {
             log::warn!(
                 target: "store", kind:% = self.kind, silent = silent.0, cause:% = error;
--- a/crates/router/src/store/quarantine.rs
+++ b/crates/router/src/store/quarantine.rs
@@ -1,5 +1,5 @@
-//! Has the platform keep which requests are quarantined, so that daemons that
-//! all start anew know them.
+//! Stores quarantined requests on the platform, so that they are known after
+//! all daemons have restarted.
 
 use std::net::SocketAddr;
 
@@ -12,27 +12,27 @@
 use medlarrill_platform::store::{self as wire, Call, Freshness};
 use rand::RngExt;
 
-use super::Store;
+use super::StoreContext;
 use super::client::{CallError, Client, Result};
 
-/// Between two looks at what is to be done.
-const LOOK: Millis = Millis(500);
-/// Time since the start after which daemons agree on who is a hub.
-const SETTLED: Millis = Millis(1000);
-/// Longest time for an answer: it comes in some milliseconds, in a fifth of a second from a slow
+/// Interval between checks for the next step.
+const CHECK_INTERVAL: Millis = Millis(500);
+/// Time since the start of the process after which daemons agree on who is a hub.
+const SETTLE_TIME: Millis = Millis(1000);
+/// Timeout for a response: it takes some milliseconds, or a fifth of a second from a slow
 /// platform.
-const ANSWER: Millis = Millis(900);
+const ANSWER_TIMEOUT: Millis = Millis(900);
 
-/// Keeps them until the process ends.
-pub async fn keep(store: Store, platform: SocketAddr) {
-    let mut keeping = Keeping {
+/// Keeps the store up to date until the process ends.
+pub async fn sync(store: StoreContext, platform: SocketAddr) {
+    let mut state = QuarantineSync {
         client: Client::new(platform),
-        keeper: Keeper::default(),
+        sync_state: Keeper::default(),
         store,
     };
     let mut failures = 0;
     loop {
-        match keeping.step().await {
+        match state.step().await {
             Ok(true) => {
                 failures = 0;
                 continue;
@@ -40,39 +40,39 @@
             Ok(false) => failures = 0,
             Err(error) => {
                 failures += 1;
-                report(&error, failures);
+                log_failure(&error, failures);
                 let pause = backoff::pause(failures, true, rand::rng().random());
                 tokio::time::sleep(pause.as_duration()).await;
             }
         }
-        tokio::time::sleep(LOOK.as_duration()).await;
+        tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
     }
 }
 
-/// Logs a call that failed; the first of several as a warning.
-fn report(error: &CallError, failures: u32) {
+/// Logs a failed call, the first of a series as a warning.
+fn log_failure(error: &CallError, failures: u32) {
     let level = match failures {
         1 => log::Level::Warn,
         _ => log::Level::Debug,
     };
-    log::log!(target: "store", level, "store: the quarantine isn't kept yet: {error}");
+    log::log!(target: "store", level, "store: the quarantine isn't stored yet: {error}");
 }
 
-struct Keeping {
+struct QuarantineSync {
     client: Client,
-    keeper: Keeper,
-    store: Store,
+    sync_state: Keeper,
+    store: StoreContext,
 }
 
-impl Keeping {
-    /// Does what is next; says whether there was anything to do.
+impl QuarantineSync {
+    /// Performs the next step; returns whether there was one.
     async fn step(&mut self) -> Result<bool> {
-        if now() < SETTLED {
+        if now() < SETTLE_TIME {
             return Ok(false);
         }
-        let is_hub = self.store.roster.borrow().following.is_hub;
+        let is_hub = self.store.roster.snapshot().following.is_hub;
         let placement = &self.store.placement;
-        let Some(step) = placement.next_kept(&self.keeper, is_hub) else {
+        let Some(step) = placement.next_sync_step(&self.sync_state, is_hub) else {
             return Ok(false);
         };
         match step {
@@ -92,11 +92,11 @@
             let body = self.call(&Call::get(path)).await?;
             let page = wire::page(&body).map_err(CallError::Decode)?;
             let copies = &self.store.copies;
-            copies.report(wire::QUARANTINE, &page.unreadable);
+            copies.report_all_unreadable(wire::QUARANTINE, &page.unreadable);
             for object in &page.objects {
                 match objects::quarantined(object) {
-                    Ok(kept) => all.push(kept),
-                    Err(error) => copies.report_one(wire::QUARANTINE, &object.name, &error),
+                    Ok(stored) => all.push(stored),
+                    Err(error) => copies.report_unreadable(wire::QUARANTINE, &object.name, &error),
                 }
             }
             after = page.objects.last().map(|object| object.name.clone());
@@ -107,10 +107,13 @@
             }
         }
         let (at, wall) = (now(), wall());
-        let evidence: Vec<_> = all.iter().flat_map(|kept| kept.evidence(wall)).collect();
-        self.store.placement.learn(&evidence, at);
+        let evidence: Vec<_> = all
+            .iter()
+            .flat_map(|stored| stored.evidence(wall))
+            .collect();
+        self.store.placement.merge_evidence(&evidence, at);
         log::info!(target: "store", count = all.len(); "store: the kept quarantine is read");
-        self.keeper.listed(&all);
+        self.sync_state.listed(&all);
         Ok(())
     }
 
@@ -119,21 +122,25 @@
         fingerprint: Fingerprint,
         call: fn(&str, &str, &serde_json::Value) -> Call,
     ) -> Result<()> {
-        let Some(kept) = self.store.placement.kept(fingerprint, now(), wall()) else {
+        let Some(stored) = self
+            .store
+            .placement
+            .stored_request(fingerprint, now(), wall())
+        else {
             return Ok(());
         };
-        let (name, spec) = (fingerprint.to_string(), objects::quarantined_spec(&kept));
+        let (name, spec) = (fingerprint.to_string(), objects::quarantined_spec(&stored));
         match self.call(&call(wire::QUARANTINE, &name, &spec)).await {
-            // Another daemon was first, or the answer to an earlier call was lost.
+            // Another daemon created it first, or the response to an earlier call was lost.
             Err(error) if error.exists() => {}
-            // Removed since; it is made anew.
+            // It was removed meanwhile, and is created again in the next step.
             Err(error) if error.is_missing() => {
-                self.keeper.removed(fingerprint);
+                self.sync_state.removed(fingerprint);
                 return Ok(());
             }
             result => drop(result?),
         }
-        self.keeper.written(&kept);
+        self.sync_state.written(&stored);
         Ok(())
     }
 
@@ -143,13 +150,13 @@
             Err(error) if error.is_missing() => {}
             result => drop(result?),
         }
-        self.keeper.removed(fingerprint);
+        self.sync_state.removed(fingerprint);
         Ok(())
     }
 
     async fn call(&mut self, call: &Call) -> Result<bytes::Bytes> {
-        self.store.metrics.calls.inc();
-        let answer = self.client.call(call, ANSWER).await;
+        self.store.metrics.platform_calls.inc();
+        let answer = self.client.call(call, ANSWER_TIMEOUT).await;
         if answer.is_err() {
             self.store.metrics.failed_calls.inc();
         }
--- a/crates/router/src/store/relay.rs
+++ b/crates/router/src/store/relay.rs
@@ -1,9 +1,9 @@
-//! Copies that follow other daemons' copies, over connections between daemons.
+//! Relays copies between daemons over TCP.
 //!
-//! A follower says which revisions it has reached; the other side sends what
-//! is newer, then each change as it takes effect there, and at least twice a
-//! second how old its copies are. A follower has two such connections, so that
-//! one daemon that freezes or is cut off delays nothing.
+//! A follower sends the revisions that it has reached; its source sends the
+//! newer changes, then each change as it takes effect there, and at least twice a
+//! second the age of its copies. A follower has two such connections, so that
+//! a source that freezes or is cut off delays nothing.
 
 pub mod message;
 
@@ -23,27 +23,28 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 pub use self::message::EncodedUpdate;
-use self::message::{Subscription, Notification};
-use super::Store;
+use self::message::{Notification, Subscription};
+use super::StoreContext;
 use super::copies::KINDS;
-use super::direct::FIRST_START;
+use super::direct::FIRST_START_WAIT;
 use crate::socket;
 
-/// Longest time to connect to a daemon.
-const CONNECT: Millis = Millis(400);
-/// Between two words on how old the copies are.
-const BEAT: Millis = Millis(500);
-/// Silence after which a connection is given up.
-const SILENT: Millis = Millis(1200);
-/// Between two looks at whom to follow, and before a source that was lost is followed again.
-const LOOK: Millis = Millis(100);
-/// The same at a daemon that knows nothing, and refuses its callers until it has found one that
-/// does.
-const EARLY_LOOK: Millis = Millis(20);
-/// Largest message: the platform's values end at 1 MiB, a list holds some hundred small ones.
-const FRAME: usize = 8 << 20;
-/// Longest time for a follower's first message.
-const ASK: Millis = Millis(2000);
+/// Timeout for connecting to a daemon.
+const CONNECT_TIMEOUT: Millis = Millis(400);
+/// Interval at which the age of the copies is sent.
+const HEARTBEAT: Millis = Millis(500);
+/// Silence after which a connection is closed.
+const SILENCE_LIMIT: Millis = Millis(1200);
+/// Interval between checks which sources to follow, and pause before a lost source is followed
+/// again.
+const CHECK_INTERVAL: Millis = Millis(100);
+/// The interval while this daemon lacks a required copy, and therefore refuses its callers.
+const EARLY_CHECK_INTERVAL: Millis = Millis(20);
+/// Maximum size of a message in bytes: the platform limits values to 1 MiB, and a list holds some
+/// hundred small ones.
+const MAX_FRAME: usize = 8 << 20;
+/// Timeout for a follower's subscription.
+const SUBSCRIBE_TIMEOUT: Millis = Millis(2000);
 
 /// Result of following or serving a copy.
 type Result<T> = std::result::Result<T, RelayError>;
@@ -55,135 +56,144 @@
     Io(std::io::Error),
     #[display("{_0}")]
     Decode(prost::DecodeError),
-    #[display("nothing came in time")]
+    #[display("nothing received in time")]
     Silent,
-    #[display("the other side closed it")]
+    #[display("closed by the peer")]
     Closed,
     #[display("too far behind")]
     Behind,
 }
 
-type Link = Framed<TcpStream, LengthDelimitedCodec>;
+type Connection = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn link(stream: TcpStream) -> Link {
+fn framed(stream: TcpStream) -> Connection {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME)
+        .max_frame_length(MAX_FRAME)
         .new_codec();
     Framed::new(stream, codec)
 }
 
-/// Serves the copies to other daemons until the process ends.
-pub async fn serve(store: Store, listener: TcpListener) {
+/// Serves this daemon's copies to followers until the process ends.
+pub async fn serve(store: StoreContext, listener: TcpListener) {
     loop {
         let stream = socket::accept(&listener).await;
         let store = store.clone();
         tokio::spawn(async move {
-            if let Err(error) = serve_one(&store, link(stream)).await {
-                log::debug!(target: "relay", "relay: a follower left: {error}");
+            if let Err(error) = serve_one(&store, framed(stream)).await {
+                log::debug!(target: "relay", "relay: a follower disconnected: {error}");
             }
         });
     }
 }
 
-async fn serve_one(store: &Store, mut link: Link) -> Result<()> {
-    let ask = tokio::time::timeout(ASK.as_duration(), link.next()).await;
-    let ask = ask.map_err(|_| RelayError::Silent)?;
-    let ask = Subscription::read(&ask.ok_or(RelayError::Closed)??)?;
-    let mut effects = store.copies.subscribe();
-    let mut follower = Follower::new(store, link, ask);
-    let mut beat = tokio::time::interval(BEAT.as_duration());
+async fn serve_one(store: &StoreContext, mut connection: Connection) -> Result<()> {
+    let subscription =
+        tokio::time::timeout(SUBSCRIBE_TIMEOUT.as_duration(), connection.next()).await;
+    let subscription = subscription.map_err(|_| RelayError::Silent)?;
+    let subscription = Subscription::read(&subscription.ok_or(RelayError::Closed)??)?;
+    let mut events = store.copies.subscribe();
+    let mut follower = Follower::new(store, connection, subscription);
+    let mut heartbeat = tokio::time::interval(HEARTBEAT.as_duration());
     loop {
         tokio::select! {
-            effect = effects.recv() => match effect {
-                Ok((kind, update)) => follower.tell(kind, update).await?,
+            event = events.recv() => match event {
+                Ok((kind, update)) => follower.notify(kind, update).await?,
                 Err(RecvError::Lagged(_)) => return Err(RelayError::Behind),
                 Err(RecvError::Closed) => return Ok(()),
             },
-            _ = beat.tick() => {
+            _ = heartbeat.tick() => {
                 for kind in KINDS {
-                    follower.tell(kind, None).await?;
+                    follower.notify(kind, None).await?;
                 }
             }
         }
     }
 }
 
-/// A daemon that follows this one's copies.
+/// A daemon that follows this daemon's copies.
 struct Follower<'a> {
-    store: &'a Store,
-    link: Link,
-    /// What it had reached when it asked.
-    ask: Subscription,
-    /// The kinds of which it was told what it lacked then.
-    started: Vec<Kind>,
+    store: &'a StoreContext,
+    connection: Connection,
+    /// Revisions that it had reached when it subscribed.
+    subscription: Subscription,
+    /// Kinds of which it was sent the changes that it lacked then.
+    sent_kinds: Vec<Kind>,
 }
 
 impl<'a> Follower<'a> {
-    const fn new(store: &'a Store, link: Link, ask: Subscription) -> Self {
+    const fn new(
+        store: &'a StoreContext,
+        connection: Connection,
+        subscription: Subscription,
+    ) -> Self {
         Self {
             store,
-            link,
-            ask,
-            started: Vec::new(),
+            connection,
+            subscription,
+            sent_kinds: Vec::new(),
         }
     }
 
-    /// Tells changes of a kind, or only how old the copy is; nothing before that is known.
-    async fn tell(&mut self, kind: Kind, update: Option<EncodedUpdate>) -> Result<()> {
+    /// Sends changes of a kind, or only the age of the copy; nothing before its first list.
+    async fn notify(&mut self, kind: Kind, update: Option<EncodedUpdate>) -> Result<()> {
         let Some(age) = self.store.copies.age(kind, now()) else {
             return Ok(());
         };
-        let update = match self.started.contains(&kind) {
+        let update = match self.sent_kinds.contains(&kind) {
             true => update,
-            // A copy that knew nothing when it was asked changes from nothing to all it knows,
-            // which doesn't say what the follower has and is gone.
+            // If this copy was empty at the subscription, `update` adds all objects, but doesn't
+            // say which objects of the follower were removed.
             false => {
-                let lacks = self.store.copies.since(kind, self.ask.revision(kind));
-                self.started.push(kind);
-                lacks
+                let missing = self
+                    .store
+                    .copies
+                    .update_since(kind, self.subscription.revision(kind));
+                self.sent_kinds.push(kind);
+                missing
             }
         };
-        let failing = self.store.copies.failing(kind, now());
-        let message = Notification::new(kind, update, age, failing).encode();
-        let sending = self.link.send(message);
-        let sent = tokio::time::timeout(SILENT.as_duration(), sending).await;
+        let outage = self.store.copies.outage(kind, now());
+        let message = Notification::new(kind, update, age, outage).encode();
+        let sending = self.connection.send(message);
+        let sent = tokio::time::timeout(SILENCE_LIMIT.as_duration(), sending).await;
         Ok(sent.map_err(|_| RelayError::Silent)??)
     }
 }
 
-/// Follows the daemons that follow the platform, while this one isn't among them or has lost it.
-pub async fn follow(store: Store) {
-    let mut links: HashMap<SocketAddr, JoinHandle<()>> = HashMap::new();
+/// Follows other daemons' copies while this daemon is no watcher or has lost the platform.
+pub async fn follow(store: StoreContext) {
+    let mut tasks: HashMap<SocketAddr, JoinHandle<()>> = HashMap::new();
     loop {
         let targets = targets(&store);
-        links.retain(|address, task| {
-            let wanted = targets.contains(address);
-            if !wanted {
+        tasks.retain(|address, task| {
+            let is_target = targets.contains(address);
+            if !is_target {
                 task.abort();
             }
-            wanted && !task.is_finished()
+            is_target && !task.is_finished()
         });
         for target in targets {
             let store = store.clone();
-            links
+            tasks
                 .entry(target)
                 .or_insert_with(|| tokio::spawn(follow_one(store, target)));
         }
-        let pause = match store.copies.knows_all() {
-            true => LOOK,
-            false => EARLY_LOOK,
+        let pause = match store.copies.is_complete() {
+            true => CHECK_INTERVAL,
+            false => EARLY_CHECK_INTERVAL,
         };
         tokio::time::sleep(pause.as_duration()).await;
     }
 }
 
-fn targets(store: &Store) -> Vec<SocketAddr> {
-    let roster = store.roster.borrow();
+/// The daemons to follow now.
+fn targets(store: &StoreContext) -> Vec<SocketAddr> {
+    let roster = store.roster.snapshot();
     if !is_on(Mechanism::Relays) {
         return Vec::new();
     }
-    if store.first_start && now() < FIRST_START && !store.copies.knows_all() {
-        // Those that others would follow wait, too.
+    if store.first_start && now() < FIRST_START_WAIT && !store.copies.is_complete() {
+        // The regular sources wait, too.
         return sources(roster.me, &roster.seeds, 1);
     }
     if roster.is_watcher() && !store.copies.is_cut_off() {
@@ -192,37 +202,43 @@
     roster.following.sources
 }
 
-async fn follow_one(store: Store, source: SocketAddr) {
-    let lost = match socket::connect(source, CONNECT).await {
-        Ok(stream) => take(&store, source, link(stream)).await,
+async fn follow_one(store: StoreContext, source: SocketAddr) {
+    let result = match socket::connect(source, CONNECT_TIMEOUT).await {
+        Ok(stream) => receive_updates(&store, source, framed(stream)).await,
         Err(error) => {
-            // Logged as lost only if it was followed: where a whole fleet starts, most aren't up.
+            // Not logged as lost: when a complete fleet starts, most sources aren't up yet.
             log::debug!(target: "relay", "relay: source {source} isn't reached: {error}");
             Ok(())
         }
     };
-    if let Err(error) = lost {
+    if let Err(error) = result {
         log::info!(target: "relay", source:%, cause:% = error; "relay: source lost");
     }
-    tokio::time::sleep(LOOK.as_duration()).await;
+    tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
 }
 
-async fn take(store: &Store, source: SocketAddr, mut link: Link) -> Result<()> {
+async fn receive_updates(
+    store: &StoreContext,
+    source: SocketAddr,
+    mut connection: Connection,
+) -> Result<()> {
     let reached = KINDS.map(|kind| (kind, store.copies.revision(kind)));
-    link.send(Subscription::new(&reached).encode()).await?;
+    connection
+        .send(Subscription::new(&reached).encode())
+        .await?;
     log::info!(target: "relay", source:%; "relay: follows");
     loop {
-        let frame = tokio::time::timeout(SILENT.as_duration(), link.next()).await;
+        let frame = tokio::time::timeout(SILENCE_LIMIT.as_duration(), connection.next()).await;
         let frame = frame.map_err(|_| RelayError::Silent)?;
-        let tell = Notification::read(&frame.ok_or(RelayError::Closed)??)?;
+        let notification = Notification::read(&frame.ok_or(RelayError::Closed)??)?;
         let at = now();
-        if tell.is_fresh() {
-            store.roster.heard_relay(at);
+        if notification.is_fresh() {
+            store.roster.record_relay(at);
         }
-        if let Some((kind, span)) = tell.failed_for() {
-            store.copies.fail(kind, at - span, at);
+        if let Some((kind, span)) = notification.outage() {
+            store.copies.record_failure(kind, at - span, at);
         }
-        if let Some((kind, update, age)) = tell.into_update()? {
+        if let Some((kind, update, age)) = notification.into_update()? {
             store.copies.apply(kind, update, Some(at - age), at);
         }
     }
--- a/crates/router/src/store/relay/message.rs
+++ b/crates/router/src/store/relay/message.rs
@@ -1,4 +1,4 @@
-//! Messages between a copy and its followers, coded by `prost`.
+//! Messages between a source of copies and its followers, encoded as Protocol Buffers.
 
 use std::io::{Read, Write};
 
@@ -11,18 +11,18 @@
 use medlarrill_platform::store::Kind;
 use prost::{DecodeError, Message};
 
-/// Updates from this size on are compressed, once for all followers. A list of some hundred
-/// endpoints or a configuration of some hundred routes takes 100 KB plain and a fifth of that
-/// compressed; links of 10 Mbit/s carry it to 84 daemons.
-const COMPRESSED: usize = 1024;
-/// Age up to which a copy counts as followed: the platform holds a call and pauses after it for
-/// 2.4 s together, and each daemon on the way adds half a second at most. One that is told of an
-/// older copy looks for a newer one itself, unless the platform is known to be away.
-const FRESH: Millis = Millis(3000);
-/// Largest update, plain.
-const UPDATE: u64 = 32 << 20;
+/// Size in bytes from which on updates are compressed, once for all followers. A list of some
+/// hundred endpoints or a configuration of some hundred routes takes 100 KB uncompressed and a
+/// fifth of that compressed; links of 10 Mbit/s carry it to 84 daemons.
+const COMPRESS_MIN: usize = 1024;
+/// Age below which a copy counts as fresh: a call held by the platform and the pause after it take
+/// 2.4 s together, and each daemon on the path adds at most half a second. A follower of an older
+/// copy looks for a fresh one itself, unless the platform is known to be unreachable.
+const MAX_FRESH_AGE: Millis = Millis(3000);
+/// Maximum size of a decompressed update, in bytes.
+const MAX_UPDATE: u64 = 32 << 20;
 
-/// Which revisions a follower has reached.
+/// A follower's first message, with the revisions that it has reached.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Subscription {
@@ -39,7 +39,7 @@
     revision: u64,
 }
 
-/// Changes of one kind, and how old the copy is.
+/// Changes of one kind, if there are any, and the age of the source's copy.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Notification {
@@ -51,14 +51,14 @@
     /// Milliseconds for which calls to the platform have failed.
     #[prost(uint64, optional, tag = "3")]
     failing: Option<u64>,
-    /// Changes, coded as `Changes`.
+    /// `Changes` in encoded form, possibly compressed.
     #[prost(bytes = "bytes", tag = "4")]
     changes: Bytes,
     #[prost(bool, tag = "5")]
     compressed: bool,
 }
 
-/// An update, coded once for all followers.
+/// An update, encoded once for all followers.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct EncodedUpdate {
     bytes: Bytes,
@@ -71,7 +71,7 @@
     #[prost(uint64, tag = "1")]
     revision: u64,
     #[prost(bool, tag = "2")]
-    whole: bool,
+    complete: bool,
     #[prost(message, repeated, tag = "3")]
     puts: Vec<Put>,
     #[prost(message, repeated, tag = "4")]
@@ -98,7 +98,7 @@
     revision: u64,
 }
 
-const fn code(kind: Kind) -> u32 {
+const fn kind_code(kind: Kind) -> u32 {
     match kind {
         Kind::Configuration => 1,
         Kind::Endpoints => 2,
@@ -107,7 +107,7 @@
     }
 }
 
-const fn kind(code: u32) -> Option<Kind> {
+const fn kind_of_code(code: u32) -> Option<Kind> {
     match code {
         1 => Some(Kind::Configuration),
         2 => Some(Kind::Endpoints),
@@ -118,11 +118,11 @@
 }
 
 impl Subscription {
-    /// The revisions reached.
+    /// Creates a subscription from the revision reached of each kind.
     pub fn new(reached: &[(Kind, Option<u64>)]) -> Self {
         let position = |(kind, revision): &(Kind, Option<u64>)| {
             revision.map(|revision| Position {
-                kind: code(*kind),
+                kind: kind_code(*kind),
                 revision,
             })
         };
@@ -131,34 +131,34 @@
         }
     }
 
-    /// The revision reached of a kind, none if nothing is known.
+    /// Revision that the follower has reached of a kind, `None` without a copy.
     pub fn revision(&self, kind: Kind) -> Option<u64> {
         let mut positions = self.positions.iter();
-        let found = positions.find(|position| position.kind == code(kind));
+        let found = positions.find(|position| position.kind == kind_code(kind));
         found.map(|position| position.revision)
     }
 
-    /// The message.
+    /// Encodes the message.
     pub fn encode(&self) -> Bytes {
         self.encode_to_vec().into()
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// When it isn't one.
+    /// When the bytes aren't a valid message.
     pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
         Self::decode(bytes)
     }
 }
 
 impl EncodedUpdate {
-    /// Codes an update.
+    /// Encodes an update, and compresses it if it is large.
     pub fn new(update: &Update) -> Self {
         let mut changes = Changes {
             revision: update.revision,
-            whole: update.whole,
+            complete: update.whole,
             ..Changes::default()
         };
         for change in &update.changes {
@@ -184,52 +184,57 @@
 }
 
 impl Notification {
-    /// Changes, or none and only the age.
-    pub fn new(kind: Kind, packed: Option<EncodedUpdate>, age: Millis, failing: Option<Millis>) -> Self {
-        let packed = packed.unwrap_or(EncodedUpdate {
+    /// Creates a notification of changes, or of only the age.
+    pub fn new(
+        kind: Kind,
+        encoded: Option<EncodedUpdate>,
+        age: Millis,
+        outage: Option<Millis>,
+    ) -> Self {
+        let encoded = encoded.unwrap_or(EncodedUpdate {
             bytes: Bytes::new(),
             compressed: false,
         });
         Self {
-            kind: code(kind),
+            kind: kind_code(kind),
             age: age.0,
-            failing: failing.map(|span| span.0),
-            changes: packed.bytes,
-            compressed: packed.compressed,
+            failing: outage.map(|span| span.0),
+            changes: encoded.bytes,
+            compressed: encoded.compressed,
         }
     }
 
-    /// The message.
+    /// Encodes the message.
     pub fn encode(&self) -> Bytes {
         self.encode_to_vec().into()
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// When it isn't one.
+    /// When the bytes aren't a valid message.
     pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
         Self::decode(bytes)
     }
 
-    /// Whether the other side knows about as much as the platform says, or why it can't.
+    /// Whether the source's copy is fresh, or its calls to the platform are known to fail.
     pub const fn is_fresh(&self) -> bool {
-        self.age < FRESH.0 || self.failing.is_some()
+        self.age < MAX_FRESH_AGE.0 || self.failing.is_some()
     }
 
-    /// The kind, and for how long calls to the platform have failed where this comes from.
-    pub fn failed_for(&self) -> Option<(Kind, Millis)> {
-        Some((kind(self.kind)?, Millis(self.failing?)))
+    /// The kind, and how long the source's calls to the platform for it have been failing.
+    pub fn outage(&self) -> Option<(Kind, Millis)> {
+        Some((kind_of_code(self.kind)?, Millis(self.failing?)))
     }
 
-    /// The kind, its changes and their age; none of a kind that only newer daemons know.
+    /// The kind, its changes and the copy's age; `None` for a kind that only newer daemons know.
     ///
     /// # Errors
     ///
-    /// When the changes can't be read.
+    /// When the changes can't be decoded.
     pub fn into_update(self) -> std::io::Result<Option<(Kind, Update, Millis)>> {
-        let Some(kind) = kind(self.kind) else {
+        let Some(kind) = kind_of_code(self.kind) else {
             return Ok(None);
         };
         let changes = match self.compressed {
@@ -249,7 +254,7 @@
             revision: removal.revision,
         });
         let update = Update {
-            whole: changes.whole,
+            whole: changes.complete,
             changes: puts.chain(removals).collect(),
             revision: changes.revision,
         };
@@ -258,19 +263,19 @@
 }
 
 fn compress(plain: &Bytes) -> Option<Bytes> {
-    if plain.len() < COMPRESSED {
+    if plain.len() < COMPRESS_MIN {
         return None;
     }
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
-    // Writing to memory doesn't fail; if it did, the update travels plain.
+    // Writing to memory doesn't fail; if it did, the update would be sent uncompressed.
     encoder.write_all(plain).ok()?;
     encoder.finish().ok().map(Bytes::from)
 }
 
-fn decompress(packed: &[u8]) -> std::io::Result<Bytes> {
+fn decompress(encoded: &[u8]) -> std::io::Result<Bytes> {
     let mut plain = Vec::new();
-    ZlibDecoder::new(packed)
-        .take(UPDATE)
+    ZlibDecoder::new(encoded)
+        .take(MAX_UPDATE)
         .read_to_end(&mut plain)?;
     Ok(plain.into())
 }
--- a/crates/router/src/store/unreadable.rs
+++ b/crates/router/src/store/unreadable.rs
@@ -1,4 +1,4 @@
-//! Entries of the store that can't be read: counted all, logged within bounds.
+//! Reports entries of the store that can't be decoded: all are counted, and logs are rate-limited.
 
 use std::fmt::Display;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,29 +11,29 @@
 
 use crate::metrics::Metrics;
 
-/// Lines in each [`WINDOW`]: an entry that another writer rewrites each second would fill the
-/// log, and a few lines tell what is wrong with it.
-const LINES: u32 = 5;
-/// See [`LINES`].
+/// Maximum number of log lines in each [`WINDOW`]: an entry that another writer rewrites each
+/// second would fill the log, and a few lines show what is wrong with it.
+const MAX_LINES: u32 = 5;
+/// See [`MAX_LINES`].
 const WINDOW: Millis = Millis::from_secs(10);
 
-/// Takes reports of entries that can't be read.
+/// Counts and logs entries that can't be decoded.
 #[derive(Debug)]
-pub struct Unreadable {
+pub struct UnreadableReporter {
     lines: Mutex<LineLimit>,
     metrics: Arc<Metrics>,
 }
 
-impl Unreadable {
-    /// Counts into these metrics.
+impl UnreadableReporter {
+    /// Creates a reporter that counts in `metrics`.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         Self {
-            lines: Mutex::new(LineLimit::new(LINES, WINDOW)),
+            lines: Mutex::new(LineLimit::new(MAX_LINES, WINDOW)),
             metrics,
         }
     }
 
-    /// Reports an entry; the name is empty where that can't be read either.
+    /// Reports an entry; `name` is empty if that can't be read either.
     pub fn report(&self, kind: impl Display, name: &str, error: &DecodeError) {
         self.metrics.unreadable.inc();
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
