--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,4 +1,4 @@
-//! Tells other daemons what this one sees of endpoints, and hears what they see.
+//! Exchanges reports on endpoints with other daemons over UDP, and keeps the roster of daemons.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,99 +13,101 @@
 
 use crate::shared::Shared;
 
-/// Largest datagram.
-const DATAGRAM: usize = 64 << 10;
+/// Size of the receive buffer, the maximum of a UDP datagram.
+const MAX_DATAGRAM: usize = 64 << 10;
 
-/// Silence after which no relay counts as heard.
-const RELAY_SILENT: Millis = Millis(1200);
+/// Silence after which updates by relay count as interrupted.
+const RELAY_TIMEOUT: Millis = Millis(1200);
 
-/// Between two looks at which endpoints are judged anew. They walk all endpoints, for the log
-/// alone.
-const REVIEW: Millis = Millis(500);
+/// Interval between reviews of endpoints' health. Each walks all endpoints, and does so only for
+/// the log.
+const REVIEW_INTERVAL: Millis = Millis(500);
 
-/// Who follows the platform.
+/// This daemon's view of the other daemons and of their roles.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub struct Watch {
-    /// This daemon.
+pub struct RosterState {
+    /// Address of this daemon.
     pub me: SocketAddr,
-    /// From whom it learns what the platform says.
+    /// The watchers, and the daemons from which this one copies the platform's objects.
     pub following: Following,
-    /// Daemons that may live, from the settings.
+    /// Daemons named in the settings; they may be down.
     pub seeds: Vec<SocketAddr>,
-    /// The hubs of this daemon, first in rank first.
+    /// The hubs of this daemon, highest rank first.
     pub hubs: Vec<SocketAddr>,
-    /// Daemons that live, as far as this one knows them, itself among them.
-    pub known: Arc<[SocketAddr]>,
-    /// Whether another daemon's copy is being followed.
+    /// Live daemons that this one knows, including itself; empty unless this one is a hub.
+    pub live_daemons: Arc<[SocketAddr]>,
+    /// Whether another daemon's copy was received recently.
     pub is_relayed: bool,
-    /// When another daemon's copy was last heard of.
-    heard: Option<Millis>,
+    /// When another daemon's copy was last received.
+    last_relay: Option<Millis>,
 }
 
-impl Watch {
-    /// Whether this daemon follows the platform itself.
+impl RosterState {
+    /// Whether this daemon is a watcher.
     pub fn is_watcher(&self) -> bool {
         self.following.watchers.contains(&self.me)
     }
 
-    /// Whether other daemons' settings may name this one; so it is where none are named.
+    /// Whether this daemon is a seed, which is assumed if the settings name no seeds.
     pub fn is_seed(&self) -> bool {
         self.seeds.is_empty() || self.seeds.contains(&self.me)
     }
 }
 
-/// Who follows the platform, as seen here.
+/// Shared handle to the [`RosterState`].
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct Roster(Arc<Mutex<Watch>>);
+pub struct Roster(Arc<Mutex<RosterState>>);
 
 impl Roster {
-    /// A daemon that knows of no other but those that its settings name.
+    /// Creates the roster of a daemon that knows only the seeds from its settings.
     pub fn new(me: SocketAddr, seeds: Vec<SocketAddr>) -> Self {
-        Self(Arc::new(Mutex::new(Watch {
+        Self(Arc::new(Mutex::new(RosterState {
             me,
             following: Following::default(),
             hubs: Vec::new(),
-            known: Arc::default(),
+            live_daemons: Arc::default(),
             seeds,
             is_relayed: false,
-            heard: None,
+            last_relay: None,
         })))
     }
 
-    /// What is seen now.
-    pub fn borrow(&self) -> Watch {
-        let watch = self.lock();
-        let heard = watch.heard.is_some_and(|at| now().since(at) < RELAY_SILENT);
-        Watch {
-            is_relayed: heard,
-            ..watch.clone()
+    /// Returns a copy of the current state.
+    pub fn snapshot(&self) -> RosterState {
+        let state = self.lock();
+        let is_recent = state
+            .last_relay
+            .is_some_and(|at| now().since(at) < RELAY_TIMEOUT);
+        RosterState {
+            is_relayed: is_recent,
+            ..state.clone()
         }
     }
 
-    /// Notes that another daemon's copy was heard of.
-    pub fn heard_relay(&self, at: Millis) {
-        self.lock().heard = Some(at);
+    /// Records that a current copy of another daemon was received.
+    pub fn record_relay(&self, at: Millis) {
+        self.lock().last_relay = Some(at);
     }
 
-    /// Notes who follows the platform, as the exchange sees it.
-    fn renew(&self, exchange: &Exchange, cut_off: bool, at: Millis) {
-        let mut watch = self.lock();
-        watch.following = exchange.following(cut_off, at);
-        watch.hubs = exchange.hubs(at);
-        watch.known = match watch.following.is_hub {
+    /// Updates the roles from the exchange.
+    fn update(&self, exchange: &Exchange, cut_off: bool, at: Millis) {
+        let mut state = self.lock();
+        state.following = exchange.following(cut_off, at);
+        state.hubs = exchange.hubs(at);
+        state.live_daemons = match state.following.is_hub {
             true => exchange.known(at).into(),
             false => Arc::default(),
         };
     }
 
-    fn lock(&self) -> MutexGuard<'_, Watch> {
+    fn lock(&self) -> MutexGuard<'_, RosterState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Takes part in the exchange until the process ends.
+/// Sends and receives reports until the process ends.
 pub async fn exchange(socket: UdpSocket, shared: Arc<Shared>, roster: Roster) {
     let settings = &shared.settings;
     let exchange = Exchange::new(settings.listen.peers, settings.peer_seeds());
@@ -113,7 +115,7 @@
         .with_strength(Strength::of_link(settings.link))
         .with_centre(Centre::from(&settings.data_centre))
         .with_epoch(rand::random());
-    let mut buffer = vec![0; DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM];
     let mut live = 0;
     let mut due = now();
     let mut reviewed = now();
@@ -125,32 +127,32 @@
                     receive(&mut exchange, &shared, from, &buffer[..length]);
                     send(&socket, exchange.answers(now())).await;
                     if live == 1 && exchange.live(now()) > 1 {
-                        live = renew(&exchange, &shared, &roster, live);
+                        live = update(&exchange, &shared, &roster, live);
                     }
                 }
-                // Where a daemon has ended, the answer to a datagram is such an error.
+                // A datagram to a daemon that has ended is answered by such an error.
                 Err(error) => log::debug!(target: "peers", "peers: nothing received: {error}"),
             },
             () = tokio::time::sleep(wait.as_duration()) => {
-                if now().since(reviewed) >= REVIEW {
+                if now().since(reviewed) >= REVIEW_INTERVAL {
                     reviewed = now();
                     shared.placement.review(reviewed);
                 }
                 tick(&mut exchange, &shared, &socket).await;
-                live = renew(&exchange, &shared, &roster, live);
+                live = update(&exchange, &shared, &roster, live);
                 due = now() + TICK;
             }
         }
     }
 }
 
-/// Notes who follows the platform now; returns how many daemons live.
-fn renew(exchange: &Exchange, shared: &Shared, roster: &Roster, live: usize) -> usize {
-    let before = roster.borrow();
-    roster.renew(exchange, shared.copies.is_cut_off(), now());
-    report_roles(&before, &roster.borrow(), exchange.live(now()));
-    shared.placement.hear(exchange.live(now()), now());
-    report_live(exchange, live)
+/// Updates the roster; returns the number of live daemons.
+fn update(exchange: &Exchange, shared: &Shared, roster: &Roster, live: usize) -> usize {
+    let before = roster.snapshot();
+    roster.update(exchange, shared.copies.is_cut_off(), now());
+    log_role(&before, &roster.snapshot(), exchange.live(now()));
+    shared.placement.set_live(exchange.live(now()), now());
+    log_live(exchange, live)
 }
 
 fn receive(exchange: &mut Exchange, shared: &Shared, from: SocketAddr, bytes: &[u8]) {
@@ -163,21 +165,25 @@
         }
     };
     let at = now();
-    if let Some(heard) = exchange.receive(from, message, at) {
-        shared.placement.others(heard, exchange.live(at), at);
+    if let Some(reports) = exchange.receive(from, message, at) {
+        shared
+            .placement
+            .update_peers(reports, exchange.live(at), at);
     }
-    shared.placement.learn(&exchange.learnt(), at);
+    shared.placement.merge_evidence(&exchange.learnt(), at);
 }
 
 async fn tick(exchange: &mut Exchange, shared: &Shared, socket: &UdpSocket) {
     let at = now();
     if exchange.is_hub()
-        && let Some(heard) = exchange.gathered(at)
+        && let Some(reports) = exchange.gathered(at)
     {
-        shared.placement.others(heard, exchange.live(at), at);
+        shared
+            .placement
+            .update_peers(reports, exchange.live(at), at);
     }
     exchange.hold(shared.placement.evidence(at));
-    let own = shared.placement.own_report(shared.copies.is_cut_off());
+    let own = shared.placement.take_report(shared.copies.is_cut_off());
     send(socket, exchange.tick(own, at)).await;
 }
 
@@ -189,16 +195,16 @@
     }
 }
 
-/// Logs a change in who follows the platform.
-fn report_roles(before: &Watch, after: &Watch, live: usize) {
+/// Logs that this daemon became or ceased to be a watcher.
+fn log_role(before: &RosterState, after: &RosterState, live: usize) {
     let is_watcher = after.is_watcher();
     if before.is_watcher() != is_watcher {
         log::info!(target: "peers", is_watcher, live, watchers:? = after.following.watchers; "peers: follows the platform");
     }
 }
 
-/// Logs a change in the number of daemons that live.
-fn report_live(exchange: &Exchange, before: usize) -> usize {
+/// Logs a change in the number of live daemons; returns the number.
+fn log_live(exchange: &Exchange, before: usize) -> usize {
     let at = now();
     let live = exchange.live(at);
     if live != before {
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -1,4 +1,4 @@
-//! What is known of endpoints, shared by the tasks of a daemon.
+//! The daemon's routing state, shared by its tasks: endpoints, drains, retry budgets, quarantine.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,115 +22,121 @@
 use medlarrill_core::routing::view::{Drain, Listed, Result, Spared, Verdict, View};
 use medlarrill_net::now::now;
 
-/// State behind a lock that is held for a few instructions, never while waiting.
+/// Routing state behind a lock that is held for a few instructions, never across an `await`.
 #[derive(Debug)]
 pub struct Placement(Mutex<View>);
 
-/// A request at an endpoint, counted until it is dropped.
+/// Guard that counts a request at an endpoint until it is dropped.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlight {
     placement: Arc<Placement>,
     id: InstanceId,
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.placement.lock().end(&self.id);
     }
 }
 
 impl Placement {
-    /// Nothing is known yet.
-    pub fn new(near: DataCentreId, repeats: budget::Settings, seed: u64, now: Millis) -> Self {
-        Self(Mutex::new(View::new(near, repeats, seed, now)))
+    /// Creates the state of a daemon in data centre `near`, which knows no endpoints yet.
+    pub fn new(near: DataCentreId, retries: budget::Settings, seed: u64, now: Millis) -> Self {
+        Self(Mutex::new(View::new(near, retries, seed, now)))
     }
 
     fn lock(&self) -> MutexGuard<'_, View> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A random number from 0 to 1.
-    pub fn draw(&self) -> f64 {
+    /// Draws a random number from 0 to 1.
+    pub fn random(&self) -> f64 {
         self.lock().draw()
     }
 
-    /// Takes an endpoint's entry; says what it changed.
-    pub fn list(&self, endpoint: Endpoint, now: Millis) -> Listed {
+    /// Adds or updates an endpoint's entry; returns what changed.
+    pub fn upsert(&self, endpoint: Endpoint, now: Millis) -> Listed {
         self.lock().list(endpoint, now)
     }
 
-    /// Drops an endpoint's entry; says whether it was there.
-    pub fn remove(&self, id: &EndpointId) -> bool {
+    /// Removes an endpoint's entry; returns whether there was one.
+    pub fn remove_entry(&self, id: &EndpointId) -> bool {
         self.lock().remove(id)
     }
 
-    /// How many endpoints are known.
-    pub fn endpoints(&self) -> usize {
+    /// Number of known endpoints.
+    pub fn endpoint_count(&self) -> usize {
         self.lock().endpoints()
     }
 
-    /// Daemons that live, or may.
-    pub fn daemons(&self) -> usize {
+    /// Number of daemons that are alive or may be.
+    pub fn daemon_count(&self) -> usize {
         self.lock().daemons()
     }
 
-    /// Sets the repeats that the fleet may send.
-    pub fn configure(&self, repeats: budget::Settings) {
-        self.lock().budget().configure(repeats);
+    /// Sets the retry budget of the fleet.
+    pub fn configure_retries(&self, retries: budget::Settings) {
+        self.lock().budget().configure(retries);
     }
 
-    /// Counts a caller's request.
-    pub fn request(&self, pool: &PoolId, now: Millis) {
+    /// Counts a caller's request towards the retry budget of its pool.
+    pub fn record_request(&self, pool: &PoolId, now: Millis) {
         self.lock().budget().request(pool, now);
     }
 
-    /// Whether a pool has an endpoint that takes new work and wasn't tried, other than this one.
-    pub fn has_other(&self, pool: &PoolId, plan: &Plan, id: &InstanceId, now: Millis) -> bool {
+    /// Whether a pool has another endpoint than this one that takes new work and wasn't tried.
+    pub fn has_alternative(
+        &self,
+        pool: &PoolId,
+        plan: &Plan,
+        id: &InstanceId,
+        now: Millis,
+    ) -> bool {
         self.lock().has_other(pool, plan, id, now)
     }
 
-    /// Takes a repeat from the budget.
-    pub fn spend(&self, pool: &PoolId, now: Millis) -> bool {
+    /// Takes one retry from a pool's budget; returns whether the budget allowed it.
+    pub fn spend_retry(&self, pool: &PoolId, now: Millis) -> bool {
         self.lock().budget().spend(pool, now)
     }
 
-    /// What the budget of repeats holds for a pool.
-    pub fn repeats(&self, pool: &PoolId, now: Millis) -> budget::State {
+    /// State of a pool's retry budget, for logs.
+    pub fn retry_budget(&self, pool: &PoolId, now: Millis) -> budget::State {
         self.lock().budget().state(pool, now)
     }
 
-    /// Picks an endpoint that takes new work, and counts the request there.
+    /// Chooses an endpoint that takes new work, and counts the request there.
     ///
     /// # Errors
     ///
-    /// When there is none, its pool is asked for too much, or the request is quarantined.
+    /// When there is no such endpoint, the pool is overloaded, or the request is quarantined.
     pub fn choose(
         self: &Arc<Self>,
         pool: &PoolId,
-        shared: Option<&SharedPrefix>,
+        prefix: Option<&SharedPrefix>,
         plan: &Plan,
         now: Millis,
-    ) -> Result<(Choice, Flight)> {
-        let choice = self.lock().choose(pool, shared, plan, now)?;
+    ) -> Result<(Choice, InFlight)> {
+        let choice = self.lock().choose(pool, prefix, plan, now)?;
         let placement = Arc::clone(self);
         let id = choice.endpoint.id.clone();
-        Ok((choice, Flight { placement, id }))
+        Ok((choice, InFlight { placement, id }))
     }
 
-    /// Notes that an endpoint to which a prefix was sent hasn't read it.
-    pub fn take_back(&self, prefix: &SharedPrefix, id: &InstanceId) {
+    /// Removes the record that an endpoint was sent a prefix, which it hasn't processed.
+    pub fn retract_prefix(&self, prefix: &SharedPrefix, id: &InstanceId) {
         self.lock().take_back(prefix, id);
     }
 
-    /// Takes what an endpoint tells of its work.
-    pub fn report(&self, id: &InstanceId, report: Report, now: Millis) {
+    /// Takes the load that an endpoint reported.
+    pub fn update_load(&self, id: &InstanceId, report: Report, now: Millis) {
         self.lock().report(id, report, now);
     }
 
-    /// Takes what an endpoint says of itself in the answer to a request that was handed over at a
-    /// time since the Unix epoch.
-    pub fn note(&self, id: &InstanceId, notice: Notice, handed: Millis, request: &str) {
-        if notice.is_empty() || !self.lock().note(id, notice, now(), handed) {
+    /// Applies what an endpoint announced of itself in the response to a request that was sent at
+    /// `sent_at`, since the Unix epoch.
+    pub fn apply_notice(&self, id: &InstanceId, notice: Notice, sent_at: Millis, request: &str) {
+        if notice.is_empty() || !self.lock().note(id, notice, now(), sent_at) {
             return;
         }
         log::info!(
@@ -140,70 +146,75 @@
         );
     }
 
-    /// How long a pool takes no work, if no endpoint of it does now.
+    /// How long a pool will take no work, if none of its endpoints takes any now.
     pub fn closed_for(&self, pool: &PoolId, now: Millis) -> Option<Millis> {
         self.lock().closed_for(pool, now)
     }
 
-    /// Endpoints that want no requests now.
-    pub fn pauses(&self, now: Millis) -> usize {
+    /// Number of endpoints that currently ask for no requests.
+    pub fn paused_count(&self, now: Millis) -> usize {
         self.lock().pauses(now)
     }
 
-    /// Notes a good answer.
-    pub fn good(&self, id: &InstanceId, now: Millis) {
+    /// Records a successful attempt.
+    pub fn record_success(&self, id: &InstanceId, now: Millis) {
         self.lock().good(id, now);
     }
 
-    /// Notes a failed attempt.
-    pub fn bad(&self, id: &InstanceId, fault: Fault, now: Millis) {
+    /// Records a failed attempt.
+    pub fn record_failure(&self, id: &InstanceId, fault: Fault, now: Millis) {
         self.lock().bad(id, fault, now);
     }
 
-    /// Notes that an endpoint was lost with a request.
-    pub fn lost(&self, plan: &Plan, id: &InstanceId, now: Millis) {
+    /// Records that an endpoint was lost with a request, which counts against the request.
+    pub fn record_loss(&self, plan: &Plan, id: &InstanceId, now: Millis) {
         let changes = self.lock().lost(plan, id, now);
-        self.report_changes(&changes);
+        self.log_quarantine(&changes);
     }
 
-    /// Notes that a request was answered whole.
-    pub fn served(&self, plan: &Plan, now: Millis) {
-        if let Some(served) = plan.fingerprint() {
-            let changes = self.lock().quarantine().served(served, now);
-            self.report_changes(&changes);
+    /// Records that a request was answered completely, which counts for the request.
+    pub fn record_served(&self, plan: &Plan, now: Millis) {
+        if let Some(fingerprint) = plan.fingerprint() {
+            let changes = self.lock().quarantine().served(fingerprint, now);
+            self.log_quarantine(&changes);
         }
     }
 
-    /// Takes what other daemons know against requests.
-    pub fn learn(&self, evidence: &[Evidence], now: Millis) {
+    /// Merges other daemons' quarantine evidence.
+    pub fn merge_evidence(&self, evidence: &[Evidence], now: Millis) {
         if !evidence.is_empty() {
             let changes = self.lock().quarantine().learn(evidence, now);
-            self.report_changes(&changes);
+            self.log_quarantine(&changes);
         }
     }
 
-    /// What other daemons are to know against requests.
+    /// Quarantine evidence to send to other daemons.
     pub fn evidence(&self, now: Millis) -> Snapshot {
         self.lock().quarantine().snapshot(now)
     }
 
-    /// What is to be done next for the platform to keep the quarantine.
-    pub fn next_kept(&self, keeper: &Keeper, is_hub: bool) -> Option<Step> {
-        keeper.next(self.lock().quarantine(), is_hub)
+    /// The next step that brings the quarantine in the platform's store up to date.
+    pub fn next_sync_step(&self, sync_state: &Keeper, is_hub: bool) -> Option<Step> {
+        sync_state.next(self.lock().quarantine(), is_hub)
     }
 
-    /// A quarantined request as the platform is to keep it.
-    pub fn kept(&self, fingerprint: Fingerprint, now: Millis, wall: Millis) -> Option<Kept> {
+    /// A quarantined request as it is stored on the platform.
+    pub fn stored_request(
+        &self,
+        fingerprint: Fingerprint,
+        now: Millis,
+        wall: Millis,
+    ) -> Option<Kept> {
         self.lock().quarantine().kept(fingerprint, now, wall)
     }
 
-    /// Requests that are quarantined.
-    pub fn quarantined(&self) -> usize {
+    /// Number of quarantined requests.
+    pub fn quarantined_count(&self) -> usize {
         self.lock().quarantine().count()
     }
 
-    /// Logs which requests are quarantined from now on, and which no more.
-    fn report_changes(&self, changes: &[Change]) {
+    /// Logs requests whose quarantine begins or ends.
+    fn log_quarantine(&self, changes: &[Change]) {
         for change in changes {
             let Change {
                 fingerprint,
@@ -214,25 +225,25 @@
             match change.begins {
                 true => log::warn!(
                     target: "quarantine", fingerprint:%, lost, is_own;
-                    "quarantine: begins, the request ends the endpoints that run it"
+                    "quarantine: begins, endpoints that ran the request were lost"
                 ),
                 false => log::info!(target: "quarantine", fingerprint:%; "quarantine: ends"),
             }
         }
     }
 
-    /// What other daemons are told: requests in flight, and outcomes since the last report.
-    pub fn own_report(&self, cut_off: bool) -> exchange::Report {
+    /// Returns the report for other daemons: requests in flight, and outcomes since the last call.
+    pub fn take_report(&self, cut_off: bool) -> exchange::Report {
         self.lock().own_report(cut_off)
     }
 
-    /// Logs which endpoints are avoided from now on, and which no more.
+    /// Expires old evidence and notices, and logs endpoints whose health or slow start changed.
     pub fn review(&self, now: Millis) {
-        let forgotten = self.lock().quarantine().forget(now);
-        self.report_changes(&forgotten);
+        let expired = self.lock().quarantine().forget(now);
+        self.log_quarantine(&expired);
         self.lock().tidy_notices(now);
-        let spared = self.lock().review_spared(now);
-        report_spared(&spared);
+        let slow_starts = self.lock().review_spared(now);
+        log_slow_starts(&slow_starts);
         let changes = self.lock().review(now);
         for Verdict {
             endpoint,
@@ -249,7 +260,7 @@
         }
     }
 
-    /// Gives endpoints of a data centre no new work.
+    /// Starts the drain of a data centre: its endpoints get no new work.
     pub fn drain(&self, data_centre: &DataCentreId, revision: u64, now: Millis) {
         let Some(effect) = self.lock().drain(data_centre.clone(), now) else {
             return;
@@ -273,7 +284,7 @@
     }
 
     /// Ends the drain of a data centre.
-    pub fn restore(&self, data_centre: &DataCentreId, revision: u64, now: Millis) {
+    pub fn undrain(&self, data_centre: &DataCentreId, revision: u64, now: Millis) {
         if self.lock().restore(data_centre, now) {
             let name = data_centre.as_str();
             log::info!(
@@ -283,55 +294,55 @@
         }
     }
 
-    /// Data centres that are drained.
-    pub fn drains(&self) -> usize {
+    /// Number of drained data centres.
+    pub fn drained_count(&self) -> usize {
         self.lock().drains()
     }
 
-    /// Sets which pools have a slow start.
-    pub fn set_slow_starts(&self, pools: HashMap<PoolId, SlowStart>) {
+    /// Sets the slow start of each pool that has one.
+    pub fn configure_slow_starts(&self, pools: HashMap<PoolId, SlowStart>) {
         self.lock().configure(pools);
     }
 
-    /// Endpoints that are spared after a start.
-    pub fn spared(&self) -> usize {
+    /// Number of endpoints in slow start.
+    pub fn slow_start_count(&self) -> usize {
         self.lock().spared()
     }
 
-    /// Spares an endpoint for the time that it or its entry tells.
-    pub fn spare(&self, id: &InstanceId, left: Millis, now: Millis) {
+    /// Keeps an endpoint in slow start for the remaining time that it or its entry announced.
+    pub fn begin_slow_start(&self, id: &InstanceId, left: Millis, now: Millis) {
         self.lock().spare(id, left, now);
     }
 
-    /// Notes that this daemon is told of no others.
-    pub fn set_sole(&self) {
+    /// Records that this daemon is the only one of its fleet.
+    pub fn set_single(&self) {
         self.lock().set_sole();
     }
 
-    /// Sets the daemons that a part of the platform's list names.
-    pub fn deal(&self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
+    /// Sets the daemons in one part (one data centre's object) of the platform's list.
+    pub fn set_daemons(&self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.lock().deal(me, part, daemons);
     }
 
-    /// Those of some daemons that the platform doesn't list.
+    /// Returns those of `daemons` that aren't on the platform's list.
     pub fn unlisted(&self, daemons: &[SocketAddr]) -> Vec<SocketAddr> {
         self.lock().unlisted(daemons)
     }
 
-    /// Notes how many daemons live, this one included.
-    pub fn hear(&self, live: usize, now: Millis) {
+    /// Sets the number of live daemons, including this one.
+    pub fn set_live(&self, live: usize, now: Millis) {
         self.lock().hear(live, now);
     }
 
-    /// Takes what the other daemons have at endpoints, all of them together.
-    pub fn others(&self, heard: exchange::Heard, daemons: usize, now: Millis) {
-        self.lock().others(heard, daemons, now);
+    /// Applies the sums of the other daemons' reports on endpoints.
+    pub fn update_peers(&self, reports: exchange::Heard, daemons: usize, now: Millis) {
+        self.lock().others(reports, daemons, now);
     }
 }
 
-/// Logs which endpoints are spared from now on, and which no more, in one line: where a data
-/// centre comes back they are many.
-fn report_spared(changes: &Spared) {
+/// Logs endpoints whose slow start begins or ends, in one line: when a data centre comes back,
+/// there are many.
+fn log_slow_starts(changes: &Spared) {
     let names = |ids: &[InstanceId]| {
         let names: Vec<String> = ids.iter().map(InstanceId::to_string).collect();
         names.join(", ")
