--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,11 +1,12 @@
-//! Requests straight from an entry to the endpoints that a platform lists.
+//! Routes requests from an entry to the endpoints that a platform lists.
 //!
-//! Five rooms, with arrows one way. `entry` takes callers' requests, asks
-//! `placement` where they go, and sends them through `endpoints`. `store`
-//! follows the platform and tells `placement` and the entry what is in force.
-//! `peers` tells `placement` what other daemons see of endpoints.
-//! The decisions are those of `medlarrill_core::routing`; the platform's
-//! names and formats are those of `medlarrill_platform`.
+//! Five modules, with dependencies in one direction. `entry` takes callers'
+//! requests, asks `placement` for an endpoint, and sends them through
+//! `endpoints`. `store` follows the platform's object store and applies its
+//! changes to `placement` and to the active configuration. `peers` passes other
+//! daemons' reports on endpoints to `placement`.
+//! Decisions are made in `medlarrill_core::routing`; the platform's names and
+//! formats are decoded in `medlarrill_platform`.
 
 pub mod endpoints;
 pub mod entry;
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -1,8 +1,8 @@
-//! Logs: one JSON object a line, to standard output, never blocking.
+//! Logs to standard output as one JSON object per line, without blocking callers.
 //!
-//! Lines go through a bounded queue to a thread of their own. When that is
-//! full, lines are dropped and counted; the count is written with the next
-//! line that fits.
+//! Lines go through a bounded queue to a writer thread. When the queue is
+//! full, lines are dropped and counted; the count is written after the next
+//! batch of lines.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -17,25 +17,25 @@
 use logforth::record::Record;
 use logforth::{Diagnostic, Error, starter_log};
 
-/// Lines that wait for standard output; at 300 bytes a line, about 600 KB.
-const QUEUE: usize = 2048;
-/// Pause in which lines are gathered for one write. Each write wakes a thread, which costs
+/// Capacity of the queue, in lines; at 300 bytes a line, about 600 KB.
+const QUEUE_LINES: usize = 2048;
+/// Time in which lines are collected for one write. Each write wakes a thread, which costs
 /// as much as formatting ten lines.
-const GATHER: Duration = Duration::from_millis(25);
+const BATCH_DELAY: Duration = Duration::from_millis(25);
 
-/// Lines that were dropped since the start.
-pub type Dropped = Arc<AtomicU64>;
+/// Number of log lines dropped since the start of the process.
+pub type DropCount = Arc<AtomicU64>;
 
-/// Hands lines to the thread that writes them.
+/// Formats log records and queues them for the writer thread.
 #[derive(Debug)]
-struct Queue {
+struct QueueAppender {
     layout: JsonLayout,
     #[debug(skip)]
     lines: SyncSender<Vec<u8>>,
-    dropped: Dropped,
+    dropped: DropCount,
 }
 
-impl Append for Queue {
+impl Append for QueueAppender {
     fn append(
         &self,
         record: &Record<'_>,
@@ -53,13 +53,13 @@
     }
 }
 
-/// Starts to write logs; levels are set by `RUST_LOG`, `info` unless set.
-pub fn start() -> Dropped {
-    let dropped = Dropped::default();
-    let (lines, queue) = sync_channel(QUEUE);
+/// Installs the logger; `RUST_LOG` sets the levels, `info` by default.
+pub fn start() -> DropCount {
+    let dropped = DropCount::default();
+    let (lines, queue) = sync_channel(QUEUE_LINES);
     let writer = Arc::clone(&dropped);
-    std::thread::spawn(move || write(&queue, &writer));
-    let append = Queue {
+    std::thread::spawn(move || write_lines(&queue, &writer));
+    let append = QueueAppender {
         layout: JsonLayout::default(),
         lines,
         dropped: Arc::clone(&dropped),
@@ -68,28 +68,29 @@
     let builder = starter_log::builder();
     let builder = builder.dispatch(|dispatch| dispatch.filter(filter).append(append));
     if builder.try_apply().is_err() {
-        eprintln!("logs: another logger is in place already");
+        eprintln!("logs: another logger is already installed");
     }
     dropped
 }
 
-fn write(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
-    let mut told = 0;
+/// Writes queued lines until the queue or standard output is closed.
+fn write_lines(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
+    let mut reported = 0;
     let mut out = std::io::stdout();
     let mut batch = Vec::new();
     while let Ok(line) = queue.recv() {
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_DELAY);
         for line in std::iter::once(line).chain(queue.try_iter()) {
             batch.extend_from_slice(&line);
             batch.push(b'\n');
         }
-        let now = dropped.load(Ordering::Relaxed);
-        if now > told {
-            batch.extend_from_slice(format!("{{\"dropped\":{}}}\n", now - told).as_bytes());
-            told = now;
+        let total = dropped.load(Ordering::Relaxed);
+        if total > reported {
+            batch.extend_from_slice(format!("{{\"dropped\":{}}}\n", total - reported).as_bytes());
+            reported = total;
         }
         if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
-            // Nobody reads the logs any more; there is nowhere to say so.
+            // Standard output is closed, so this can't be reported either.
             return;
         }
         batch.clear();
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, exported as OpenMetrics text.
+//! Counters, gauges and latency histograms, exported as OpenMetrics text.
 
 use derive_more::Debug;
 use medlarrill_core::clock::Millis;
@@ -10,66 +10,66 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper ends of latency buckets, in seconds: from one hop to the longest timeouts.
-const LATENCIES: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
+/// Upper bounds of latency buckets, in seconds: from one hop to the longest timeouts.
+const LATENCY_BUCKETS: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
 
-/// Label of a reason.
+/// Label of counters by reason.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 #[derive(EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// Its stable code.
+    /// Stable code of the reason.
     pub reason: &'static str,
 }
 
-/// Everything that one daemon counts.
+/// All metrics of one daemon.
 #[derive(Debug)]
 pub struct Metrics {
     #[debug(skip)]
     registry: Registry,
-    /// Requests taken from callers.
+    /// Requests received from callers.
     pub requests: Counter,
-    /// Answers of endpoints handed to callers.
+    /// Endpoints' responses that were forwarded completely to callers.
     pub answered: Counter,
-    /// Requests refused or ended without an endpoint's answer, by reason.
+    /// Requests that were refused or whose stream broke off, by reason.
     pub refusals: Family<ReasonLabel, Counter>,
-    /// Failed attempts at endpoints, by fault.
+    /// Failed attempts, by fault.
     pub faults: Family<ReasonLabel, Counter>,
-    /// Attempts after the first, by the fault before.
+    /// Attempts after the first, by the fault of the preceding one.
     pub retries: Family<ReasonLabel, Counter>,
-    /// Streams that went on at another endpoint.
+    /// Streams that were resumed at another endpoint.
     pub resumed: Counter,
     /// New connections to endpoints.
     pub connects: Counter,
     /// Calls to the platform.
-    pub calls: Counter,
-    /// Calls to the platform without a usable answer.
+    pub platform_calls: Counter,
+    /// Calls to the platform without a usable response.
     pub failed_calls: Counter,
-    /// Entries of the store that couldn't be read.
+    /// Entries of the store that couldn't be decoded.
     pub unreadable: Counter,
-    /// Headers of endpoints' answers that nothing reads.
-    pub unread: Counter,
+    /// Response headers of endpoints that nothing reads.
+    pub unread_headers: Counter,
     /// Requests in flight.
     pub in_flight: Gauge,
-    /// Callers' connections.
+    /// Open connections of callers.
     pub connections: Gauge,
-    /// Version of the configuration in force.
-    pub version: Gauge,
-    /// Endpoints known.
+    /// Version of the active configuration.
+    pub config_version: Gauge,
+    /// Known endpoints.
     pub endpoints: Gauge,
-    /// Requests that are quarantined.
+    /// Quarantined requests, by fingerprint.
     pub quarantined: Gauge,
-    /// Endpoints that are spared after a start.
-    pub spared: Gauge,
-    /// Data centres that are drained.
+    /// Endpoints in slow start.
+    pub slow_starts: Gauge,
+    /// Drained data centres.
     pub drains: Gauge,
-    /// Endpoints that want no requests now.
+    /// Endpoints that currently ask for no requests.
     pub pauses: Gauge,
-    /// Log lines that were dropped.
-    pub dropped: Gauge,
-    /// Seconds from a request's head to the head of its answer.
-    pub first: Histogram,
-    /// Seconds from a request's head to the end of its answer.
-    pub whole: Histogram,
+    /// Dropped log lines.
+    pub log_dropped: Gauge,
+    /// Seconds from a request's head to the head of its response.
+    pub head_seconds: Histogram,
+    /// Seconds from a request's head to the end of its response.
+    pub total_seconds: Histogram,
 }
 
 impl Default for Metrics {
@@ -79,7 +79,7 @@
 }
 
 impl Metrics {
-    /// Metrics at zero.
+    /// Creates and registers all metrics at zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("medlarrill"),
@@ -90,21 +90,21 @@
             retries: Family::default(),
             resumed: Counter::default(),
             connects: Counter::default(),
-            calls: Counter::default(),
+            platform_calls: Counter::default(),
             failed_calls: Counter::default(),
             unreadable: Counter::default(),
-            unread: Counter::default(),
+            unread_headers: Counter::default(),
             in_flight: Gauge::default(),
             connections: Gauge::default(),
-            version: Gauge::default(),
+            config_version: Gauge::default(),
             endpoints: Gauge::default(),
             quarantined: Gauge::default(),
-            spared: Gauge::default(),
+            slow_starts: Gauge::default(),
             drains: Gauge::default(),
             pauses: Gauge::default(),
-            dropped: Gauge::default(),
-            first: Histogram::new(LATENCIES),
-            whole: Histogram::new(LATENCIES),
+            log_dropped: Gauge::default(),
+            head_seconds: Histogram::new(LATENCY_BUCKETS),
+            total_seconds: Histogram::new(LATENCY_BUCKETS),
         };
         metrics.register_counters();
         metrics.register_gauges();
@@ -124,17 +124,33 @@
             "Connections to endpoints",
             self.connects.clone(),
         );
-        r.register("calls", "Calls to the platform", self.calls.clone());
+        r.register(
+            "calls",
+            "Calls to the platform",
+            self.platform_calls.clone(),
+        );
         let failed = self.failed_calls.clone();
         r.register("failed_calls", "Calls to the platform that failed", failed);
         let unreadable = self.unreadable.clone();
         r.register("unreadable", "Entries that can't be read", unreadable);
-        let unread = self.unread.clone();
-        r.register("unread_headers", "Headers that nothing reads", unread);
-        let first = self.first.clone();
-        r.register("first_seconds", "Time to the head of an answer", first);
-        let whole = self.whole.clone();
-        r.register("whole_seconds", "Time to the end of an answer", whole);
+        let unread_headers = self.unread_headers.clone();
+        r.register(
+            "unread_headers",
+            "Headers that nothing reads",
+            unread_headers,
+        );
+        let head_seconds = self.head_seconds.clone();
+        r.register(
+            "first_seconds",
+            "Time to the head of an answer",
+            head_seconds,
+        );
+        let total_seconds = self.total_seconds.clone();
+        r.register(
+            "whole_seconds",
+            "Time to the end of an answer",
+            total_seconds,
+        );
     }
 
     fn register_gauges(&mut self) {
@@ -142,34 +158,38 @@
         r.register("in_flight", "Requests in flight", self.in_flight.clone());
         let connections = self.connections.clone();
         r.register("connections", "Callers' connections", connections);
-        r.register("version", "Configuration in force", self.version.clone());
+        r.register(
+            "version",
+            "Configuration in force",
+            self.config_version.clone(),
+        );
         r.register("endpoints", "Endpoints known", self.endpoints.clone());
         let quarantined = self.quarantined.clone();
         r.register("quarantined", "Requests that are sent nowhere", quarantined);
-        let spared = self.spared.clone();
-        r.register("slow_starts", "Endpoints that are spared", spared);
+        let slow_starts = self.slow_starts.clone();
+        r.register("slow_starts", "Endpoints that are spared", slow_starts);
         r.register("drains", "Data centres drained", self.drains.clone());
         let pauses = self.pauses.clone();
         r.register("pauses", "Endpoints that want no requests", pauses);
-        r.register("log_dropped", "Log lines dropped", self.dropped.clone());
+        r.register("log_dropped", "Log lines dropped", self.log_dropped.clone());
     }
 
-    /// Counts by reason.
+    /// Increments the counter of a reason.
     pub fn count(family: &Family<ReasonLabel, Counter>, reason: &'static str) {
         family.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as OpenMetrics text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
-            log::error!(target: "metrics", "metrics: can't be written: {error}");
+            log::error!(target: "metrics", "metrics: can't be encoded: {error}");
         }
         text
     }
 }
 
-/// A time as histograms take it.
+/// Converts a time span to seconds, the unit of the histograms.
 pub fn seconds(span: Millis) -> f64 {
     span.as_secs_f64()
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon on the platform: JSON with comments.
+//! Settings of a daemon on the platform, read from a file of JSON with comments.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -22,10 +22,10 @@
     Read {
         /// The file.
         path: String,
-        /// Why.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// The text isn't JSON with comments.
+    /// The text isn't valid JSON with comments.
     #[display("{path}: {cause}")]
     Syntax {
         /// The file.
@@ -34,7 +34,7 @@
         #[error(not(source))]
         cause: String,
     },
-    /// A value is missing or of the wrong kind.
+    /// A value is missing or of the wrong type.
     #[display("{path}: {place}: {cause}")]
     Value {
         /// The file.
@@ -47,77 +47,78 @@
     },
 }
 
-/// Settings of one daemon. Keys that aren't known are ignored, since the platform may add some.
+/// Settings of one daemon. Unknown keys are ignored, since the platform may add some.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Where it runs.
+    /// Data centre in which it runs.
     pub data_centre: DataCentreId,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub listen: Listen,
     /// Address of the platform's object store.
     pub platform: SocketAddr,
-    /// Addresses on VMs of some daemons; may be out of date, and only the VM counts.
+    /// Addresses on the VMs of some daemons; they may be out of date, and the port is ignored.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole fleet starts for the first time, long before its callers come: most
-    /// daemons then wait for what others read of the platform.
+    /// Whether the complete fleet starts for the first time, long before its callers come: most
+    /// daemons then wait for copies of what others read from the platform.
     #[serde(default)]
     pub first_start: bool,
-    /// Whether operators drain data centres through the platform; requests then wait until it is
-    /// known which.
+    /// Whether operators drain data centres through the platform; requests then wait until the
+    /// drained ones are known.
     #[serde(default = "yes")]
     pub drains: bool,
-    /// What the VM's link carries; daemons on strong VMs do more for the others.
+    /// Rate of the VM's network link; daemons with faster links do more work for the others.
     #[serde(default)]
     pub link: LinkRate,
     /// Time from the signal to stop until the process is killed.
     pub grace: Millis,
-    /// Repeats that the fleet may send.
-    pub repeats: Repeats,
+    /// Retry budget of the fleet.
+    #[serde(rename = "repeats")]
+    pub retries: RetrySettings,
 }
 
 const fn yes() -> bool {
     true
 }
 
-/// Addresses of the daemon.
+/// Addresses on which the daemon listens.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Listen {
-    /// For callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether this daemon takes connections.
+    /// Readiness checks of the load balancer.
     pub ready: SocketAddr,
-    /// For metrics.
+    /// Scrapes of metrics.
     pub metrics: SocketAddr,
-    /// For other daemons.
+    /// Other daemons: datagrams of the exchange, and connections that relay copies.
     pub peers: SocketAddr,
 }
 
-/// Repeats that the fleet may send to a pool.
+/// Retries that the fleet may send to one pool.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Repeats {
-    /// Repeats for each request.
+pub struct RetrySettings {
+    /// Retries per request.
     pub ratio: f64,
-    /// Window in which they are counted.
+    /// Window in which requests and retries are counted.
     pub window: Millis,
-    /// Repeats beyond the ratio in a window, all daemons together.
+    /// Retries beyond the ratio in each window, for all daemons together.
     pub slack: f64,
 }
 
-impl From<Repeats> for budget::Settings {
-    fn from(repeats: Repeats) -> Self {
+impl From<RetrySettings> for budget::Settings {
+    fn from(retries: RetrySettings) -> Self {
         Self {
-            ratio: repeats.ratio,
-            window: repeats.window,
-            slack: repeats.slack,
+            ratio: retries.ratio,
+            window: retries.window,
+            slack: retries.slack,
         }
     }
 }
@@ -127,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// When it can't be read, with the place of what is wrong in it.
+    /// When the file can't be read or its text is invalid; names the file and the place.
     pub fn read(path: &Path) -> Result<Self> {
         let name = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Where the daemons on the seeds' VMs listen for other daemons: on the same port as this one.
+    /// Peer addresses of the seeds, which listen for other daemons on the same port as this one.
     pub fn peer_seeds(&self) -> Vec<SocketAddr> {
         let port = self.listen.peers.port();
         let seed = |seed: &SocketAddr| SocketAddr::new(seed.ip(), port);
@@ -147,7 +148,7 @@
     ///
     /// # Errors
     ///
-    /// With the place of what is wrong in it.
+    /// When the text is invalid; names the place.
     pub fn parse(path: &str, text: &str) -> Result<Self> {
         let options = ParseOptions::default();
         let value: serde_json::Value =
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a daemon share.
+//! State that the tasks of a daemon share.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,53 +7,53 @@
 use medlarrill_core::routing::stop::{Stage, Stop};
 use tokio::sync::watch;
 
-use crate::endpoints::{Connections, UnreadHeaders};
+use crate::endpoints::{ConnectionPool, UnreadHeaders};
 use crate::metrics::Metrics;
 use crate::placement::Placement;
 use crate::settings::Settings;
-use crate::store::{Copies, InForce};
+use crate::store::{ActiveConfig, Copies};
 
-/// Shared by all tasks.
+/// State shared by all tasks.
 #[derive(Debug)]
 pub struct Shared {
-    /// Settings at the start.
+    /// Settings as read at the start of the process.
     pub settings: Settings,
-    /// The configuration in force.
-    pub config: watch::Receiver<InForce>,
-    /// Whether the list of endpoints was read.
-    pub listed: watch::Receiver<bool>,
-    /// Endpoints and where requests go.
+    /// The active configuration.
+    pub config: watch::Receiver<ActiveConfig>,
+    /// Whether the endpoints and the drained data centres have been listed.
+    pub is_listed: watch::Receiver<bool>,
+    /// Routing state.
     pub placement: Arc<Placement>,
-    /// Copies of the platform's objects.
+    /// Local copies of the platform's objects.
     pub copies: Arc<Copies>,
-    /// Connections to endpoints.
-    pub connections: Connections,
-    /// Headers of endpoints' answers that nothing reads.
-    pub unread: UnreadHeaders,
-    /// Counters.
+    /// Idle connections to endpoints.
+    pub connections: ConnectionPool,
+    /// Reporter of endpoints' response headers that nothing reads.
+    pub unread_headers: UnreadHeaders,
+    /// Metrics of the daemon.
     pub metrics: Arc<Metrics>,
-    /// The graceful stop.
+    /// Progress of the graceful stop.
     pub stop: Mutex<Stop>,
-    /// Set when idle connections of callers are to be closed.
+    /// Becomes true when idle connections of callers are to be closed.
     pub closing: watch::Sender<bool>,
 }
 
 impl Shared {
-    /// The stage of the graceful stop.
+    /// Current stage of the graceful stop.
     pub fn stage(&self, now: Millis) -> Stage {
         let stop = self.stop.lock().unwrap_or_else(PoisonError::into_inner);
         stop.stage(now)
     }
 
-    /// Notes the signal to stop.
-    pub fn ask_stop(&self, now: Millis) {
+    /// Begins the graceful stop.
+    pub fn request_stop(&self, now: Millis) {
         let mut stop = self.stop.lock().unwrap_or_else(PoisonError::into_inner);
         stop.ask(now);
     }
 
-    /// Whether this daemon should be given connections.
+    /// Whether the load balancer should send connections to this daemon.
     pub fn is_ready(&self, now: Millis) -> bool {
-        let known = self.config.borrow().is_some() && *self.listed.borrow();
-        known && self.stage(now) == Stage::Serving
+        let is_configured = self.config.borrow().is_some() && *self.is_listed.borrow();
+        is_configured && self.stage(now) == Stage::Serving
     }
 }
--- a/crates/router/src/socket.rs
+++ b/crates/router/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of sockets.
+//! Opens sockets and sets their options.
 
 use std::io::{Error, Result};
 use std::net::SocketAddr;
@@ -8,23 +8,23 @@
 use socket2::{Domain, SockRef, Socket, TcpKeepalive, Type};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Silence after which the other side is asked whether it lives, and pause between questions.
-const PROBE: Duration = Duration::from_secs(1);
-/// Questions without an answer after which a connection is dead.
-const PROBES: u32 = 3;
-/// Longest time that sent bytes stay unacknowledged.
-const UNACKED: Duration = Duration::from_secs(4);
+/// Silence after which a keep-alive probe is sent, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered probes after which a connection is considered dead.
+const KEEPALIVE_PROBES: u32 = 3;
+/// Maximum time for which sent data may stay unacknowledged.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Pause after a failed accept, mostly for want of descriptors.
+/// Pause after a failed accept, which is mostly due to a lack of file descriptors.
 const ACCEPT_PAUSE: Millis = Millis(20);
 
-/// Listens, also right after another process did.
+/// Opens a listener, also right after another process used the address (`SO_REUSEADDR`).
 ///
 /// # Errors
 ///
-/// When the address can't be had, which the error names.
+/// When the address can't be bound; the error names it.
 pub fn listen(address: SocketAddr) -> Result<TcpListener> {
     let named = |error: Error| Error::new(error.kind(), format!("{address}: {error}"));
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
@@ -35,54 +35,54 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Opens a socket for datagrams.
+/// Opens a UDP socket.
 ///
 /// # Errors
 ///
-/// When the address can't be had.
-pub fn datagrams(address: SocketAddr) -> Result<UdpSocket> {
+/// When the address can't be bound.
+pub fn bind_udp(address: SocketAddr) -> Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
     UdpSocket::from_std(socket)
 }
 
-/// Connects within a time.
+/// Connects within a timeout.
 ///
 /// # Errors
 ///
-/// When there is no connection in that time.
+/// When the connection fails or the timeout passes.
 pub async fn connect(address: SocketAddr, wait: Millis) -> Result<TcpStream> {
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(wait.as_duration(), connecting).await??;
-    prepare(&stream)?;
+    set_options(&stream)?;
     Ok(stream)
 }
 
-/// Sends small writes at once, and finds out when the other side is gone without a word.
+/// Sends small writes without delay, and detects peers that vanish without closing.
 ///
 /// # Errors
 ///
 /// When the options can't be set.
-pub fn prepare(stream: &TcpStream) -> Result<()> {
+pub fn set_options(stream: &TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKED))
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
 }
 
-/// Takes the next connection.
+/// Accepts the next connection; errors are logged and retried.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         let accepted = listener.accept().await;
-        let prepared = accepted.and_then(|(stream, _)| prepare(&stream).map(|()| stream));
+        let prepared = accepted.and_then(|(stream, _)| set_options(&stream).map(|()| stream));
         match prepared {
             Ok(stream) => return stream,
             Err(error) => {
-                log::warn!(target: "socket", cause:% = error; "socket: a connection can't be taken");
+                log::warn!(target: "socket", cause:% = error; "socket: a connection can't be accepted");
                 tokio::time::sleep(ACCEPT_PAUSE.as_duration()).await;
             }
         }
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of a daemon on the platform, and stops them in order.
+//! Starts the tasks of a daemon on the platform, and stops the daemon gracefully.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,26 +12,26 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::endpoints::{Connections, UnreadHeaders};
+use crate::endpoints::{ConnectionPool, UnreadHeaders};
 use crate::entry::{serve_callers, serve_metrics, serve_ready};
-use crate::logs::{self, Dropped};
+use crate::logs::{self, DropCount};
 use crate::metrics::Metrics;
 use crate::peers::{Roster, exchange};
 use crate::placement::Placement;
 use crate::settings::{Listen, Settings, SettingsError};
 use crate::shared::Shared;
 use crate::socket;
-use crate::store::{self, Copies, InForce, Sinks, Store, Unreadable};
-
-/// Between two looks at what is due: idle connections, a changed settings file.
-const HOUSEKEEPING: Millis = Millis::from_secs(1);
-/// Between two looks whether a stopping daemon has finished its requests.
-const STOP_CHECK: Millis = Millis(25);
-/// Time in which a stopping daemon without requests still refuses new ones, since callers keep
-/// connections that they use again.
+use crate::store::{self, ActiveConfig, ChangeApplier, Copies, StoreContext, UnreadableReporter};
+
+/// Interval between sweeps of idle connections and checks for a changed settings file.
+const HOUSEKEEPING_INTERVAL: Millis = Millis::from_secs(1);
+/// Interval between checks whether a stopping daemon has finished its requests.
+const STOP_CHECK_INTERVAL: Millis = Millis(25);
+/// Time for which a stopping daemon without requests still refuses new ones, since callers reuse
+/// their connections.
 const LINGER: Millis = Millis(1000);
-/// Time for the last log lines to be written.
-const LAST_LINES: Millis = Millis(60);
+/// Time for the log writer to write the last lines.
+const LOG_FLUSH_DELAY: Millis = Millis(60);
 
 /// Result of running a daemon.
 pub type Result<T> = std::result::Result<T, StartError>;
@@ -39,7 +39,7 @@
 /// Why a daemon can't start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// Settings can't be used.
+    /// The settings are invalid.
     #[display("{_0}")]
     Settings(SettingsError),
     /// A socket or signal handler failed.
@@ -47,33 +47,33 @@
     Io(std::io::Error),
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until a signal stops it. `path` is its settings file.
 ///
 /// # Errors
 ///
-/// When it can't start.
+/// When the settings are invalid, or a socket or signal handler fails.
 pub fn run(path: &Path) -> Result<()> {
     let settings = Settings::read(path)?;
     let dropped = logs::start();
     #[cfg(feature = "ablation")]
-    switch_off()?;
+    disable_mechanisms()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(serve(path.to_owned(), settings, dropped))
 }
 
-/// Switches off the mechanisms that the environment names.
+/// Disables the mechanisms that the environment variable `MEDLARRILL_WITHOUT` names.
 #[cfg(feature = "ablation")]
-fn switch_off() -> Result<()> {
+fn disable_mechanisms() -> Result<()> {
     let names = std::env::var("MEDLARRILL_WITHOUT").unwrap_or_default();
-    log::warn!(target: "start", names; "start: a lab build, without some mechanisms");
+    log::warn!(target: "start", names; "start: ablation build, some mechanisms are disabled");
     let unknown = |name| std::io::Error::other(format!("no mechanism is called {name}"));
     medlarrill_core::routing::ablation::switch_off(&names).map_err(unknown)?;
     Ok(())
 }
 
-async fn serve(path: PathBuf, settings: Settings, dropped: Dropped) -> Result<()> {
+async fn serve(path: PathBuf, settings: Settings, dropped: DropCount) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
@@ -85,15 +85,15 @@
         peers:% = listen.peers, platform:% = settings.platform, passed = now().0;
         "start: listening"
     );
-    let mut ticks = tokio::time::interval(HOUSEKEEPING.as_duration());
-    let mut modified = modified(&path);
+    let mut ticks = tokio::time::interval(HOUSEKEEPING_INTERVAL.as_duration());
+    let mut modified = modified_at(&path);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => reload(&path, &shared, "signal"),
             _ = ticks.tick() => {
-                let latest = self::modified(&path);
+                let latest = modified_at(&path);
                 if latest != modified {
                     modified = latest;
                     reload(&path, &shared, "file");
@@ -117,21 +117,21 @@
         metrics: scrapes.local_addr()?,
         peers: relays.local_addr()?,
     };
-    let datagrams = socket::datagrams(listen.peers)?;
+    let datagrams = socket::bind_udp(listen.peers)?;
     let near = settings.data_centre.clone();
-    let placement = Placement::new(near, settings.repeats.into(), rand::random(), now());
+    let placement = Placement::new(near, settings.retries.into(), rand::random(), now());
     if settings.seeds.is_empty() {
-        placement.set_sole();
+        placement.set_single();
     }
     let placement = Arc::new(placement);
     let metrics = Arc::new(Metrics::new());
-    let (copies, config, is_listed) = copies(settings, listen.peers, &placement, &metrics);
+    let (copies, config, is_listed) = new_copies(settings, listen.peers, &placement, &metrics);
     let settings = Settings {
         listen,
         ..settings.clone()
     };
     let roster = Roster::new(listen.peers, settings.peer_seeds());
-    let store = Store {
+    let store = StoreContext {
         copies: Arc::clone(&copies),
         roster: roster.clone(),
         placement: Arc::clone(&placement),
@@ -141,11 +141,11 @@
     };
     let shared = Arc::new(Shared {
         config,
-        listed: is_listed,
+        is_listed,
         placement,
         copies,
-        connections: Connections::default(),
-        unread: UnreadHeaders::new(Arc::clone(&metrics)),
+        connections: ConnectionPool::default(),
+        unread_headers: UnreadHeaders::new(Arc::clone(&metrics)),
         metrics,
         stop: Mutex::new(Stop::new(settings.grace)),
         closing: watch::Sender::new(false),
@@ -159,38 +159,43 @@
     Ok(shared)
 }
 
-/// Empty copies of the platform's objects, the configuration that they put in force, and whether
-/// the endpoints were listed.
-fn copies(
+/// Creates empty copies of the platform's objects; returns them with receivers of the active
+/// configuration and of whether the endpoints were listed.
+fn new_copies(
     settings: &Settings,
     me: SocketAddr,
     placement: &Arc<Placement>,
     metrics: &Arc<Metrics>,
-) -> (Arc<Copies>, watch::Receiver<InForce>, watch::Receiver<bool>) {
-    let (in_force, config) = watch::channel(None);
+) -> (
+    Arc<Copies>,
+    watch::Receiver<ActiveConfig>,
+    watch::Receiver<bool>,
+) {
+    let (active_config, config) = watch::channel(None);
     let (listed, is_listed) = watch::channel(false);
-    let sinks = Sinks {
-        in_force,
+    let applier = ChangeApplier {
+        active_config,
         placement: Arc::clone(placement),
         me,
         metrics: Arc::clone(metrics),
-        unreadable: Unreadable::new(Arc::clone(metrics)),
+        unreadable: UnreadableReporter::new(Arc::clone(metrics)),
     };
-    let copies = Copies::new(sinks, settings.drains, listed);
+    let copies = Copies::new(applier, settings.drains, listed);
     (Arc::new(copies), config, is_listed)
 }
 
-fn modified(path: &Path) -> Option<std::time::SystemTime> {
+fn modified_at(path: &Path) -> Option<std::time::SystemTime> {
     std::fs::metadata(path)
         .and_then(|data| data.modified())
         .ok()
 }
 
-/// Takes over what may change while the daemon runs; addresses take effect at the next start.
+/// Applies settings that may change while the daemon runs; others, such as addresses, need a
+/// restart.
 fn reload(path: &Path, shared: &Shared, cause: &'static str) {
     match Settings::read(path) {
         Ok(settings) => {
-            shared.placement.configure(settings.repeats.into());
+            shared.placement.configure_retries(settings.retries.into());
             log::info!(target: "start", cause; "start: settings read again");
         }
         Err(error) => {
@@ -199,30 +204,30 @@
     }
 }
 
-fn housekeep(shared: &Shared, dropped: &Dropped) {
+fn housekeep(shared: &Shared, dropped: &DropCount) {
     shared.connections.sweep();
     let (placement, metrics) = (&shared.placement, &shared.metrics);
     let lines = dropped.load(std::sync::atomic::Ordering::Relaxed);
-    set(&metrics.quarantined, placement.quarantined());
-    set(&metrics.spared, placement.spared());
-    set(&metrics.drains, placement.drains());
-    set(&metrics.pauses, placement.pauses(now()));
-    set(&metrics.dropped, lines);
+    set_gauge(&metrics.quarantined, placement.quarantined_count());
+    set_gauge(&metrics.slow_starts, placement.slow_start_count());
+    set_gauge(&metrics.drains, placement.drained_count());
+    set_gauge(&metrics.pauses, placement.paused_count(now()));
+    set_gauge(&metrics.log_dropped, lines);
 }
 
-fn set(gauge: &Gauge, count: impl TryInto<i64>) {
+fn set_gauge(gauge: &Gauge, count: impl TryInto<i64>) {
     gauge.set(count.try_into().unwrap_or(i64::MAX));
 }
 
-/// Finishes what was taken. New requests are served for a while, then refused.
+/// Finishes requests in flight. New requests are served for a while, then refused.
 async fn stop(shared: &Shared) {
-    let asked = now();
-    shared.ask_stop(asked);
+    let stop_time = now();
+    shared.request_stop(stop_time);
     let in_flight = || shared.metrics.in_flight.get();
     log::info!(target: "start", in_flight = in_flight(); "start: stopping");
-    let mut quiet = None;
+    let mut quiet_since = None;
     loop {
-        tokio::time::sleep(STOP_CHECK.as_duration()).await;
+        tokio::time::sleep(STOP_CHECK_INTERVAL.as_duration()).await;
         let now = now();
         let stage = shared.stage(now);
         if stage == Stage::Ended {
@@ -234,13 +239,13 @@
                 .send_if_modified(|closing| !std::mem::replace(closing, true));
         }
         let is_quiet = stage == Stage::Draining && in_flight() == 0;
-        let since = *quiet.get_or_insert(now);
+        let since = *quiet_since.get_or_insert(now);
         if !is_quiet {
-            quiet = None;
+            quiet_since = None;
         } else if now.since(since) >= LINGER {
             break;
         }
     }
-    log::info!(target: "start", in_flight = in_flight(), passed = now().since(asked).0; "start: stopped");
-    tokio::time::sleep(LAST_LINES.as_duration()).await;
+    log::info!(target: "start", in_flight = in_flight(), passed = now().since(stop_time).0; "start: stopped");
+    tokio::time::sleep(LOG_FLUSH_DELAY.as_duration()).await;
 }
