--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -157,7 +157,7 @@
 /// What a daemon hears of the others.
 #[derive(Clone, PartialEq, Default)]
 #[derive(Debug)]
-pub struct Heard {
+pub struct PeerUpdate {
     /// What they have at endpoints, by the endpoints' short ids.
     pub endpoints: HashMap<u32, Others>,
     /// Shared prefixes that get much of the fleet's traffic, by the short forms of their keys,
@@ -331,7 +331,7 @@
     }
 
     /// Takes a message; returns what others have, if it is a summary that says it.
-    pub fn receive(&mut self, from: SocketAddr, message: Message, now: Millis) -> Option<Heard> {
+    pub fn receive(&mut self, from: SocketAddr, message: Message, now: Millis) -> Option<PeerUpdate> {
         let Sender {
             strength,
             centre,
@@ -361,7 +361,7 @@
         }
     }
 
-    fn take_summary(&mut self, from: SocketAddr, summary: &Summary, now: Millis) -> Option<Heard> {
+    fn take_summary(&mut self, from: SocketAddr, summary: &Summary, now: Millis) -> Option<PeerUpdate> {
         self.hear_of(summary.peers.as_ref(), now);
         let told = self.hubs.entry(from).or_default();
         told.at = now;
@@ -382,7 +382,7 @@
         }
         let told = self.hubs.get(&from)?;
         let heard = self.own.others(&told.sums, news);
-        Some(Heard {
+        Some(PeerUpdate {
             hot: told.hot.clone(),
             moved: summary.moved.clone(),
             ..heard
--- a/crates/core/src/routing/exchange/own.rs
+++ b/crates/core/src/routing/exchange/own.rs
@@ -11,7 +11,7 @@
 use super::board::{Answers, Copy};
 use super::hub::loads_of;
 use super::message::Report;
-use super::{Heard, Others};
+use super::{PeerUpdate, Others};
 use crate::clock::Millis;
 
 /// Time in which outcomes that were reported come back in sums; those that don't were lost on
@@ -42,8 +42,8 @@
     }
 
     /// What the others have, by the sums and the answers that are news in them.
-    pub fn others(&mut self, sums: &Copy, news: Vec<(u32, Answers)>) -> Heard {
-        let mut heard = Heard::default();
+    pub fn others(&mut self, sums: &Copy, news: Vec<(u32, Answers)>) -> PeerUpdate {
+        let mut heard = PeerUpdate::default();
         for (endpoint, in_flight) in sums.loads() {
             let own = self.loads.get(&endpoint).copied().unwrap_or_default();
             let others = Others {
--- a/crates/core/src/routing/exchange/tell.rs
+++ b/crates/core/src/routing/exchange/tell.rs
@@ -7,7 +7,7 @@
 use super::hub::{Asked, add, loads_of};
 use super::members::Centre;
 use super::message::{Message, Moved, Peers, Report, Subtotal, Summary};
-use super::{BEAT, Exchange, Heard, LIST_PAUSE, Others, Outgoing, is_due};
+use super::{BEAT, Exchange, PeerUpdate, LIST_PAUSE, Others, Outgoing, is_due};
 use crate::clock::Millis;
 
 /// Between two words to the hubs of other data centres. Each of these has two, and both are told
@@ -176,7 +176,7 @@
     }
 
     /// What the reports that this daemon got say of the others, unless a hub knows better.
-    pub fn gathered(&mut self, now: Millis) -> Option<Heard> {
+    pub fn gathered(&mut self, now: Millis) -> Option<PeerUpdate> {
         if self.source(now) != Some(self.members.me) || !self.is_wide(self.summed_up(now), now) {
             return None;
         }
@@ -184,10 +184,10 @@
         if self.is_large(now) {
             self.hub.add_centres(&mut loads);
         }
-        let mut heard = Heard {
+        let mut heard = PeerUpdate {
             hot: shares(&self.hub.hot),
             moved: std::mem::take(&mut self.hub.unheard),
-            ..Heard::default()
+            ..PeerUpdate::default()
         };
         for (endpoint, in_flight) in loads {
             heard.endpoints.entry(endpoint).or_default().in_flight = in_flight;
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::routing::choose::{Candidate, choose};
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::exchange::{
-    self, Entry, Exchange, Heard, Report, Sent, short_id, short_key,
+    self, Entry, Exchange, PeerUpdate, Report, Sent, short_id, short_key,
 };
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::load::Loads;
@@ -201,7 +201,7 @@
     }
 }
 
-fn take(loads: &mut Loads, endpoints: &[Arc<Endpoint>], heard: &Heard, now: Millis) {
+fn take(loads: &mut Loads, endpoints: &[Arc<Endpoint>], heard: &PeerUpdate, now: Millis) {
     for endpoint in endpoints {
         let others = heard.endpoints.get(&short_id(&endpoint.id));
         let in_flight = others.map_or(0, |others| others.in_flight);
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Entry, Exchange, Heard, Message, Others, Peer, Report, Sent, Strength, Wish, sources,
+    Entry, Exchange, PeerUpdate, Message, Others, Peer, Report, Sent, Strength, Wish, sources,
 };
 use medlarrill_core::units::LinkRate;
 
@@ -79,7 +79,7 @@
         }
     }
 
-    fn hear(&mut self, number: usize, heard: Heard) {
+    fn hear(&mut self, number: usize, heard: PeerUpdate) {
         let bad = heard.endpoints.values().map(|others| others.bad);
         self.bad[number] += bad.sum::<u32>();
         self.hot[number] = heard.hot;
--- a/crates/core/tests/routing/repeats.rs
+++ b/crates/core/tests/routing/repeats.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::budget::Settings;
-use medlarrill_core::routing::exchange::Heard;
+use medlarrill_core::routing::exchange::PeerUpdate;
 use medlarrill_core::routing::view::View;
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
@@ -186,7 +186,7 @@
             let live = heard.count();
             let daemon = &mut self.daemons[number];
             if now >= daemon.started + HEARD {
-                daemon.view.others(Heard::default(), live, Millis(now));
+                daemon.view.others(PeerUpdate::default(), live, Millis(now));
                 daemon.view.hear(live, Millis(now));
             }
         }
@@ -232,7 +232,7 @@
 fn new_view(now: u64) -> View {
     let near = "near".parse().expect("a name");
     let mut view = View::new(near, FLEET, now, Millis(now));
-    view.others(Heard::default(), 1, Millis(now));
+    view.others(PeerUpdate::default(), 1, Millis(now));
     view
 }
 
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -11,7 +11,7 @@
 use medlarrill_core::routing::choose::Candidate;
 use medlarrill_core::routing::config::{Priority, Repeat, Route, Share};
 use medlarrill_core::routing::endpoint::{Born, Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{Entry, Heard, Others, Report};
+use medlarrill_core::routing::exchange::{Entry, PeerUpdate, Others, Report};
 use medlarrill_core::routing::fleet::Fleet;
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::request::SharedPrefix;
@@ -194,9 +194,9 @@
                 sum.good -= own.good;
                 sum.bad -= own.bad;
             }
-            let heard = Heard {
+            let heard = PeerUpdate {
                 endpoints: heard,
-                ..Heard::default()
+                ..PeerUpdate::default()
             };
             daemon.others(heard, count, Millis(now));
         }
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::routing::choose::Choice;
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{Heard, Others, short_id};
+use medlarrill_core::routing::exchange::{PeerUpdate, Others, short_id};
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::view::{Listed, View};
@@ -99,9 +99,9 @@
         good: 0,
         bad: 20,
     };
-    let heard = Heard {
+    let heard = PeerUpdate {
         endpoints: HashMap::from([(short_id(&old), told)]),
-        ..Heard::default()
+        ..PeerUpdate::default()
     };
     view.others(heard, 4, START);
     let picked = pick(&mut view, key, START);
@@ -155,9 +155,9 @@
 /// Brings what one daemon tells to another, as a hub does.
 fn tell(from: &mut View, to: &mut View, now: Millis) {
     let report = from.own_report(false);
-    let heard = Heard {
+    let heard = PeerUpdate {
         moved: report.moved,
-        ..Heard::default()
+        ..PeerUpdate::default()
     };
     to.others(heard, 2, now);
 }
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -8,7 +8,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Centre, Entry, Exchange, Heard, Message, Outgoing, Report, TICK,
+    Centre, Entry, Exchange, PeerUpdate, Message, Outgoing, Report, TICK,
 };
 use medlarrill_core::routing::quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
@@ -29,7 +29,7 @@
     flights: Vec<u32>,
     /// Outcomes since the last report, at the probed endpoint.
     pub bad: u32,
-    heard: Heard,
+    heard: PeerUpdate,
     /// Failed attempts heard of.
     pub heard_bad: u32,
     /// When it wakes, where it is frozen; its clock stands still till then.
@@ -275,7 +275,7 @@
             due,
             flights: Vec::new(),
             bad: 0,
-            heard: Heard::default(),
+            heard: PeerUpdate::default(),
             heard_bad: 0,
             frozen: None,
             behind: 0,
@@ -311,7 +311,7 @@
         }
     }
 
-    fn hear(&mut self, heard: Heard) {
+    fn hear(&mut self, heard: PeerUpdate) {
         self.heard_bad += heard
             .endpoints
             .values()
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -324,7 +324,7 @@
     }
 
     /// Takes what the other daemons have at endpoints, all of them together.
-    pub fn others(&self, heard: exchange::Heard, daemons: usize, now: Millis) {
+    pub fn others(&self, heard: exchange::PeerUpdate, daemons: usize, now: Millis) {
         self.lock().others(heard, daemons, now);
     }
 }
