--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -145,7 +145,7 @@
 /// What others have at one endpoint, and how their requests ended since the last tick.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
-pub struct Others {
+pub struct PeerCounts {
     /// Requests in flight.
     pub in_flight: u32,
     /// Good answers.
@@ -159,7 +159,7 @@
 #[derive(Debug)]
 pub struct PeerUpdate {
     /// What they have at endpoints, by the endpoints' short ids.
-    pub endpoints: HashMap<u32, Others>,
+    pub endpoints: HashMap<u32, PeerCounts>,
     /// Shared prefixes that get much of the fleet's traffic, by the short forms of their keys,
     /// and their shares of it.
     pub hot: HashMap<u32, f64>,
--- a/crates/core/src/routing/exchange/own.rs
+++ b/crates/core/src/routing/exchange/own.rs
@@ -11,7 +11,7 @@
 use super::board::{Answers, Copy};
 use super::hub::loads_of;
 use super::message::Report;
-use super::{PeerUpdate, Others};
+use super::{PeerUpdate, PeerCounts};
 use crate::clock::Millis;
 
 /// Time in which outcomes that were reported come back in sums; those that don't were lost on
@@ -46,9 +46,9 @@
         let mut heard = PeerUpdate::default();
         for (endpoint, in_flight) in sums.loads() {
             let own = self.loads.get(&endpoint).copied().unwrap_or_default();
-            let others = Others {
+            let others = PeerCounts {
                 in_flight: in_flight.saturating_sub(own),
-                ..Others::default()
+                ..PeerCounts::default()
             };
             heard.endpoints.insert(endpoint, others);
         }
--- a/crates/core/src/routing/exchange/tell.rs
+++ b/crates/core/src/routing/exchange/tell.rs
@@ -7,7 +7,7 @@
 use super::hub::{Asked, add, loads_of};
 use super::members::Centre;
 use super::message::{Message, Moved, Peers, Report, Subtotal, Summary};
-use super::{BEAT, Exchange, PeerUpdate, LIST_PAUSE, Others, Outgoing, is_due};
+use super::{BEAT, Exchange, PeerUpdate, LIST_PAUSE, PeerCounts, Outgoing, is_due};
 use crate::clock::Millis;
 
 /// Between two words to the hubs of other data centres. Each of these has two, and both are told
@@ -193,7 +193,7 @@
             heard.endpoints.entry(endpoint).or_default().in_flight = in_flight;
         }
         for (endpoint, answers) in self.hub.news.drain() {
-            let others: &mut Others = heard.endpoints.entry(endpoint).or_default();
+            let others: &mut PeerCounts = heard.endpoints.entry(endpoint).or_default();
             others.good = answers.good;
             others.bad = answers.bad;
         }
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Entry, Exchange, PeerUpdate, Message, Others, Peer, Report, Sent, Strength, Wish, sources,
+    Entry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, Sent, Strength, Wish, sources,
 };
 use medlarrill_core::units::LinkRate;
 
@@ -27,7 +27,7 @@
 /// Daemons that tick together; datagrams between all but the lost ones arrive at once.
 struct Fleet {
     daemons: Vec<Exchange>,
-    heard: Vec<HashMap<u32, Others>>,
+    heard: Vec<HashMap<u32, PeerCounts>>,
     /// Failed attempts that each has heard of.
     bad: Vec<u32>,
     /// Hot prefixes that each has heard of.
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -11,7 +11,7 @@
 use medlarrill_core::routing::choose::Candidate;
 use medlarrill_core::routing::config::{Priority, Repeat, Route, Share};
 use medlarrill_core::routing::endpoint::{Born, Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{Entry, PeerUpdate, Others, Report};
+use medlarrill_core::routing::exchange::{Entry, PeerUpdate, PeerCounts, Report};
 use medlarrill_core::routing::fleet::Fleet;
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::request::SharedPrefix;
@@ -172,7 +172,7 @@
         if !now.is_multiple_of(self.tick) {
             return;
         }
-        let mut sums: HashMap<u32, Others> = HashMap::new();
+        let mut sums: HashMap<u32, PeerCounts> = HashMap::new();
         for Entry {
             endpoint,
             in_flight,
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::routing::choose::Choice;
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{PeerUpdate, Others, short_id};
+use medlarrill_core::routing::exchange::{PeerUpdate, PeerCounts, short_id};
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::view::{Listed, View};
@@ -94,7 +94,7 @@
     for _ in 0..10 {
         view.bad(&old, Fault::Lost, START);
     }
-    let told = Others {
+    let told = PeerCounts {
         in_flight: 40,
         good: 0,
         bad: 20,
