--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -37,7 +37,7 @@
 use evidence::Spread;
 use hot::shares;
 use hub::Hub;
-pub use members::Centre;
+pub use members::DataCentreHash;
 use members::{Members, ranked};
 pub use message::{
     Entry, Hot, Message, Moved, Peer, Peers, Prefixes, Report, Sender, Sent, Subtotal, Summary,
@@ -193,7 +193,7 @@
     }
 
     /// Sets this daemon's data centre.
-    pub const fn with_centre(mut self, centre: Centre) -> Self {
+    pub const fn with_data_centre(mut self, centre: DataCentreHash) -> Self {
         self.members.centre = centre;
         self
     }
--- a/crates/core/src/routing/exchange/centres.rs
+++ b/crates/core/src/routing/exchange/centres.rs
@@ -6,7 +6,7 @@
 use derive_more::Debug;
 
 use super::board::{Answers, Copy, Version};
-use super::members::Centre;
+use super::members::DataCentreHash;
 use super::message::{Prefixes, Subtotal};
 use super::{SILENT, WIDE};
 use crate::clock::Millis;
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct Told {
     /// Its data centre.
-    pub centre: Centre,
+    pub centre: DataCentreHash,
     /// The sums.
     pub copy: Copy,
     /// How many daemons they sum up.
@@ -52,7 +52,7 @@
     ) -> Vec<(u32, Answers)> {
         let told = self.hubs.entry(from).or_default();
         told.at = now;
-        told.centre = Centre(subtotal.centre);
+        told.centre = DataCentreHash(subtotal.centre);
         told.daemons = subtotal.daemons;
         if let Some(prefixes) = &subtotal.prefixes {
             told.prefixes.clone_from(prefixes);
@@ -73,7 +73,7 @@
     /// One hub for each data centre. Of those that sum up about as many daemons as any, the first
     /// by address: one that was cut off from many of its daemons doesn't stand for them.
     pub fn chosen(&self) -> impl Iterator<Item = (SocketAddr, &Told)> {
-        let mut best: HashMap<Centre, (SocketAddr, &Told)> = HashMap::new();
+        let mut best: HashMap<DataCentreHash, (SocketAddr, &Told)> = HashMap::new();
         let mut hubs: Vec<(&SocketAddr, &Told)> = self.hubs.iter().collect();
         hubs.sort_by_key(|(address, _)| **address);
         for (address, told) in hubs {
--- a/crates/core/src/routing/exchange/hub.rs
+++ b/crates/core/src/routing/exchange/hub.rs
@@ -8,7 +8,7 @@
 use super::board::{Answers, Board, Version};
 use super::centres::Centres;
 use super::hot::Counts;
-use super::members::Centre;
+use super::members::DataCentreHash;
 use super::message::{Entry, Hot, Moved, Report, Subtotal, Wish};
 use super::{MOVES, SILENT};
 use crate::clock::Millis;
@@ -19,7 +19,7 @@
 pub struct Received {
     at: Millis,
     /// The reporter's data centre.
-    pub centre: Centre,
+    pub centre: DataCentreHash,
     /// Whether the reporter takes this daemon for its hub.
     is_full: bool,
     entries: Vec<Entry>,
@@ -38,7 +38,7 @@
     /// Where it is reached.
     pub by: SocketAddr,
     /// Its data centre.
-    pub centre: Centre,
+    pub centre: DataCentreHash,
     /// Digest of the evidence that it holds.
     pub digest: u64,
 }
@@ -110,7 +110,7 @@
 
     /// Takes a report; `counts` says whether the reporter's requests are summed up here.
     pub fn report(&mut self, from: SocketAddr, report: &Report, counts: bool, now: Millis) {
-        let centre = Centre(report.centre);
+        let centre = DataCentreHash(report.centre);
         let wish = Wish::try_from(report.wish).unwrap_or(Wish::Life);
         let is_full = wish != Wish::Peers;
         if is_full && counts {
@@ -171,7 +171,7 @@
 
     /// Reports that count here: in a large fleet those of the same data centre, since the others
     /// are summed up in theirs.
-    pub fn counted(&self, centre: Option<Centre>) -> impl Iterator<Item = &Received> {
+    pub fn counted(&self, centre: Option<DataCentreHash>) -> impl Iterator<Item = &Received> {
         let counts = move |report: &&Received| {
             report.is_full && centre.is_none_or(|centre| report.centre == centre)
         };
@@ -179,7 +179,7 @@
     }
 
     /// Requests in flight of the reporters.
-    pub fn loads(&self, centre: Option<Centre>) -> HashMap<u32, u32> {
+    pub fn loads(&self, centre: Option<DataCentreHash>) -> HashMap<u32, u32> {
         let mut loads = HashMap::new();
         for report in self.counted(centre) {
             add(&mut loads, loads_of(&report.entries));
--- a/crates/core/src/routing/exchange/members.rs
+++ b/crates/core/src/routing/exchange/members.rs
@@ -27,9 +27,9 @@
 /// Short form of a data centre's id in messages.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Debug)]
-pub struct Centre(pub u32);
+pub struct DataCentreHash(pub u32);
 
-impl From<&DataCentreId> for Centre {
+impl From<&DataCentreId> for DataCentreHash {
     fn from(id: &DataCentreId) -> Self {
         Self(short_key(xxh3_64(id.as_str().as_bytes())))
     }
@@ -48,7 +48,7 @@
     /// Its ranks.
     pub ranks: Ranks,
     /// Its data centre.
-    pub centre: Centre,
+    pub centre: DataCentreHash,
 }
 
 /// The daemons that one knows, itself included.
@@ -58,7 +58,7 @@
     /// This daemon.
     pub me: SocketAddr,
     /// Its data centre.
-    pub centre: Centre,
+    pub centre: DataCentreHash,
     /// Its ranks.
     pub ranks: Ranks,
     seen: HashMap<SocketAddr, Seen>,
@@ -69,7 +69,7 @@
     pub fn new(me: SocketAddr) -> Self {
         Self {
             me,
-            centre: Centre::default(),
+            centre: DataCentreHash::default(),
             ranks: Ranks::new(me, Strength::default()),
             seen: HashMap::new(),
         }
@@ -102,7 +102,7 @@
 
     /// The daemons that hold the hubs' role in one data centre, or in the whole fleet; this one
     /// among them if it does.
-    pub fn hubs_of(&self, area: Option<Centre>, now: Millis) -> Vec<SocketAddr> {
+    pub fn hubs_of(&self, area: Option<DataCentreHash>, now: Millis) -> Vec<SocketAddr> {
         let is_here = |centre| area.is_none_or(|area| centre == area);
         let others = self.others(now).filter(|(_, seen)| is_here(seen.centre));
         let own = is_here(self.centre).then_some((self.me, self.ranks));
@@ -110,9 +110,9 @@
     }
 
     /// Data centres in which other daemons live, but for the own one.
-    pub fn other_centres(&self, now: Millis) -> Vec<Centre> {
+    pub fn other_centres(&self, now: Millis) -> Vec<DataCentreHash> {
         let centres = self.others(now).map(|(_, seen)| seen.centre);
-        let mut centres: Vec<Centre> = centres.filter(|centre| *centre != self.centre).collect();
+        let mut centres: Vec<DataCentreHash> = centres.filter(|centre| *centre != self.centre).collect();
         centres.sort_unstable();
         centres.dedup();
         centres
@@ -129,7 +129,7 @@
         &mut self,
         address: SocketAddr,
         strength: Strength,
-        centre: Centre,
+        centre: DataCentreHash,
         cut_off: bool,
         now: Millis,
     ) {
@@ -167,7 +167,7 @@
 
     /// Daemons that live and may hold a role soon, as a daemon of a data centre has to know
     /// them; in a small fleet all.
-    pub fn worth_telling(&self, to: Centre, now: Millis) -> Vec<Peer> {
+    pub fn worth_telling(&self, to: DataCentreHash, now: Millis) -> Vec<Peer> {
         let mut live: Vec<(SocketAddr, Seen)> = self.others(now).collect();
         if live.len() > LARGE {
             live = first_in_rank(live, to);
@@ -185,14 +185,14 @@
 
 /// The first in rank for each role: watchers of the whole fleet, hubs of a data centre, and the
 /// hubs of each other one.
-fn first_in_rank(mut live: Vec<(SocketAddr, Seen)>, to: Centre) -> Vec<(SocketAddr, Seen)> {
+fn first_in_rank(mut live: Vec<(SocketAddr, Seen)>, to: DataCentreHash) -> Vec<(SocketAddr, Seen)> {
     live.sort_by(|(_, a), (_, b)| a.ranks.order(&b.ranks, Role::Watcher));
     // Of watchers, too, it has to be known that they have lost the platform. The other places are
     // for those that reach it.
     live[TOLD / 2..].sort_by_key(|(_, seen)| seen.cut_off);
     let mut rest = live.split_off(TOLD);
     rest.sort_by(|(_, a), (_, b)| a.ranks.order(&b.ranks, Role::Hub));
-    let mut told: HashMap<Centre, usize> = HashMap::new();
+    let mut told: HashMap<DataCentreHash, usize> = HashMap::new();
     rest.retain(|(_, seen)| {
         let most = match seen.centre == to {
             true => TOLD,
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -8,7 +8,7 @@
 use super::Strength;
 use super::board::{Answers, Delta, Version};
 use super::evidence::Findings;
-use super::members::Centre;
+use super::members::DataCentreHash;
 use crate::clock::Millis;
 
 /// Result of reading a datagram.
@@ -144,7 +144,7 @@
     /// How strong its VM is.
     pub strength: Strength,
     /// Its data centre.
-    pub centre: Centre,
+    pub centre: DataCentreHash,
 }
 
 /// Daemons that live; one entry of each column makes a daemon. A message for each took twice the
@@ -200,7 +200,7 @@
                 age: Millis(u64::from(*age)),
                 cut_off: state % 2 == 1,
                 strength: Strength(state / 2),
-                centre: Centre(*centre),
+                centre: DataCentreHash(*centre),
             })
         })
     }
@@ -336,7 +336,7 @@
     /// How strong its VM is.
     pub strength: Strength,
     /// Its data centre.
-    pub centre: Centre,
+    pub centre: DataCentreHash,
     /// Whether it has lost the platform.
     pub cut_off: bool,
     /// Evidence against requests that it tells.
@@ -352,7 +352,7 @@
     ) -> Self {
         Self {
             strength: Strength(strength),
-            centre: Centre(centre),
+            centre: DataCentreHash(centre),
             cut_off,
             findings: findings.as_ref(),
         }
--- a/crates/core/src/routing/exchange/tell.rs
+++ b/crates/core/src/routing/exchange/tell.rs
@@ -5,7 +5,7 @@
 use super::evidence::News;
 use super::hot::shares;
 use super::hub::{Asked, add, loads_of};
-use super::members::Centre;
+use super::members::DataCentreHash;
 use super::message::{Message, Moved, Peers, Report, Subtotal, Summary};
 use super::{BEAT, Exchange, PeerUpdate, LIST_PAUSE, PeerCounts, Outgoing, is_due};
 use crate::clock::Millis;
@@ -44,7 +44,7 @@
 
     /// The data centre whose daemons have hubs of their own with this one; none in a small fleet,
     /// where all have the same.
-    pub(super) fn area(&self, now: Millis) -> Option<Centre> {
+    pub(super) fn area(&self, now: Millis) -> Option<DataCentreHash> {
         self.is_large(now).then_some(self.members.centre)
     }
 
@@ -110,8 +110,8 @@
         }
         let common = self.summary(now);
         let moved: Vec<Moved> = std::mem::take(&mut self.hub.moved).into_iter().collect();
-        let mut lists: HashMap<Centre, Peers> = HashMap::new();
-        let mut list = |to: Centre| {
+        let mut lists: HashMap<DataCentreHash, Peers> = HashMap::new();
+        let mut list = |to: DataCentreHash| {
             let peers = || Peers::new(&self.members.worth_telling(to, now));
             Some(lists.entry(to).or_insert_with(peers).clone())
         };
--- a/crates/core/tests/routing/centres.rs
+++ b/crates/core/tests/routing/centres.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::exchange::{Centre, Exchange};
+use medlarrill_core::routing::exchange::{DataCentreHash, Exchange};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -153,8 +153,8 @@
     let hub = hubs(&world, 3)[0];
     let seeds = vec![address(0), address(1), address(2)];
     let exchange = Exchange::new(address(hub), seeds);
-    let centre = Centre(world.daemons[hub].centre as u32 + 1);
-    world.daemons[hub].exchange = exchange.with_centre(centre).with_epoch(77);
+    let centre = DataCentreHash(world.daemons[hub].centre as u32 + 1);
+    world.daemons[hub].exchange = exchange.with_data_centre(centre).with_epoch(77);
     world.run(2000);
     expect_full_knowledge(&mut world, "restart");
 }
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -8,7 +8,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Centre, Entry, Exchange, PeerUpdate, Message, Outgoing, Report, TICK,
+    DataCentreHash, Entry, Exchange, PeerUpdate, Message, Outgoing, Report, TICK,
 };
 use medlarrill_core::routing::quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
@@ -268,7 +268,7 @@
         let exchange = Exchange::new(address(number), seeds);
         Self {
             exchange: exchange
-                .with_centre(Centre(centre as u32 + 1))
+                .with_data_centre(DataCentreHash(centre as u32 + 1))
                 .with_epoch(number as u32),
             quarantine: Quarantine::default(),
             centre,
