--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -45,7 +45,7 @@
 };
 use own::Own;
 use roles::{Ranks, Role, first_for, holders};
-pub use roles::{Strength, sources};
+pub use roles::{LinkClass, sources};
 pub use short::{short_id, short_key};
 
 /// Hubs of a data centre, or of a small fleet.
@@ -187,8 +187,8 @@
     }
 
     /// Sets how strong this daemon's VM is.
-    pub fn with_strength(mut self, strength: Strength) -> Self {
-        self.members.ranks = Ranks::new(self.members.me, strength);
+    pub fn with_link_class(mut self, link_class: LinkClass) -> Self {
+        self.members.ranks = Ranks::new(self.members.me, link_class);
         self
     }
 
@@ -333,13 +333,13 @@
     /// Takes a message; returns what others have, if it is a summary that says it.
     pub fn receive(&mut self, from: SocketAddr, message: Message, now: Millis) -> Option<PeerUpdate> {
         let Sender {
-            strength,
+            link_class,
             centre,
             cut_off,
             findings,
         } = message.sender();
         self.evidence.take(findings);
-        self.members.hear(from, strength, centre, cut_off, now);
+        self.members.hear(from, link_class, centre, cut_off, now);
         match message {
             Message::Report(report) => {
                 let counts = self.area(now).is_none_or(|area| area == centre);
--- a/crates/core/src/routing/exchange/members.rs
+++ b/crates/core/src/routing/exchange/members.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::message::Peer;
-use super::roles::{Ranks, Role, Strength, holders};
+use super::roles::{Ranks, Role, LinkClass, holders};
 use super::{HUBS, LARGE, SILENT, short_key};
 use crate::clock::Millis;
 use crate::ids::DataCentreId;
@@ -70,7 +70,7 @@
         Self {
             me,
             centre: DataCentreHash::default(),
-            ranks: Ranks::new(me, Strength::default()),
+            ranks: Ranks::new(me, LinkClass::default()),
             seen: HashMap::new(),
         }
     }
@@ -118,17 +118,17 @@
         centres
     }
 
-    fn ranks_of(&self, address: SocketAddr, strength: Strength) -> Ranks {
+    fn ranks_of(&self, address: SocketAddr, link_class: LinkClass) -> Ranks {
         let known = self.seen.get(&address).map(|seen| seen.ranks);
-        let same = known.filter(|ranks| ranks.strength() == strength);
-        same.unwrap_or_else(|| Ranks::new(address, strength))
+        let same = known.filter(|ranks| ranks.link_class() == link_class);
+        same.unwrap_or_else(|| Ranks::new(address, link_class))
     }
 
     /// Notes a message of a daemon.
     pub fn hear(
         &mut self,
         address: SocketAddr,
-        strength: Strength,
+        link_class: LinkClass,
         centre: DataCentreHash,
         cut_off: bool,
         now: Millis,
@@ -137,7 +137,7 @@
             at: now,
             here: true,
             cut_off,
-            ranks: self.ranks_of(address, strength),
+            ranks: self.ranks_of(address, link_class),
             centre,
         };
         self.seen.insert(address, seen);
@@ -152,7 +152,7 @@
             at: now - peer.age,
             here: false,
             cut_off: peer.cut_off,
-            ranks: self.ranks_of(peer.address, peer.strength),
+            ranks: self.ranks_of(peer.address, peer.link_class),
             centre: peer.centre,
         };
         let seen = self.seen.entry(peer.address).or_insert(heard);
@@ -176,7 +176,7 @@
             address,
             age: now.since(seen.at),
             cut_off: seen.cut_off,
-            strength: seen.ranks.strength(),
+            link_class: seen.ranks.link_class(),
             centre: seen.centre,
         };
         live.into_iter().map(peer).collect()
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use prost::{DecodeError, Message as _, Oneof};
 
-use super::Strength;
+use super::LinkClass;
 use super::board::{Answers, Delta, Version};
 use super::evidence::Findings;
 use super::members::DataCentreHash;
@@ -57,7 +57,7 @@
     pub sent: Vec<Sent>,
     /// How strong the daemon's VM is.
     #[prost(uint32, tag = "4")]
-    pub strength: u32,
+    pub link_class: u32,
     /// Prefixes that went elsewhere than rank and age say, since the last report.
     #[prost(message, repeated, tag = "5")]
     pub moved: Vec<Moved>,
@@ -142,7 +142,7 @@
     /// Whether it has lost the platform.
     pub cut_off: bool,
     /// How strong its VM is.
-    pub strength: Strength,
+    pub link_class: LinkClass,
     /// Its data centre.
     pub centre: DataCentreHash,
 }
@@ -181,7 +181,7 @@
             columns.ports.push(peer.address.port().into());
             let age = u32::try_from(peer.age.0).unwrap_or(u32::MAX);
             columns.ages.push(age);
-            let state = peer.strength.0.saturating_mul(2) | u32::from(peer.cut_off);
+            let state = peer.link_class.0.saturating_mul(2) | u32::from(peer.cut_off);
             columns.states.push(state);
             columns.centres.push(peer.centre.0);
         }
@@ -199,7 +199,7 @@
                 address: (Ipv4Addr::from(*ip), port).into(),
                 age: Millis(u64::from(*age)),
                 cut_off: state % 2 == 1,
-                strength: Strength(state / 2),
+                link_class: LinkClass(state / 2),
                 centre: DataCentreHash(*centre),
             })
         })
@@ -227,7 +227,7 @@
     pub live: u32,
     /// How strong the hub's VM is.
     #[prost(uint32, tag = "6")]
-    pub strength: u32,
+    pub link_class: u32,
     /// Prefixes that went elsewhere than rank and age say.
     #[prost(message, repeated, tag = "7")]
     pub moved: Vec<Moved>,
@@ -278,7 +278,7 @@
     pub daemons: u32,
     /// How strong the hub's VM is.
     #[prost(uint32, tag = "5")]
-    pub strength: u32,
+    pub link_class: u32,
     /// Prefixes that went elsewhere than rank and age say.
     #[prost(message, repeated, tag = "6")]
     pub moved: Vec<Moved>,
@@ -334,7 +334,7 @@
 #[derive(Debug)]
 pub struct Sender<'a> {
     /// How strong its VM is.
-    pub strength: Strength,
+    pub link_class: LinkClass,
     /// Its data centre.
     pub centre: DataCentreHash,
     /// Whether it has lost the platform.
@@ -345,13 +345,13 @@
 
 impl<'a> Sender<'a> {
     const fn new(
-        strength: u32,
+        link_class: u32,
         centre: u32,
         cut_off: bool,
         findings: &'a Option<Findings>,
     ) -> Self {
         Self {
-            strength: Strength(strength),
+            link_class: LinkClass(link_class),
             centre: DataCentreHash(centre),
             cut_off,
             findings: findings.as_ref(),
@@ -364,13 +364,13 @@
     pub const fn sender(&self) -> Sender<'_> {
         match self {
             Self::Report(told) => {
-                Sender::new(told.strength, told.centre, told.cut_off, &told.findings)
+                Sender::new(told.link_class, told.centre, told.cut_off, &told.findings)
             }
             Self::Summary(told) => {
-                Sender::new(told.strength, told.centre, told.cut_off, &told.findings)
+                Sender::new(told.link_class, told.centre, told.cut_off, &told.findings)
             }
             Self::Subtotal(told) => {
-                Sender::new(told.strength, told.centre, told.cut_off, &told.findings)
+                Sender::new(told.link_class, told.centre, told.cut_off, &told.findings)
             }
         }
     }
--- a/crates/core/src/routing/exchange/report.rs
+++ b/crates/core/src/routing/exchange/report.rs
@@ -14,7 +14,7 @@
     pub(super) fn reports(&mut self, own: Report, now: Millis) -> Vec<Outgoing> {
         let me = self.members.me;
         let own = Report {
-            strength: self.members.ranks.strength().0,
+            link_class: self.members.ranks.link_class().0,
             centre: self.members.centre.0,
             digest: self.evidence.digest(),
             ..own
--- a/crates/core/src/routing/exchange/roles.rs
+++ b/crates/core/src/routing/exchange/roles.rs
@@ -20,9 +20,9 @@
 /// How strong a daemon's VM is, in steps of a factor of four.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 #[derive(Debug)]
-pub struct Strength(pub u32);
+pub struct LinkClass(pub u32);
 
-impl Strength {
+impl LinkClass {
     /// The strength of a VM with this link.
     pub fn of_link(link: LinkRate) -> Self {
         let mbits = link.0 as u32;
@@ -44,25 +44,25 @@
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
 pub struct Ranks {
-    strength: Strength,
+    link_class: LinkClass,
     hub: f64,
     watcher: f64,
 }
 
 impl Ranks {
     /// The ranks of a daemon.
-    pub fn new(address: SocketAddr, strength: Strength) -> Self {
+    pub fn new(address: SocketAddr, link_class: LinkClass) -> Self {
         let node = Node::new((), &address.to_string());
         Self {
-            strength,
+            link_class,
             hub: node.score(key_of(HUB_KEY)),
             watcher: node.score(key_of(WATCH_KEY)),
         }
     }
 
     /// How strong its VM is.
-    pub const fn strength(&self) -> Strength {
-        self.strength
+    pub const fn link_class(&self) -> LinkClass {
+        self.link_class
     }
 
     const fn score(&self, role: Role) -> f64 {
@@ -75,7 +75,7 @@
     /// Order for a role, the first in rank first.
     pub fn order(&self, other: &Self, role: Role) -> Ordering {
         let by_score = other.score(role).total_cmp(&self.score(role));
-        other.strength.cmp(&self.strength).then(by_score)
+        other.link_class.cmp(&self.link_class).then(by_score)
     }
 }
 
--- a/crates/core/src/routing/exchange/tell.rs
+++ b/crates/core/src/routing/exchange/tell.rs
@@ -33,7 +33,7 @@
         Summary {
             daemons: self.summed_up(now),
             live: self.counted(now),
-            strength: self.members.ranks.strength().0,
+            link_class: self.members.ranks.link_class().0,
             centre: self.members.centre.0,
             gathered: self.gathered_from(now),
             cut_off: self.cut_off,
@@ -147,7 +147,7 @@
         let common = Subtotal {
             prefixes,
             daemons: self.gathered_from(now),
-            strength: self.members.ranks.strength().0,
+            link_class: self.members.ranks.link_class().0,
             moved: moved.into_iter().collect(),
             centre: self.members.centre.0,
             cut_off: self.cut_off,
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Entry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, Sent, Strength, Wish, sources,
+    Entry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, Sent, LinkClass, Wish, sources,
 };
 use medlarrill_core::units::LinkRate;
 
@@ -325,7 +325,7 @@
         let seeds = vec![address(0), address(1)];
         let daemon = Exchange::new(address(number), seeds);
         let link = LinkRate(200.0);
-        fleet.daemons[usize::from(number)] = daemon.with_strength(Strength::of_link(link));
+        fleet.daemons[usize::from(number)] = daemon.with_link_class(LinkClass::of_link(link));
     }
     let now = fleet.run(50, 0, |_| Report::default());
     let strong = strong.map(address);
@@ -367,10 +367,10 @@
 
 #[gtest]
 fn links_within_a_factor_of_two_or_so_count_alike() {
-    let of = |mbits| Strength::of_link(LinkRate(mbits));
+    let of = |mbits| LinkClass::of_link(LinkRate(mbits));
     expect_that!(of(150.0), eq(of(200.0)));
     expect_that!(of(200.0), gt(of(10.0)));
-    expect_that!(of(0.0), eq(Strength::default()));
+    expect_that!(of(0.0), eq(LinkClass::default()));
     expect_that!("200.0Mbit/s".parse::<LinkRate>(), ok(eq(&LinkRate(200.0))));
     expect_that!("fast".parse::<LinkRate>(), err(anything()));
 }
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -32,7 +32,7 @@
         entries,
         cut_off,
         sent,
-        strength: 3,
+        link_class: 3,
         moved,
         ..Report::default()
     })
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -6,7 +6,7 @@
 use derive_more::Debug;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    DataCentreHash, Exchange, Following, Message, Outgoing, Strength, TICK,
+    DataCentreHash, Exchange, Following, Message, Outgoing, LinkClass, TICK,
 };
 use medlarrill_net::now::now;
 use tokio::net::UdpSocket;
@@ -110,7 +110,7 @@
     let settings = &shared.settings;
     let exchange = Exchange::new(settings.listen.peers, settings.peer_seeds());
     let mut exchange = exchange
-        .with_strength(Strength::of_link(settings.link))
+        .with_link_class(LinkClass::of_link(settings.link))
         .with_data_centre(DataCentreHash::from(&settings.data_centre))
         .with_epoch(rand::random());
     let mut buffer = vec![0; DATAGRAM];
