--- a/crates/core/src/routing/exchange/hub.rs
+++ b/crates/core/src/routing/exchange/hub.rs
@@ -9,7 +9,7 @@
 use super::centres::Centres;
 use super::hot::Counts;
 use super::members::DataCentreHash;
-use super::message::{Entry, Hot, Moved, Report, Subtotal, Wish};
+use super::message::{ReportEntry, Hot, Moved, Report, Subtotal, Wish};
 use super::{MOVES, SILENT};
 use crate::clock::Millis;
 
@@ -22,7 +22,7 @@
     pub centre: DataCentreHash,
     /// Whether the reporter takes this daemon for its hub.
     is_full: bool,
-    entries: Vec<Entry>,
+    entries: Vec<ReportEntry>,
     /// What it has reached of this daemon's sums.
     pub reached: Option<Version>,
     /// Whether it asks for the sums.
@@ -204,7 +204,7 @@
 }
 
 /// A report's endpoints and its requests in flight there.
-pub fn loads_of(entries: &[Entry]) -> impl Iterator<Item = (u32, u32)> {
+pub fn loads_of(entries: &[ReportEntry]) -> impl Iterator<Item = (u32, u32)> {
     entries
         .iter()
         .map(|entry| (entry.endpoint, entry.in_flight))
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -17,7 +17,7 @@
 /// One endpoint in a report.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Entry {
+pub struct ReportEntry {
     /// Short form of the endpoint's id.
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
@@ -32,7 +32,7 @@
     pub bad: u32,
 }
 
-impl Entry {
+impl ReportEntry {
     /// Its answers since the last report.
     pub const fn answers(&self) -> Answers {
         Answers {
@@ -48,7 +48,7 @@
 pub struct Report {
     /// Endpoints with requests in flight or outcomes.
     #[prost(message, repeated, tag = "1")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ReportEntry>,
     /// Whether the daemon has lost the platform.
     #[prost(bool, tag = "2")]
     pub cut_off: bool,
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -302,7 +302,7 @@
         let sent = sent.map(|(prefix, count)| exchange::Sent { prefix, count });
         let entry = |(id, in_flight): (&InstanceId, u32)| {
             let Outcomes { good, bad } = outcomes.remove(id).unwrap_or_default();
-            exchange::Entry {
+            exchange::ReportEntry {
                 endpoint: exchange::short_id(id),
                 in_flight,
                 good,
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::routing::choose::{Candidate, choose};
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::exchange::{
-    self, Entry, Exchange, PeerUpdate, Report, Sent, short_id, short_key,
+    self, ReportEntry, Exchange, PeerUpdate, Report, Sent, short_id, short_key,
 };
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::load::Loads;
@@ -167,7 +167,7 @@
     fn exchange(&mut self, now: Millis) {
         let mut sent = VecDeque::new();
         for (number, (exchange, loads)) in self.daemons.iter_mut().enumerate() {
-            let entry = |(id, in_flight)| Entry {
+            let entry = |(id, in_flight)| ReportEntry {
                 endpoint: short_id(id),
                 in_flight,
                 good: 0,
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Entry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, Sent, LinkClass, Wish, sources,
+    ReportEntry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, Sent, LinkClass, Wish, sources,
 };
 use medlarrill_core::units::LinkRate;
 
@@ -14,7 +14,7 @@
 
 fn report(endpoint: u32, in_flight: u32, good: u32, bad: u32) -> Report {
     Report {
-        entries: vec![Entry {
+        entries: vec![ReportEntry {
             endpoint,
             in_flight,
             good,
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -8,7 +8,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    DataCentreHash, Entry, Exchange, PeerUpdate, Message, Outgoing, Report, TICK,
+    DataCentreHash, ReportEntry, Exchange, PeerUpdate, Message, Outgoing, Report, TICK,
 };
 use medlarrill_core::routing::quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
@@ -289,16 +289,16 @@
         for flight in &self.flights {
             *counts.entry(*flight).or_default() += 1;
         }
-        let entry = |(endpoint, in_flight)| Entry {
+        let entry = |(endpoint, in_flight)| ReportEntry {
             endpoint,
             in_flight,
             good: 0,
             bad: 0,
         };
-        let mut entries: Vec<Entry> = counts.into_iter().map(entry).collect();
+        let mut entries: Vec<ReportEntry> = counts.into_iter().map(entry).collect();
         let bad = std::mem::take(&mut self.bad);
         if bad > 0 {
-            entries.push(Entry {
+            entries.push(ReportEntry {
                 endpoint: PROBE,
                 in_flight: 0,
                 good: 0,
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -6,14 +6,14 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::events::Splitter;
 use medlarrill_core::routing::exchange::{
-    Answers, Board, Copy, Delta, Entry, Exchange, Message, Moved, Report, Sent,
+    Answers, Board, Copy, Delta, ReportEntry, Exchange, Message, Moved, Report, Sent,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 fn report() -> impl Strategy<Value = Report> {
     let entry = (any::<u32>(), any::<u32>(), any::<u32>(), any::<u32>());
-    let entry = entry.prop_map(|(endpoint, in_flight, good, bad)| Entry {
+    let entry = entry.prop_map(|(endpoint, in_flight, good, bad)| ReportEntry {
         endpoint,
         in_flight,
         good,
