--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -40,7 +40,7 @@
 pub use members::DataCentreHash;
 use members::{Members, ranked};
 pub use message::{
-    ReportEntry, Hot, Message, Moved, Peer, Peers, Prefixes, Report, Sender, Sent, Subtotal, Summary,
+    ReportEntry, Hot, Message, Moved, Peer, Peers, Prefixes, Report, Sender, PrefixCount, Subtotal, Summary,
     Wish,
 };
 use own::Own;
--- a/crates/core/src/routing/exchange/hot.rs
+++ b/crates/core/src/routing/exchange/hot.rs
@@ -4,7 +4,7 @@
 
 use derive_more::Debug;
 
-use super::message::{Hot, Prefixes, Sent};
+use super::message::{Hot, Prefixes, PrefixCount};
 use crate::clock::Millis;
 
 /// Time in which a count falls by half: long enough to count some dozen requests of a prefix
@@ -36,7 +36,7 @@
 
 impl Counts {
     /// Adds requests.
-    pub fn add(&mut self, all: &[Sent]) {
+    pub fn add(&mut self, all: &[PrefixCount]) {
         for sent in all {
             let is_known = self.prefixes.contains_key(&sent.prefix);
             if is_known || self.prefixes.len() < PREFIXES {
@@ -61,8 +61,8 @@
     pub fn prefixes(&self) -> Prefixes {
         let told = self.prefixes.iter();
         let told = told.filter(|(_, count)| **count >= TOLD_MIN);
-        let mut most: Vec<Sent> = told
-            .map(|(prefix, count)| Sent {
+        let mut most: Vec<PrefixCount> = told
+            .map(|(prefix, count)| PrefixCount {
                 prefix: *prefix,
                 count: *count as u32,
             })
@@ -81,7 +81,7 @@
         let mut prefixes = self.prefixes.clone();
         for told in others {
             total += f64::from(told.total);
-            for Sent { prefix, count } in &told.most {
+            for PrefixCount { prefix, count } in &told.most {
                 *prefixes.entry(*prefix).or_default() += f64::from(*count);
             }
         }
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -54,7 +54,7 @@
     pub cut_off: bool,
     /// Requests with shared prefixes that were sent since the last report.
     #[prost(message, repeated, tag = "3")]
-    pub sent: Vec<Sent>,
+    pub sent: Vec<PrefixCount>,
     /// How strong the daemon's VM is.
     #[prost(uint32, tag = "4")]
     pub link_class: u32,
@@ -93,7 +93,7 @@
 /// Requests with one shared prefix.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Sent {
+pub struct PrefixCount {
     /// Short form of the prefix's key.
     #[prost(fixed32, tag = "1")]
     pub prefix: u32,
@@ -254,7 +254,7 @@
 pub struct Prefixes {
     /// The prefixes that get most of them.
     #[prost(message, repeated, tag = "1")]
-    pub most: Vec<Sent>,
+    pub most: Vec<PrefixCount>,
     /// All requests, also those of other prefixes.
     #[prost(uint32, tag = "2")]
     pub total: u32,
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -299,7 +299,7 @@
     pub fn own_report(&mut self, cut_off: bool) -> exchange::Report {
         let mut outcomes = std::mem::take(&mut self.outcomes);
         let sent = std::mem::take(&mut self.sent).into_iter();
-        let sent = sent.map(|(prefix, count)| exchange::Sent { prefix, count });
+        let sent = sent.map(|(prefix, count)| exchange::PrefixCount { prefix, count });
         let entry = |(id, in_flight): (&InstanceId, u32)| {
             let Outcomes { good, bad } = outcomes.remove(id).unwrap_or_default();
             exchange::ReportEntry {
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::routing::choose::{Candidate, choose};
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::exchange::{
-    self, ReportEntry, Exchange, PeerUpdate, Report, Sent, short_id, short_key,
+    self, ReportEntry, Exchange, PeerUpdate, Report, PrefixCount, short_id, short_key,
 };
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::load::Loads;
@@ -44,7 +44,7 @@
     rng: Pcg32,
     told: bool,
     tick: u64,
-    sent: Vec<Vec<Sent>>,
+    sent: Vec<Vec<PrefixCount>>,
     hot: Vec<HashMap<u32, f64>>,
     /// When each third endpoint is drained.
     drained: u64,
@@ -145,7 +145,7 @@
         let all: Vec<Candidate> = all.map(candidate).collect();
         let near = "near".parse().expect("a name");
         let share = self.hot[daemon].get(&short_key(prefix(key).key)).copied();
-        self.sent[daemon].push(Sent {
+        self.sent[daemon].push(PrefixCount {
             prefix: short_key(prefix(key).key),
             count: 1,
         });
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    ReportEntry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, Sent, LinkClass, Wish, sources,
+    ReportEntry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, PrefixCount, LinkClass, Wish, sources,
 };
 use medlarrill_core::units::LinkRate;
 
@@ -181,11 +181,11 @@
     let mut fleet = Fleet::new(20);
     let sent = |number: usize| Report {
         sent: vec![
-            Sent {
+            PrefixCount {
                 prefix: 1,
                 count: 1,
             },
-            Sent {
+            PrefixCount {
                 prefix: 100 + number as u32,
                 count: 4,
             },
