--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -40,7 +40,7 @@
 pub use members::DataCentreHash;
 use members::{Members, ranked};
 pub use message::{
-    ReportEntry, Hot, Message, Moved, Peer, Peers, Prefixes, Report, Sender, PrefixCount, Subtotal, Summary,
+    ReportEntry, Hot, Message, PrefixMove, Peer, Peers, Prefixes, Report, Sender, PrefixCount, Subtotal, Summary,
     Wish,
 };
 use own::Own;
@@ -164,7 +164,7 @@
     /// and their shares of it.
     pub hot: HashMap<u32, f64>,
     /// Prefixes that went elsewhere than rank and age say.
-    pub moved: Vec<Moved>,
+    pub moved: Vec<PrefixMove>,
 }
 
 impl Exchange {
--- a/crates/core/src/routing/exchange/hub.rs
+++ b/crates/core/src/routing/exchange/hub.rs
@@ -9,7 +9,7 @@
 use super::centres::Centres;
 use super::hot::Counts;
 use super::members::DataCentreHash;
-use super::message::{ReportEntry, Hot, Moved, Report, Subtotal, Wish};
+use super::message::{ReportEntry, Hot, PrefixMove, Report, Subtotal, Wish};
 use super::{MOVES, SILENT};
 use crate::clock::Millis;
 
@@ -64,11 +64,11 @@
     /// Answers that this daemon itself hasn't heard of.
     pub news: HashMap<u32, Answers>,
     /// Moved prefixes that this daemon itself hasn't heard of.
-    pub unheard: Vec<Moved>,
+    pub unheard: Vec<PrefixMove>,
     /// Moved prefixes that reporters haven't been told of.
-    pub moved: BTreeSet<Moved>,
+    pub moved: BTreeSet<PrefixMove>,
     /// Moved prefixes of this data centre that others haven't been told of.
-    pub moved_here: BTreeSet<Moved>,
+    pub moved_here: BTreeSet<PrefixMove>,
     /// When those that ask another hub last got a sign of life.
     pub beat: Option<Millis>,
     /// When reporters were last told who lives.
@@ -154,7 +154,7 @@
         }
     }
 
-    fn note_moved(&mut self, moved: &[Moved], is_own: bool) {
+    fn note_moved(&mut self, moved: &[PrefixMove], is_own: bool) {
         note(&mut self.moved, moved);
         if !is_own && self.unheard.len() < MOVES {
             self.unheard.extend_from_slice(moved);
@@ -211,7 +211,7 @@
 }
 
 /// Notes prefixes, no more than one message takes.
-fn note(known: &mut BTreeSet<Moved>, moved: &[Moved]) {
+fn note(known: &mut BTreeSet<PrefixMove>, moved: &[PrefixMove]) {
     let room = MOVES.saturating_sub(known.len());
     known.extend(moved.iter().take(room));
 }
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -60,7 +60,7 @@
     pub link_class: u32,
     /// Prefixes that went elsewhere than rank and age say, since the last report.
     #[prost(message, repeated, tag = "5")]
-    pub moved: Vec<Moved>,
+    pub moved: Vec<PrefixMove>,
     /// Short form of the daemon's data centre.
     #[prost(fixed32, tag = "6")]
     pub centre: u32,
@@ -105,7 +105,7 @@
 /// A shared prefix and an endpoint that was sent it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(prost::Message)]
-pub struct Moved {
+pub struct PrefixMove {
     /// Short form of the prefix's key.
     #[prost(fixed32, tag = "1")]
     pub prefix: u32,
@@ -230,7 +230,7 @@
     pub link_class: u32,
     /// Prefixes that went elsewhere than rank and age say.
     #[prost(message, repeated, tag = "7")]
-    pub moved: Vec<Moved>,
+    pub moved: Vec<PrefixMove>,
     /// Short form of the hub's data centre.
     #[prost(fixed32, tag = "8")]
     pub centre: u32,
@@ -281,7 +281,7 @@
     pub link_class: u32,
     /// Prefixes that went elsewhere than rank and age say.
     #[prost(message, repeated, tag = "6")]
-    pub moved: Vec<Moved>,
+    pub moved: Vec<PrefixMove>,
     /// Short form of the hub's data centre.
     #[prost(fixed32, tag = "7")]
     pub centre: u32,
--- a/crates/core/src/routing/exchange/tell.rs
+++ b/crates/core/src/routing/exchange/tell.rs
@@ -6,7 +6,7 @@
 use super::hot::shares;
 use super::hub::{Asked, add, loads_of};
 use super::members::DataCentreHash;
-use super::message::{Message, Moved, Peers, Report, Subtotal, Summary};
+use super::message::{Message, PrefixMove, Peers, Report, Subtotal, Summary};
 use super::{BEAT, Exchange, PeerUpdate, LIST_PAUSE, PeerCounts, Outgoing, is_due};
 use crate::clock::Millis;
 
@@ -109,7 +109,7 @@
             self.hub.hot = self.hub.counts.hot(others);
         }
         let common = self.summary(now);
-        let moved: Vec<Moved> = std::mem::take(&mut self.hub.moved).into_iter().collect();
+        let moved: Vec<PrefixMove> = std::mem::take(&mut self.hub.moved).into_iter().collect();
         let mut lists: HashMap<DataCentreHash, Peers> = HashMap::new();
         let mut list = |to: DataCentreHash| {
             let peers = || Peers::new(&self.members.worth_telling(to, now));
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -69,7 +69,7 @@
     sent: HashMap<u32, u32>,
     holders: Holders,
     /// Prefixes that went elsewhere than rank and age say, since the last report.
-    moved: Vec<exchange::Moved>,
+    moved: Vec<exchange::PrefixMove>,
     /// Shares of hot prefixes in the fleet's traffic.
     hot: HashMap<u32, f64>,
     quarantine: Quarantine,
@@ -232,7 +232,7 @@
         let endpoint = exchange::short_id(&choice.endpoint.id);
         let is_new = self.holders.note(prefix, endpoint, now);
         if is_new && choice.moved && self.moved.len() < exchange::MOVES {
-            self.moved.push(exchange::Moved { prefix, endpoint });
+            self.moved.push(exchange::PrefixMove { prefix, endpoint });
         }
     }
 
@@ -325,7 +325,7 @@
         let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
         self.daemons = daemons;
         self.hot = heard.hot;
-        for exchange::Moved { prefix, endpoint } in heard.moved {
+        for exchange::PrefixMove { prefix, endpoint } in heard.moved {
             self.holders.note(prefix, endpoint, now);
         }
         for endpoint in self.directory.all() {
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::events::Splitter;
 use medlarrill_core::routing::exchange::{
-    Answers, Board, Copy, Delta, ReportEntry, Exchange, Message, Moved, Report, PrefixCount,
+    Answers, Board, Copy, Delta, ReportEntry, Exchange, Message, PrefixMove, Report, PrefixCount,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -21,7 +21,7 @@
     });
     let pair = || (any::<u32>(), any::<u32>());
     let sent = pair().prop_map(|(prefix, count)| PrefixCount { prefix, count });
-    let moved = pair().prop_map(|(prefix, endpoint)| Moved { prefix, endpoint });
+    let moved = pair().prop_map(|(prefix, endpoint)| PrefixMove { prefix, endpoint });
     let parts = (
         vec(entry, 0..8),
         any::<bool>(),
