--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -32,7 +32,7 @@
 use crate::clock::Millis;
 use crate::routing::quarantine::{Evidence, Snapshot};
 
-pub use board::{Answers, Board, Copy, Delta, Version};
+pub use board::{Answers, VersionedSums, SumsCopy, Delta, Version};
 pub use evidence::Findings;
 use evidence::Spread;
 use hot::shares;
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 struct Told {
     at: Millis,
-    sums: Copy,
+    sums: SumsCopy,
     /// How many daemons report to it.
     gathered: u32,
     hot: HashMap<u32, f64>,
--- a/crates/core/src/routing/exchange/board.rs
+++ b/crates/core/src/routing/exchange/board.rs
@@ -1,8 +1,8 @@
 //! Sums by endpoint with versions, so that a listener is told only what it doesn't know.
 //!
-//! Whoever sums up keeps a [`Board`] and marks it each tick: rows that differ
+//! Whoever sums up keeps a [`VersionedSums`] and marks it each tick: rows that differ
 //! enough from what was told of them bear the new version from then on. A
-//! listener keeps a [`Copy`], says which version that has reached, and is sent
+//! listener keeps a [`SumsCopy`], says which version that has reached, and is sent
 //! the rows that are newer. Rows hold values, not differences, and outcomes
 //! are counted up: a datagram that is lost, late or doubled loses nothing and
 //! counts nothing twice.
@@ -139,12 +139,12 @@
 /// Sums that a daemon tells others.
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct Board {
+pub struct VersionedSums {
     version: Version,
     rows: BTreeMap<u32, Row>,
 }
 
-impl Board {
+impl VersionedSums {
     /// Nothing is summed up yet.
     pub const fn new(epoch: u32) -> Self {
         Self {
@@ -174,7 +174,7 @@
     }
 
     /// Sets the requests in flight, and makes a new version of what has changed enough.
-    pub fn mark(&mut self, loads: &HashMap<u32, u32>, now: Millis) {
+    pub fn publish(&mut self, loads: &HashMap<u32, u32>, now: Millis) {
         for row in self.rows.values_mut() {
             row.sum.in_flight = 0;
         }
@@ -192,7 +192,7 @@
     }
 
     /// What brings a copy that has reached a version up to this one.
-    pub fn since(&self, reached: Option<Version>) -> Delta {
+    pub fn delta_since(&self, reached: Option<Version>) -> Delta {
         let known = reached.filter(|version| version.epoch == self.version.epoch);
         let base = known.map_or(0, |version| version.number);
         let mut delta = Delta {
@@ -230,12 +230,12 @@
 /// Another daemon's board, as far as it was told.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Copy {
+pub struct SumsCopy {
     version: Option<Version>,
     rows: HashMap<u32, Sum>,
 }
 
-impl Copy {
+impl SumsCopy {
     /// The version that it has reached.
     pub const fn reached(&self) -> Option<Version> {
         self.version
--- a/crates/core/src/routing/exchange/centres.rs
+++ b/crates/core/src/routing/exchange/centres.rs
@@ -5,7 +5,7 @@
 
 use derive_more::Debug;
 
-use super::board::{Answers, Copy, Version};
+use super::board::{Answers, SumsCopy, Version};
 use super::members::DataCentreHash;
 use super::message::{Prefixes, Subtotal};
 use super::{SILENT, WIDE};
@@ -18,7 +18,7 @@
     /// Its data centre.
     pub centre: DataCentreHash,
     /// The sums.
-    pub copy: Copy,
+    pub copy: SumsCopy,
     /// How many daemons they sum up.
     pub daemons: u32,
     /// Its shared prefixes.
--- a/crates/core/src/routing/exchange/hub.rs
+++ b/crates/core/src/routing/exchange/hub.rs
@@ -5,7 +5,7 @@
 
 use derive_more::Debug;
 
-use super::board::{Answers, Board, Version};
+use super::board::{Answers, VersionedSums, Version};
 use super::centres::Centres;
 use super::hot::Counts;
 use super::members::DataCentreHash;
@@ -52,9 +52,9 @@
     /// Who asked who lives.
     pub asked: Vec<Asked>,
     /// Sums over the reports, for hubs of other data centres.
-    pub local: Board,
+    pub local: VersionedSums,
     /// Sums over the fleet, for the reporters.
-    pub fleet: Board,
+    pub fleet: VersionedSums,
     /// What other data centres tell.
     pub centres: Centres,
     /// Requests with shared prefixes, as reported.
@@ -85,8 +85,8 @@
         Self {
             reports: HashMap::new(),
             asked: Vec::new(),
-            local: Board::new(epoch),
-            fleet: Board::new(epoch),
+            local: VersionedSums::new(epoch),
+            fleet: VersionedSums::new(epoch),
             centres: Centres::default(),
             counts: Counts::default(),
             hot: Vec::new(),
--- a/crates/core/src/routing/exchange/own.rs
+++ b/crates/core/src/routing/exchange/own.rs
@@ -8,7 +8,7 @@
 
 use derive_more::Debug;
 
-use super::board::{Answers, Copy};
+use super::board::{Answers, SumsCopy};
 use super::hub::loads_of;
 use super::message::Report;
 use super::{PeerUpdate, PeerCounts};
@@ -42,7 +42,7 @@
     }
 
     /// What the others have, by the sums and the answers that are news in them.
-    pub fn others(&mut self, sums: &Copy, news: Vec<(u32, Answers)>) -> PeerUpdate {
+    pub fn others(&mut self, sums: &SumsCopy, news: Vec<(u32, Answers)>) -> PeerUpdate {
         let mut heard = PeerUpdate::default();
         for (endpoint, in_flight) in sums.loads() {
             let own = self.loads.get(&endpoint).copied().unwrap_or_default();
--- a/crates/core/src/routing/exchange/tell.rs
+++ b/crates/core/src/routing/exchange/tell.rs
@@ -85,11 +85,11 @@
         let area = self.area(now);
         let mut loads = self.hub.loads(area);
         add(&mut loads, loads_of(&own.entries));
-        self.hub.local.mark(&loads, now);
+        self.hub.local.publish(&loads, now);
         if area.is_some() {
             self.hub.add_centres(&mut loads);
         }
-        self.hub.fleet.mark(&loads, now);
+        self.hub.fleet.publish(&loads, now);
         if area.is_some() && self.source(now) == Some(self.members.me) {
             self.told = (self.counted(now) as usize, now);
         }
@@ -119,7 +119,7 @@
         for (address, report) in &self.hub.reports {
             let mut summary = common.clone();
             if report.wants_sums {
-                summary.delta = Some(self.hub.fleet.since(report.reached));
+                summary.delta = Some(self.hub.fleet.delta_since(report.reached));
                 summary.moved.clone_from(&moved);
                 let digest = Some(report.digest);
                 summary.findings = self.evidence.findings(*address, digest, News::All, now);
@@ -163,7 +163,7 @@
                 let reached = told.and_then(|told| told.reached);
                 let digest = told.map(|told| told.digest);
                 let subtotal = Subtotal {
-                    delta: Some(self.hub.local.since(reached)),
+                    delta: Some(self.hub.local.delta_since(reached)),
                     peers: peers.clone(),
                     findings: self.evidence.findings(hub, digest, News::All, now),
                     reached: told.and_then(|told| told.copy.reached()),
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::events::Splitter;
 use medlarrill_core::routing::exchange::{
-    Answers, Board, Copy, Delta, ReportEntry, Exchange, Message, PrefixMove, Report, PrefixCount,
+    Answers, VersionedSums, SumsCopy, Delta, ReportEntry, Exchange, Message, PrefixMove, Report, PrefixCount,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -84,7 +84,7 @@
     /// no answer twice and none that it could have heard never.
     #[test]
     fn a_copy_that_hears_again_holds_what_the_board_does(ticks in vec(tick(), 1..40)) {
-        let (mut board, mut copy) = (Board::new(1), Copy::default());
+        let (mut board, mut copy) = (VersionedSums::new(1), SumsCopy::default());
         let mut now = Millis(1000);
         let mut loads = HashMap::new();
         let (mut given, mut counted) = (0, 0);
@@ -95,7 +95,7 @@
             // Long enough for any difference to be told.
             now += Millis(2100);
             if tick.restarts {
-                copy = Copy::default();
+                copy = SumsCopy::default();
             }
             loads.extend(tick.loads);
             let (endpoint, good) = tick.good;
@@ -103,8 +103,8 @@
                 board.count(endpoint, Answers { good, bad: 0 });
                 given += good;
             }
-            board.mark(&loads, now);
-            let delta = board.since(copy.reached());
+            board.publish(&loads, now);
+            let delta = board.delta_since(copy.reached());
             if !tick.lost {
                 if copy.reached().is_none() {
                     // A listener that knows nothing takes what was given before as known.
