--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -32,7 +32,7 @@
 use crate::clock::Millis;
 use crate::routing::quarantine::{Evidence, Snapshot};
 
-pub use board::{Answers, VersionedSums, SumsCopy, Delta, Version};
+pub use board::{OutcomeCounts, VersionedSums, SumsCopy, Delta, Version};
 pub use evidence::Findings;
 use evidence::Spread;
 use hot::shares;
--- a/crates/core/src/routing/exchange/board.rs
+++ b/crates/core/src/routing/exchange/board.rs
@@ -82,14 +82,14 @@
 /// Answers of an endpoint that a copy hadn't counted.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
-pub struct Answers {
+pub struct OutcomeCounts {
     /// Good ones.
     pub good: u32,
     /// Failed attempts.
     pub bad: u32,
 }
 
-impl Answers {
+impl OutcomeCounts {
     /// Adds further ones.
     pub const fn add(&mut self, other: Self) {
         self.good = self.good.saturating_add(other.good);
@@ -164,8 +164,8 @@
     }
 
     /// Counts answers of an endpoint.
-    pub fn count(&mut self, endpoint: u32, answers: Answers) {
-        if answers == Answers::default() {
+    pub fn count(&mut self, endpoint: u32, answers: OutcomeCounts) {
+        if answers == OutcomeCounts::default() {
             return;
         }
         let sum = self.sum(endpoint);
@@ -243,7 +243,7 @@
 
     /// Takes rows; returns the answers that they add. None if they don't follow on what is known,
     /// or are no news.
-    pub fn take(&mut self, delta: &Delta) -> Option<Vec<(u32, Answers)>> {
+    pub fn take(&mut self, delta: &Delta) -> Option<Vec<(u32, OutcomeCounts)>> {
         let same = self
             .version
             .filter(|version| version.epoch == delta.version.epoch);
@@ -264,15 +264,15 @@
         }
         self.version = Some(delta.version);
         let put = |(endpoint, sum)| (endpoint, self.put(endpoint, sum));
-        let counted: Vec<(u32, Answers)> = delta.rows().map(put).collect();
+        let counted: Vec<(u32, OutcomeCounts)> = delta.rows().map(put).collect();
         Some(counted)
     }
 
-    fn put(&mut self, endpoint: u32, sum: Sum) -> Answers {
+    fn put(&mut self, endpoint: u32, sum: Sum) -> OutcomeCounts {
         let before = self.rows.insert(endpoint, sum).unwrap_or_default();
         // A row that was dropped over there begins anew.
         let more = |now: u32, before: u32| now.checked_sub(before).unwrap_or(now);
-        Answers {
+        OutcomeCounts {
             good: more(sum.good, before.good),
             bad: more(sum.bad, before.bad),
         }
--- a/crates/core/src/routing/exchange/centres.rs
+++ b/crates/core/src/routing/exchange/centres.rs
@@ -5,7 +5,7 @@
 
 use derive_more::Debug;
 
-use super::board::{Answers, SumsCopy, Version};
+use super::board::{OutcomeCounts, SumsCopy, Version};
 use super::members::DataCentreHash;
 use super::message::{Prefixes, Subtotal};
 use super::{SILENT, WIDE};
@@ -49,7 +49,7 @@
         from: SocketAddr,
         subtotal: &Subtotal,
         now: Millis,
-    ) -> Vec<(u32, Answers)> {
+    ) -> Vec<(u32, OutcomeCounts)> {
         let told = self.hubs.entry(from).or_default();
         told.at = now;
         told.centre = DataCentreHash(subtotal.centre);
--- a/crates/core/src/routing/exchange/hub.rs
+++ b/crates/core/src/routing/exchange/hub.rs
@@ -5,7 +5,7 @@
 
 use derive_more::Debug;
 
-use super::board::{Answers, VersionedSums, Version};
+use super::board::{OutcomeCounts, VersionedSums, Version};
 use super::centres::Centres;
 use super::hot::Counts;
 use super::members::DataCentreHash;
@@ -62,7 +62,7 @@
     /// Shared prefixes that get much of the fleet's traffic.
     pub hot: Vec<Hot>,
     /// Answers that this daemon itself hasn't heard of.
-    pub news: HashMap<u32, Answers>,
+    pub news: HashMap<u32, OutcomeCounts>,
     /// Moved prefixes that this daemon itself hasn't heard of.
     pub unheard: Vec<PrefixMove>,
     /// Moved prefixes that reporters haven't been told of.
@@ -147,9 +147,9 @@
         self.note_moved(&report.moved, is_own);
     }
 
-    fn count_fleet(&mut self, endpoint: u32, answers: Answers, is_own: bool) {
+    fn count_fleet(&mut self, endpoint: u32, answers: OutcomeCounts, is_own: bool) {
         self.fleet.count(endpoint, answers);
-        if !is_own && answers != Answers::default() {
+        if !is_own && answers != OutcomeCounts::default() {
             self.news.entry(endpoint).or_default().add(answers);
         }
     }
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -6,7 +6,7 @@
 use prost::{DecodeError, Message as _, Oneof};
 
 use super::LinkClass;
-use super::board::{Answers, Delta, Version};
+use super::board::{OutcomeCounts, Delta, Version};
 use super::evidence::Findings;
 use super::members::DataCentreHash;
 use crate::clock::Millis;
@@ -34,8 +34,8 @@
 
 impl ReportEntry {
     /// Its answers since the last report.
-    pub const fn answers(&self) -> Answers {
-        Answers {
+    pub const fn answers(&self) -> OutcomeCounts {
+        OutcomeCounts {
             good: self.good,
             bad: self.bad,
         }
--- a/crates/core/src/routing/exchange/own.rs
+++ b/crates/core/src/routing/exchange/own.rs
@@ -8,7 +8,7 @@
 
 use derive_more::Debug;
 
-use super::board::{Answers, SumsCopy};
+use super::board::{OutcomeCounts, SumsCopy};
 use super::hub::loads_of;
 use super::message::Report;
 use super::{PeerUpdate, PeerCounts};
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct Own {
     loads: HashMap<u32, u32>,
-    answers: HashMap<u32, (Answers, Millis)>,
+    answers: HashMap<u32, (OutcomeCounts, Millis)>,
 }
 
 impl Own {
@@ -33,7 +33,7 @@
         self.answers.retain(|_, (_, at)| now.since(*at) < BACK);
         for entry in &report.entries {
             let answers = entry.answers();
-            if answers != Answers::default() {
+            if answers != OutcomeCounts::default() {
                 let (known, at) = self.answers.entry(entry.endpoint).or_default();
                 known.add(answers);
                 *at = now;
@@ -42,7 +42,7 @@
     }
 
     /// What the others have, by the sums and the answers that are news in them.
-    pub fn others(&mut self, sums: &SumsCopy, news: Vec<(u32, Answers)>) -> PeerUpdate {
+    pub fn others(&mut self, sums: &SumsCopy, news: Vec<(u32, OutcomeCounts)>) -> PeerUpdate {
         let mut heard = PeerUpdate::default();
         for (endpoint, in_flight) in sums.loads() {
             let own = self.loads.get(&endpoint).copied().unwrap_or_default();
@@ -61,7 +61,7 @@
         heard
     }
 
-    fn take_off(&mut self, endpoint: u32, answers: Answers) -> Answers {
+    fn take_off(&mut self, endpoint: u32, answers: OutcomeCounts) -> OutcomeCounts {
         let Some((own, _)) = self.answers.get_mut(&endpoint) else {
             return answers;
         };
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::events::Splitter;
 use medlarrill_core::routing::exchange::{
-    Answers, VersionedSums, SumsCopy, Delta, ReportEntry, Exchange, Message, PrefixMove, Report, PrefixCount,
+    OutcomeCounts, VersionedSums, SumsCopy, Delta, ReportEntry, Exchange, Message, PrefixMove, Report, PrefixCount,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -100,7 +100,7 @@
             loads.extend(tick.loads);
             let (endpoint, good) = tick.good;
             if !tick.restarts {
-                board.count(endpoint, Answers { good, bad: 0 });
+                board.count(endpoint, OutcomeCounts { good, bad: 0 });
                 given += good;
             }
             board.publish(&loads, now);
