--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -139,7 +139,7 @@
     pub is_hub: bool,
     /// Whether this daemon leaves the platform to others: in a large fleet all do but hubs and
     /// watchers.
-    pub is_served: bool,
+    pub is_indirect: bool,
 }
 
 /// What others have at one endpoint, and how their requests ended since the last tick.
@@ -207,7 +207,7 @@
     }
 
     /// Daemons that live, this one included.
-    pub fn live(&self, now: Millis) -> usize {
+    pub fn live_count(&self, now: Millis) -> usize {
         let (told, at) = self.told;
         let seen = 1 + self.members.others(now).count();
         match now.since(at) < SILENT {
@@ -217,13 +217,13 @@
     }
 
     /// Daemons that live, as far as this one knows them, itself among them.
-    pub fn known(&self, now: Millis) -> Vec<SocketAddr> {
+    pub fn live_daemons(&self, now: Millis) -> Vec<SocketAddr> {
         let others = self.members.others(now).map(|(address, _)| address);
         others.chain([self.members.me]).collect()
     }
 
     fn is_large(&self, now: Millis) -> bool {
-        self.live(now) >= LARGE
+        self.live_count(now) >= LARGE
     }
 
     /// The hubs of this daemon, first in rank first; it may be one itself.
@@ -290,19 +290,19 @@
         chosen.truncate(SOURCES);
         Following {
             is_hub,
-            is_served: has_hubs && !watchers.contains(&me),
+            is_indirect: has_hubs && !watchers.contains(&me),
             sources: chosen,
             watchers,
         }
     }
 
     /// Sets the evidence against requests that this daemon holds.
-    pub fn hold(&mut self, held: Snapshot) {
+    pub fn set_evidence(&mut self, held: Snapshot) {
         self.evidence.hold(held);
     }
 
     /// Evidence that other daemons told since this was last asked.
-    pub fn learnt(&mut self) -> Vec<Evidence> {
+    pub fn take_evidence(&mut self) -> Vec<Evidence> {
         self.evidence.learnt()
     }
 
--- a/crates/core/src/routing/exchange/report.rs
+++ b/crates/core/src/routing/exchange/report.rs
@@ -66,7 +66,7 @@
     /// A seed that is to be asked now.
     fn due_seed(&mut self, now: Millis) -> Option<SocketAddr> {
         let is_hub = self.hubs(now).contains(&self.members.me);
-        let pause = match (self.live(now), self.hears_hub(now)) {
+        let pause = match (self.live_count(now), self.hears_hub(now)) {
             (1, _) => Millis::ZERO,
             (_, false) => LIST_PAUSE,
             (_, true) if is_hub => SHOW_PAUSE,
@@ -81,7 +81,7 @@
 
     fn hears_hub(&self, now: Millis) -> bool {
         let hears = |hub: SocketAddr| match hub == self.members.me {
-            true => self.is_hub(),
+            true => self.has_reports(),
             false => {
                 let told = self.hubs.get(&hub);
                 told.is_some_and(|told| now.since(told.at) < QUIET)
--- a/crates/core/src/routing/exchange/tell.rs
+++ b/crates/core/src/routing/exchange/tell.rs
@@ -17,7 +17,7 @@
 impl Exchange {
     /// Answers those that asked who lives, at once: a daemon that has just started can't serve its
     /// callers before it knows whom to follow.
-    pub fn answers(&mut self, now: Millis) -> Vec<Outgoing> {
+    pub fn replies(&mut self, now: Millis) -> Vec<Outgoing> {
         let asked = std::mem::take(&mut self.hub.asked);
         let answer = |Asked { by, centre, digest }| {
             let mut summary = self.summary(now);
@@ -176,7 +176,7 @@
     }
 
     /// What the reports that this daemon got say of the others, unless a hub knows better.
-    pub fn gathered(&mut self, now: Millis) -> Option<PeerUpdate> {
+    pub fn hub_update(&mut self, now: Millis) -> Option<PeerUpdate> {
         if self.source(now) != Some(self.members.me) || !self.is_wide(self.summed_up(now), now) {
             return None;
         }
@@ -201,7 +201,7 @@
     }
 
     /// Whether this daemon has reports of others.
-    pub fn is_hub(&self) -> bool {
+    pub fn has_reports(&self) -> bool {
         !self.hub.reports.is_empty()
     }
 }
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -178,8 +178,8 @@
                 sent: std::mem::take(&mut self.sent[number]),
                 ..Report::default()
             };
-            if exchange.is_hub() {
-                let gathered = exchange.gathered(now);
+            if exchange.has_reports() {
+                let gathered = exchange.hub_update(now);
                 if let Some(heard) = gathered {
                     take(loads, &self.endpoints, &heard, now);
                     self.hot[number] = heard.hot;
@@ -195,7 +195,7 @@
                 take(loads, &self.endpoints, &heard, now);
                 self.hot[usize::from(to.port()) - 1] = heard.hot;
             }
-            let answers = exchange.answers(now).into_iter();
+            let answers = exchange.replies(now).into_iter();
             sent.extend(answers.map(|(back, message)| (to, back, message)));
         }
     }
--- a/crates/core/tests/routing/centres.rs
+++ b/crates/core/tests/routing/centres.rs
@@ -38,7 +38,7 @@
     let live: Vec<usize> = world.living().collect();
     for number in &live {
         let daemon = &world.daemons[*number];
-        let counted = daemon.exchange.live(Millis(world.now - daemon.behind));
+        let counted = daemon.exchange.live_count(Millis(world.now - daemon.behind));
         expect_that!(counted, eq(live.len()), "{after}, daemon {number}");
     }
 }
@@ -166,7 +166,7 @@
         world.passes = Box::new(|from, to| (from % 5 == 0) == (to % 5 == 0));
         world.run(length);
         for number in 0..100 {
-            let live = world.daemons[number].exchange.live(Millis(world.now));
+            let live = world.daemons[number].exchange.live_count(Millis(world.now));
             let expected = if number % 5 == 0 { 20 } else { 80 };
             expect_that!(live, eq(expected), "daemon {number} after {length}");
         }
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -55,8 +55,8 @@
             if self.lost.contains(&number) {
                 continue;
             }
-            if self.daemons[number].is_hub() {
-                let gathered = self.daemons[number].gathered(now);
+            if self.daemons[number].has_reports() {
+                let gathered = self.daemons[number].hub_update(now);
                 if let Some(heard) = gathered {
                     self.hear(number, heard);
                 }
@@ -74,7 +74,7 @@
             if let Some(heard) = self.daemons[to].receive(address(from as u16), message, now) {
                 self.hear(to, heard);
             }
-            let answers = self.daemons[to].answers(now).into_iter();
+            let answers = self.daemons[to].replies(now).into_iter();
             sent.extend(answers.map(|(back, message)| (to, back, message)));
         }
     }
@@ -101,7 +101,7 @@
     for number in 0..30 {
         let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
         expect_that!(others.in_flight, eq(58), "daemon {number}");
-        expect_that!(fleet.daemons[number].live(Millis(now)), eq(30));
+        expect_that!(fleet.daemons[number].live_count(Millis(now)), eq(30));
     }
 }
 
@@ -153,7 +153,7 @@
     let now = fleet.run(40, now, |_| report(7, 1, 0, 0));
     let lost = fleet.lost.clone();
     for number in (0..20).filter(|number| !lost.contains(number)) {
-        let live = fleet.daemons[number].live(Millis(now));
+        let live = fleet.daemons[number].live_count(Millis(now));
         expect_that!(live, eq(18), "daemon {number}");
         let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
         expect_that!(others.in_flight, eq(17), "daemon {number}");
@@ -208,11 +208,11 @@
     let now = fleet.run(20, 0, |_| Report::default());
     fleet.lost = vec![4];
     let now = fleet.run(40, now, |_| Report::default());
-    expect_that!(fleet.daemons[2].live(Millis(now)), eq(9));
+    expect_that!(fleet.daemons[2].live_count(Millis(now)), eq(9));
     fleet.lost.clear();
     let now = fleet.run(40, now, |_| Report::default());
-    expect_that!(fleet.daemons[2].live(Millis(now)), eq(10));
-    expect_that!(fleet.daemons[4].live(Millis(now)), eq(10));
+    expect_that!(fleet.daemons[2].live_count(Millis(now)), eq(10));
+    expect_that!(fleet.daemons[4].live_count(Millis(now)), eq(10));
 }
 
 #[gtest]
@@ -310,7 +310,7 @@
         let daemon = &fleet.daemons[*number];
         expect_that!(daemon.hubs(Millis(now)), eq(&hubs));
         expect_that!(daemon.watchers(false, Millis(now)), eq(&watchers));
-        expect_that!(daemon.live(Millis(now)), eq(left.len()));
+        expect_that!(daemon.live_count(Millis(now)), eq(left.len()));
     }
     expect_that!(hubs.iter().any(|hub| lost.contains(hub)), eq(false));
     expect_that!(watchers.len(), eq(3));
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -138,9 +138,9 @@
             if let Some(heard) = daemon.exchange.receive(address(from), message, now) {
                 daemon.hear(heard);
             }
-            let learnt = daemon.exchange.learnt();
+            let learnt = daemon.exchange.take_evidence();
             daemon.quarantine.learn(&learnt, now);
-            let answers = daemon.exchange.answers(now);
+            let answers = daemon.exchange.replies(now);
             self.send(to, answers);
         }
     }
@@ -158,13 +158,13 @@
             return;
         }
         let now = Millis(self.now - daemon.behind);
-        if daemon.exchange.is_hub()
-            && let Some(heard) = daemon.exchange.gathered(now)
+        if daemon.exchange.has_reports()
+            && let Some(heard) = daemon.exchange.hub_update(now)
         {
             daemon.hear(heard);
         }
         let report = daemon.report();
-        daemon.exchange.hold(daemon.quarantine.snapshot(now));
+        daemon.exchange.set_evidence(daemon.quarantine.snapshot(now));
         let out = daemon.exchange.tick(report, now);
         daemon.due = self.now + TICK.0;
         self.send(number, out);
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -74,7 +74,7 @@
             let mut daemon = Exchange::new(me, Vec::new());
             for now in [1000, 1100] {
                 daemon.receive(from, message.clone(), Millis(now));
-                daemon.gathered(Millis(now));
+                daemon.hub_update(Millis(now));
                 daemon.tick(Report::default(), Millis(now));
             }
         }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -95,7 +95,7 @@
         watch.following = exchange.following(cut_off, at);
         watch.hubs = exchange.hubs(at);
         watch.known = match watch.following.is_hub {
-            true => exchange.known(at).into(),
+            true => exchange.live_daemons(at).into(),
             false => Arc::default(),
         };
     }
@@ -123,8 +123,8 @@
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
                     receive(&mut exchange, &shared, from, &buffer[..length]);
-                    send(&socket, exchange.answers(now())).await;
-                    if live == 1 && exchange.live(now()) > 1 {
+                    send(&socket, exchange.replies(now())).await;
+                    if live == 1 && exchange.live_count(now()) > 1 {
                         live = renew(&exchange, &shared, &roster, live);
                     }
                 }
@@ -148,8 +148,8 @@
 fn renew(exchange: &Exchange, shared: &Shared, roster: &Roster, live: usize) -> usize {
     let before = roster.borrow();
     roster.renew(exchange, shared.copies.is_cut_off(), now());
-    report_roles(&before, &roster.borrow(), exchange.live(now()));
-    shared.placement.hear(exchange.live(now()), now());
+    report_roles(&before, &roster.borrow(), exchange.live_count(now()));
+    shared.placement.hear(exchange.live_count(now()), now());
     report_live(exchange, live)
 }
 
@@ -164,19 +164,19 @@
     };
     let at = now();
     if let Some(heard) = exchange.receive(from, message, at) {
-        shared.placement.others(heard, exchange.live(at), at);
+        shared.placement.others(heard, exchange.live_count(at), at);
     }
-    shared.placement.learn(&exchange.learnt(), at);
+    shared.placement.learn(&exchange.take_evidence(), at);
 }
 
 async fn tick(exchange: &mut Exchange, shared: &Shared, socket: &UdpSocket) {
     let at = now();
-    if exchange.is_hub()
-        && let Some(heard) = exchange.gathered(at)
+    if exchange.has_reports()
+        && let Some(heard) = exchange.hub_update(at)
     {
-        shared.placement.others(heard, exchange.live(at), at);
+        shared.placement.others(heard, exchange.live_count(at), at);
     }
-    exchange.hold(shared.placement.evidence(at));
+    exchange.set_evidence(shared.placement.evidence(at));
     let own = shared.placement.own_report(shared.copies.is_cut_off());
     send(socket, exchange.tick(own, at)).await;
 }
@@ -200,7 +200,7 @@
 /// Logs a change in the number of daemons that live.
 fn report_live(exchange: &Exchange, before: usize) -> usize {
     let at = now();
-    let live = exchange.live(at);
+    let live = exchange.live_count(at);
     if live != before {
         let hubs = exchange.hubs(at);
         log::info!(target: "peers", live, before, hubs:? = hubs; "peers: daemons that live");
--- a/crates/router/src/store/direct.rs
+++ b/crates/router/src/store/direct.rs
@@ -157,7 +157,7 @@
         if self.store.first_start && !roster.is_seed() {
             return passed < FIRST_START;
         }
-        let longest = match roster.following.is_served {
+        let longest = match roster.following.is_indirect {
             true => HELP,
             false => HEAR,
         };
