--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -46,7 +46,7 @@
 pub use sparing::Spared;
 
 /// Result of looking for an endpoint.
-pub type Result<T> = std::result::Result<T, NoPlace>;
+pub type Result<T> = std::result::Result<T, ChooseError>;
 
 /// All of it.
 #[derive(Debug)]
@@ -95,7 +95,7 @@
 
 /// Why a request is given to no endpoint.
 #[derive(Debug, Display, Error)]
-pub enum NoPlace {
+pub enum ChooseError {
     /// Its pool is asked for too much.
     #[display("overloaded")]
     Overloaded(#[error(not(source))] Box<Overload>),
@@ -198,16 +198,16 @@
         // Asked before each attempt: the first one may have been the loss that was missing.
         let held = plan.fingerprint();
         if let Some(wait) = held.and_then(|held| self.quarantine.wait(held, now)) {
-            return Err(NoPlace::Quarantined { wait });
+            return Err(ChooseError::Quarantined { wait });
         }
         let candidates = self.candidates(pool, shared, plan, now);
         let trial = plan.is_idempotent();
         let share = shared.map_or(0.0, |prefix| self.count(prefix));
         let rng = &mut self.rng;
         let choice = choose(&candidates, shared, share, &self.near, trial, rng);
-        let choice = choice.ok_or(NoPlace::Nothing)?;
+        let choice = choice.ok_or(ChooseError::Nothing)?;
         if let Some(overload) = self.overload(pool, &choice, plan, now) {
-            return Err(NoPlace::Overloaded(Box::new(overload)));
+            return Err(ChooseError::Overloaded(Box::new(overload)));
         }
         if let Some(prefix) = shared {
             self.note_sent(prefix, &choice, now);
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -8,7 +8,7 @@
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::notices::Notice;
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::view::{NoPlace, View};
+use medlarrill_core::routing::view::{ChooseError, View};
 
 use super::support::{self, endpoint, pool, route};
 
@@ -51,7 +51,7 @@
             view.end(&choice.endpoint.id);
             true
         }
-        Err(NoPlace::Nothing) => false,
+        Err(ChooseError::Nothing) => false,
         Err(other) => panic!("{other}"),
     }
 }
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::routing::config::{Repeat, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::view::{NoPlace, View};
+use medlarrill_core::routing::view::{ChooseError, View};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -195,7 +195,7 @@
         let view = &mut self.daemons[daemon];
         let choice = match view.choose(&pool(), None, &plan, Millis(now)) {
             Ok(choice) => choice,
-            Err(NoPlace::Overloaded(overload)) if asked == now && self.back.is_some() => {
+            Err(ChooseError::Overloaded(overload)) if asked == now && self.back.is_some() => {
                 let at = now + overload.wait.0;
                 let back = Back { at, asked, caller };
                 return self.back.get_or_insert_default().push(back);
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -11,7 +11,7 @@
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::plan::{Next, Plan, Refusal};
-use medlarrill_core::routing::view::NoPlace;
+use medlarrill_core::routing::view::ChooseError;
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
 
@@ -102,14 +102,14 @@
     let refusal = loop {
         let (choice, flight) = match placement.choose(&order.pool, shared, plan, now()) {
             Ok(placed) => placed,
-            Err(NoPlace::Overloaded(overload)) => {
+            Err(ChooseError::Overloaded(overload)) => {
                 trace.overloaded(&overload);
                 break Refusal::Overloaded {
                     wait: overload.wait,
                 };
             }
-            Err(NoPlace::Quarantined { wait }) => break plan.quarantined(wait),
-            Err(NoPlace::Nothing) => break plan.refusal(plan.deadline() <= now()),
+            Err(ChooseError::Quarantined { wait }) => break plan.quarantined(wait),
+            Err(ChooseError::Nothing) => break plan.refusal(plan.deadline() <= now()),
         };
         let left = plan.deadline().since(now());
         trace.attempt(&choice, shared, left);
