--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -42,7 +42,7 @@
 
 pub use drains::Drain;
 pub use entries::Listed;
-pub use judge::Verdict;
+pub use judge::HealthChange;
 pub use sparing::Spared;
 
 /// Result of looking for an endpoint.
--- a/crates/core/src/routing/view/judge.rs
+++ b/crates/core/src/routing/view/judge.rs
@@ -11,7 +11,7 @@
 
 /// How an endpoint is judged.
 #[derive(Debug)]
-pub struct Verdict {
+pub struct HealthChange {
     /// The endpoint.
     pub endpoint: InstanceId,
     /// How it stands.
@@ -24,7 +24,7 @@
 
 impl View {
     /// Endpoints that are avoided from now on, or no more.
-    pub fn review(&mut self, now: Millis) -> Vec<Verdict> {
+    pub fn review(&mut self, now: Millis) -> Vec<HealthChange> {
         let mut changes = Vec::new();
         for pool in self.directory.pools() {
             let failures = self.failures(pool, now);
@@ -34,7 +34,7 @@
                 if standing.is_avoided() == self.avoided.contains(id) {
                     continue;
                 }
-                changes.push(Verdict {
+                changes.push(HealthChange {
                     endpoint: id.clone(),
                     standing,
                     failures: self.health.failures(id, now),
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -19,7 +19,7 @@
 use medlarrill_core::routing::quarantine::{Change, Evidence, Keeper, Kept, Snapshot, Step};
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::SlowStart;
-use medlarrill_core::routing::view::{Drain, Listed, Result, Spared, Verdict, View};
+use medlarrill_core::routing::view::{Drain, Listed, Result, Spared, HealthChange, View};
 use medlarrill_net::now::now;
 
 /// State behind a lock that is held for a few instructions, never while waiting.
@@ -234,7 +234,7 @@
         let spared = self.lock().review_spared(now);
         report_spared(&spared);
         let changes = self.lock().review(now);
-        for Verdict {
+        for HealthChange {
             endpoint,
             standing,
             failures,
