--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -41,7 +41,7 @@
 use crate::routing::slow_start::{Allowance, SlowStarts};
 
 pub use drains::Drain;
-pub use entries::Listed;
+pub use entries::ListingChange;
 pub use judge::HealthChange;
 pub use sparing::Spared;
 
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -11,7 +11,7 @@
 /// What an endpoint's entry changed.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub enum Listed {
+pub enum ListingChange {
     /// Nothing.
     Same,
     /// The endpoint is new, or its entry says something else.
@@ -24,7 +24,7 @@
 
 impl View {
     /// Takes an endpoint's entry; says what it changed.
-    pub fn list(&mut self, endpoint: Endpoint, now: Millis) -> Listed {
+    pub fn list(&mut self, endpoint: Endpoint, now: Millis) -> ListingChange {
         let was_told = self.births.is_told();
         let entry = self.births.judge(&endpoint.id, now);
         if self.births.is_told() && !was_told {
@@ -32,10 +32,10 @@
         }
         match entry {
             Entry::Current => {}
-            Entry::Late => return Listed::Ignored(entry),
+            Entry::Late => return ListingChange::Ignored(entry),
             Entry::Foreign => {
                 self.remove(&endpoint.id.endpoint);
-                return Listed::Ignored(entry);
+                return ListingChange::Ignored(entry);
             }
         }
         let id = endpoint.id.clone();
@@ -46,14 +46,14 @@
         };
         let before = self.directory.instance(&id.endpoint).cloned();
         if !self.directory.list(endpoint, now) {
-            return Listed::Same;
+            return ListingChange::Same;
         }
         match before.filter(|before| *before != id) {
             Some(old) => {
                 self.forget(&old);
-                Listed::Restarted(old)
+                ListingChange::Restarted(old)
             }
-            None => Listed::Changed,
+            None => ListingChange::Changed,
         }
     }
 
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::routing::exchange::{PeerUpdate, PeerCounts, short_id};
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::view::{Listed, View};
+use medlarrill_core::routing::view::{ListingChange, View};
 
 use super::support::{born, endpoint, id, pool, prefix, route, view};
 
@@ -72,7 +72,7 @@
 
     let new = born("a", 900);
     let listed = view.list(instance(new.clone()), START);
-    expect_that!(listed, eq(&Listed::Restarted(old.clone())));
+    expect_that!(listed, eq(&ListingChange::Restarted(old.clone())));
     let picked = pick(&mut view, key, START);
     expect_that!(picked.endpoint.id, eq(&new));
     expect_that!(picked.load, eq(0.0));
@@ -136,7 +136,7 @@
     expect_that!(view.endpoints(), eq(1));
     expect_that!(
         view.list(endpoint("a"), Millis(20)),
-        eq(&Listed::Ignored(Entry::Foreign))
+        eq(&ListingChange::Ignored(Entry::Foreign))
     );
     view.list(instance(born("a", 700)), Millis(30));
     expect_that!(view.endpoints(), eq(2));
@@ -147,9 +147,9 @@
     let mut view = settled();
     view.list(instance(born("a", 900)), START);
     let late = view.list(instance(born("a", 500)), START + Millis(3000));
-    expect_that!(late, eq(&Listed::Ignored(Entry::Late)));
+    expect_that!(late, eq(&ListingChange::Ignored(Entry::Late)));
     let again = view.list(instance(born("a", 900)), START + Millis(3500));
-    expect_that!(again, eq(&Listed::Same));
+    expect_that!(again, eq(&ListingChange::Same));
 }
 
 /// Brings what one daemon tells to another, as a hub does.
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -19,7 +19,7 @@
 use medlarrill_core::routing::quarantine::{Change, Evidence, Keeper, Kept, Snapshot, Step};
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::SlowStart;
-use medlarrill_core::routing::view::{Drain, Listed, Result, Spared, HealthChange, View};
+use medlarrill_core::routing::view::{Drain, ListingChange, Result, Spared, HealthChange, View};
 use medlarrill_net::now::now;
 
 /// State behind a lock that is held for a few instructions, never while waiting.
@@ -55,7 +55,7 @@
     }
 
     /// Takes an endpoint's entry; says what it changed.
-    pub fn list(&self, endpoint: Endpoint, now: Millis) -> Listed {
+    pub fn list(&self, endpoint: Endpoint, now: Millis) -> ListingChange {
         self.lock().list(endpoint, now)
     }
 
--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/effect.rs
@@ -8,7 +8,7 @@
 use medlarrill_core::routing::config::Configuration;
 use medlarrill_core::routing::endpoint::{Endpoint, Listing};
 use medlarrill_core::routing::mirror::{Change, Object};
-use medlarrill_core::routing::view::Listed;
+use medlarrill_core::routing::view::ListingChange;
 use medlarrill_net::now::now;
 use medlarrill_platform::objects;
 use medlarrill_platform::store::{CONFIGURATION, Kind};
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Known {
     endpoint: Endpoint,
-    listed: Listed,
+    listed: ListingChange,
     revision: u64,
 }
 
@@ -123,7 +123,7 @@
                 continue;
             };
             match self.list(object) {
-                Some(entry) if entry.listed == Listed::Changed && !entry.endpoint.leaving => {
+                Some(entry) if entry.listed == ListingChange::Changed && !entry.endpoint.leaving => {
                     let Endpoint {
                         id, pool, address, ..
                     } = entry.endpoint;
@@ -181,10 +181,10 @@
             }
         };
         let listed = self.placement.list(endpoint.clone(), now());
-        if !matches!(listed, Listed::Ignored(_)) {
+        if !matches!(listed, ListingChange::Ignored(_)) {
             self.placement.spare(&endpoint.id, warming, now());
         }
-        if listed == Listed::Ignored(Entry::Foreign) {
+        if listed == ListingChange::Ignored(Entry::Foreign) {
             let error = objects::birth_missing();
             self.unreadable
                 .report(Kind::Endpoints, &object.name, &error);
@@ -215,16 +215,16 @@
     let (id, pool) = (&endpoint.id, endpoint.pool.as_str());
     let (address, leaving) = (endpoint.address, endpoint.leaving);
     match listed {
-        Listed::Same | Listed::Ignored(Entry::Foreign) => {}
-        Listed::Changed => log::info!(
+        ListingChange::Same | ListingChange::Ignored(Entry::Foreign) => {}
+        ListingChange::Changed => log::info!(
             target: "store", endpoint:% = id, pool, address:%, leaving, revision;
             "store: endpoint listed"
         ),
-        Listed::Restarted(before) => log::info!(
+        ListingChange::Restarted(before) => log::info!(
             target: "store", endpoint:% = id, before:%, pool, address:%, leaving, revision;
             "store: endpoint started again"
         ),
-        Listed::Ignored(reason) => log::debug!(
+        ListingChange::Ignored(reason) => log::debug!(
             target: "store", endpoint:% = id, entry:? = reason, revision;
             "store: entry ignored"
         ),
