--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -43,7 +43,7 @@
 pub use drains::Drain;
 pub use entries::ListingChange;
 pub use judge::HealthChange;
-pub use sparing::Spared;
+pub use sparing::SlowStartChanges;
 
 /// Result of looking for an endpoint.
 pub type Result<T> = std::result::Result<T, ChooseError>;
--- a/crates/core/src/routing/view/sparing.rs
+++ b/crates/core/src/routing/view/sparing.rs
@@ -14,40 +14,40 @@
 /// Endpoints that are spared from now on, or no more.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
-pub struct Spared {
+pub struct SlowStartChanges {
     /// From now on.
-    pub begins: Vec<InstanceId>,
+    pub started: Vec<InstanceId>,
     /// No more.
-    pub ends: Vec<InstanceId>,
+    pub ended: Vec<InstanceId>,
 }
 
 impl View {
     /// Sets which pools have a slow start.
-    pub fn configure(&mut self, pools: HashMap<PoolId, SlowStart>) {
+    pub fn configure_slow_starts(&mut self, pools: HashMap<PoolId, SlowStart>) {
         self.slow_starts.configure(pools);
     }
 
     /// Spares a listed endpoint for the time that it or its entry tells.
-    pub fn spare(&mut self, id: &InstanceId, left: Millis, now: Millis) {
+    pub fn begin_slow_start(&mut self, id: &InstanceId, left: Millis, now: Millis) {
         if self.directory.is_listed(id) {
             self.slow_starts.spare(id, left, now);
         }
     }
 
     /// Endpoints whose sparing began or ended since this was last asked.
-    pub fn review_spared(&mut self, now: Millis) -> Spared {
+    pub fn review_slow_starts(&mut self, now: Millis) -> SlowStartChanges {
         self.slow_starts.tidy(now);
         let spared: HashSet<InstanceId> = self.slow_starts.spared(now).cloned().collect();
-        let changes = Spared {
-            begins: spared.difference(&self.spared).cloned().collect(),
-            ends: self.spared.difference(&spared).cloned().collect(),
+        let changes = SlowStartChanges {
+            started: spared.difference(&self.spared).cloned().collect(),
+            ended: self.spared.difference(&spared).cloned().collect(),
         };
         self.spared = spared;
         changes
     }
 
     /// Endpoints that are spared, as of the last review.
-    pub fn spared(&self) -> usize {
+    pub fn slow_start_count(&self) -> usize {
         self.spared.len()
     }
 
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -127,7 +127,7 @@
         rate: Rate(8.9),
         span: SPAN,
     };
-    view.configure([(pool(), slow)].into());
+    view.configure_slow_starts([(pool(), slow)].into());
     view.drain(data_centre("near"), START);
     view.restore(&data_centre("near"), START);
     // No daemon is listed, so that this one has no share.
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -267,7 +267,7 @@
     for name in ["a", "b", "c"] {
         view.list(endpoint(name), Millis(0));
     }
-    view.configure([(pool(), slow(RATE))].into());
+    view.configure_slow_starts([(pool(), slow(RATE))].into());
     view.deal(address(0), "near", listed(daemons));
     view
 }
@@ -295,7 +295,7 @@
 fn a_starting_endpoint_is_given_long_prefixes_and_the_rest_goes_elsewhere() {
     let mut view = fleet_of(1);
     let key = key_of_a();
-    view.spare(&id("a"), SPAN, START);
+    view.begin_slow_start(&id("a"), SPAN, START);
     let long = prefix(key);
     let short = SharedPrefix {
         tokens: Tokens(200),
@@ -320,7 +320,7 @@
 fn where_all_are_starting_a_request_that_none_can_bear_is_refused_at_once() {
     let mut view = fleet_of(1);
     for name in ["a", "b", "c"] {
-        view.spare(&id(name), SPAN, START);
+        view.begin_slow_start(&id(name), SPAN, START);
     }
     let given = (0..60).filter(|key| pick(&mut view, Some(&prefix(*key)), START).is_ok());
     expect_that!(given.count(), eq(3 * 8));
@@ -338,8 +338,8 @@
         let mut view = fleet_of(500);
         let key = key_of_a();
         view.bad(&id("a"), fault, START);
-        view.review_spared(START);
-        expect_that!(view.spared(), eq(1));
+        view.review_slow_starts(START);
+        expect_that!(view.slow_start_count(), eq(1));
         // This daemon has no share of `a`.
         for passed in [500, 1500, 2900] {
             let choice = pick(&mut view, Some(&prefix(key)), START + Millis(passed));
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -19,7 +19,7 @@
 use medlarrill_core::routing::quarantine::{Change, Evidence, Keeper, Kept, Snapshot, Step};
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::SlowStart;
-use medlarrill_core::routing::view::{Drain, ListingChange, Result, Spared, HealthChange, View};
+use medlarrill_core::routing::view::{Drain, ListingChange, Result, SlowStartChanges, HealthChange, View};
 use medlarrill_net::now::now;
 
 /// State behind a lock that is held for a few instructions, never while waiting.
@@ -231,7 +231,7 @@
         let forgotten = self.lock().quarantine().forget(now);
         self.report_changes(&forgotten);
         self.lock().tidy_notices(now);
-        let spared = self.lock().review_spared(now);
+        let spared = self.lock().review_slow_starts(now);
         report_spared(&spared);
         let changes = self.lock().review(now);
         for HealthChange {
@@ -290,17 +290,17 @@
 
     /// Sets which pools have a slow start.
     pub fn set_slow_starts(&self, pools: HashMap<PoolId, SlowStart>) {
-        self.lock().configure(pools);
+        self.lock().configure_slow_starts(pools);
     }
 
     /// Endpoints that are spared after a start.
     pub fn spared(&self) -> usize {
-        self.lock().spared()
+        self.lock().slow_start_count()
     }
 
     /// Spares an endpoint for the time that it or its entry tells.
     pub fn spare(&self, id: &InstanceId, left: Millis, now: Millis) {
-        self.lock().spare(id, left, now);
+        self.lock().begin_slow_start(id, left, now);
     }
 
     /// Notes that this daemon is told of no others.
@@ -331,12 +331,12 @@
 
 /// Logs which endpoints are spared from now on, and which no more, in one line: where a data
 /// centre comes back they are many.
-fn report_spared(changes: &Spared) {
+fn report_spared(changes: &SlowStartChanges) {
     let names = |ids: &[InstanceId]| {
         let names: Vec<String> = ids.iter().map(InstanceId::to_string).collect();
         names.join(", ")
     };
-    let (begins, ends) = (names(&changes.begins), names(&changes.ends));
+    let (begins, ends) = (names(&changes.started), names(&changes.ended));
     if !begins.is_empty() || !ends.is_empty() {
         log::info!(target: "placement", begins, ends; "placement: endpoints in slow start");
     }
