--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -56,7 +56,7 @@
                 slots: 64,
             };
             view.report(&id, report, Millis(59_500));
-            view.good(&id, Millis(59_500));
+            view.record_success(&id, Millis(59_500));
         }
     }
     view
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -255,7 +255,7 @@
     }
 
     /// Notes a good answer.
-    pub fn good(&mut self, id: &InstanceId, now: Millis) {
+    pub fn record_success(&mut self, id: &InstanceId, now: Millis) {
         if !self.directory.is_listed(id) {
             return;
         }
@@ -265,7 +265,7 @@
     }
 
     /// Notes a failed attempt.
-    pub fn bad(&mut self, id: &InstanceId, fault: Fault, now: Millis) {
+    pub fn record_failure(&mut self, id: &InstanceId, fault: Fault, now: Millis) {
         if !self.directory.is_listed(id) {
             return;
         }
@@ -284,7 +284,7 @@
 
     /// Notes that an endpoint was lost with a request. It counts also where the endpoint isn't
     /// listed any more.
-    pub fn lost(&mut self, plan: &Plan, id: &InstanceId, now: Millis) -> Vec<Change> {
+    pub fn record_loss(&mut self, plan: &Plan, id: &InstanceId, now: Millis) -> Vec<Change> {
         let lost = plan.fingerprint();
         let lost = lost.map(|lost| self.quarantine.lost(lost, exchange::short_id(id), now));
         lost.unwrap_or_default()
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -222,14 +222,14 @@
     view.note(&bad.id, pause(60_000), Millis::ZERO, EPOCH);
     for step in 1..500 {
         let now = Millis(step * 100);
-        view.good(&good.id, now);
-        view.bad(&bad.id, Fault::Failed, now);
+        view.record_success(&good.id, now);
+        view.record_failure(&bad.id, Fault::Failed, now);
         let choice = view.choose(&pool(), None, &plan(), now).expect("e-1");
         expect_that!(choice.endpoint.id, eq(&good.id));
         view.end(&good.id);
     }
     // Where the other one can't be reached, it is no last resort either.
-    view.bad(&good.id, Fault::NotSent, Millis(50_000));
+    view.record_failure(&good.id, Fault::NotSent, Millis(50_000));
     let choice = view.choose(&pool(), None, &plan(), Millis(50_001));
     expect_that!(choice.expect("e-1").endpoint.id, eq(&good.id));
 }
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -150,7 +150,7 @@
         for (_, run) in ended {
             let view = &mut self.daemons[run.daemon];
             view.end(&id);
-            view.good(&id, Millis(now));
+            view.record_success(&id, Millis(now));
             match now - run.asked <= TARGET.0 {
                 true => {
                     if now >= WARM_UP {
--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -177,7 +177,7 @@
         for (_, daemon) in engine.running.extract_if(.., over) {
             let view = &mut self.daemons[daemon];
             view.end(&engine.id);
-            view.good(&engine.id, Millis(now));
+            view.record_success(&engine.id, Millis(now));
         }
     }
 
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -337,7 +337,7 @@
     for fault in [Fault::Lost, Fault::Cut, Fault::NotSent] {
         let mut view = fleet_of(500);
         let key = key_of_a();
-        view.bad(&id("a"), fault, START);
+        view.record_failure(&id("a"), fault, START);
         view.review_slow_starts(START);
         expect_that!(view.slow_start_count(), eq(1));
         // This daemon has no share of `a`.
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -64,7 +64,7 @@
     let old = born("a", 500);
     view.report(&old, busy(30), START);
     for _ in 0..10 {
-        view.bad(&old, Fault::Lost, START);
+        view.record_failure(&old, Fault::Lost, START);
     }
     view.review(START);
     let key = key_of_a();
@@ -92,7 +92,7 @@
     // The request at the old instance ends, and fails; other daemons speak of it still.
     view.end(&old);
     for _ in 0..10 {
-        view.bad(&old, Fault::Lost, START);
+        view.record_failure(&old, Fault::Lost, START);
     }
     let told = PeerCounts {
         in_flight: 40,
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -152,17 +152,17 @@
 
     /// Notes a good answer.
     pub fn good(&self, id: &InstanceId, now: Millis) {
-        self.lock().good(id, now);
+        self.lock().record_success(id, now);
     }
 
     /// Notes a failed attempt.
     pub fn bad(&self, id: &InstanceId, fault: Fault, now: Millis) {
-        self.lock().bad(id, fault, now);
+        self.lock().record_failure(id, fault, now);
     }
 
     /// Notes that an endpoint was lost with a request.
     pub fn lost(&self, plan: &Plan, id: &InstanceId, now: Millis) {
-        let changes = self.lock().lost(plan, id, now);
+        let changes = self.lock().record_loss(plan, id, now);
         self.report_changes(&changes);
     }
 
