--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -296,7 +296,7 @@
     }
 
     /// What other daemons are told: requests in flight, and outcomes since the last report.
-    pub fn own_report(&mut self, cut_off: bool) -> exchange::Report {
+    pub fn take_report(&mut self, cut_off: bool) -> exchange::Report {
         let mut outcomes = std::mem::take(&mut self.outcomes);
         let sent = std::mem::take(&mut self.sent).into_iter();
         let sent = sent.map(|(prefix, count)| exchange::PrefixCount { prefix, count });
@@ -321,7 +321,7 @@
     }
 
     /// Takes what the other daemons have at endpoints, all of them together.
-    pub fn others(&mut self, heard: exchange::PeerUpdate, daemons: usize, now: Millis) {
+    pub fn update_peers(&mut self, heard: exchange::PeerUpdate, daemons: usize, now: Millis) {
         let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
         self.daemons = daemons;
         self.hot = heard.hot;
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -8,7 +8,7 @@
 impl View {
     /// Sets the daemons that a part of the platform's list names; all on the list share the repeats
     /// of the fleet and the rate of endpoints that are spared.
-    pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
+    pub fn set_daemons(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.fleet.deal(me, part, daemons);
         self.slow_starts.deal_anew();
         self.budget.set_part(self.fleet.part(1.0));
@@ -28,7 +28,7 @@
     }
 
     /// Notes how many daemons live, this one included.
-    pub fn hear(&mut self, live: usize, now: Millis) {
+    pub fn set_live(&mut self, live: usize, now: Millis) {
         self.fleet.hear(live, now);
         self.budget.set_part(self.fleet.part(1.0));
     }
--- a/crates/core/tests/routing/repeats.rs
+++ b/crates/core/tests/routing/repeats.rs
@@ -186,8 +186,8 @@
             let live = heard.count();
             let daemon = &mut self.daemons[number];
             if now >= daemon.started + HEARD {
-                daemon.view.others(PeerUpdate::default(), live, Millis(now));
-                daemon.view.hear(live, Millis(now));
+                daemon.view.update_peers(PeerUpdate::default(), live, Millis(now));
+                daemon.view.set_live(live, Millis(now));
             }
         }
     }
@@ -232,7 +232,7 @@
 fn new_view(now: u64) -> View {
     let near = "near".parse().expect("a name");
     let mut view = View::new(near, FLEET, now, Millis(now));
-    view.others(PeerUpdate::default(), 1, Millis(now));
+    view.update_peers(PeerUpdate::default(), 1, Millis(now));
     view
 }
 
@@ -243,7 +243,7 @@
 /// Gives a daemon the list that the platform keeps.
 fn deal(view: &mut View, number: usize, size: usize) {
     let all = (0..size).map(address).collect();
-    view.deal(address(number), "near", all);
+    view.set_daemons(address(number), "near", all);
 }
 
 /// Plays days with many failures; most repeats over what is allowed.
@@ -329,9 +329,9 @@
     view.set_sole();
     let slack = |view: &mut View| view.budget().state(&pool(), Millis(1000)).slack;
     expect_that!(slack(&mut view), eq(FLEET.slack));
-    view.hear(1, Millis(1000));
+    view.set_live(1, Millis(1000));
     expect_that!(slack(&mut view), eq(FLEET.slack));
-    view.hear(2, Millis(1000));
+    view.set_live(2, Millis(1000));
     expect_that!(slack(&mut view), eq(0.0));
     deal(&mut view, 0, 4);
     expect_that!(slack(&mut view), eq(FLEET.slack / 4.0));
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -268,7 +268,7 @@
         view.list(endpoint(name), Millis(0));
     }
     view.configure_slow_starts([(pool(), slow(RATE))].into());
-    view.deal(address(0), "near", listed(daemons));
+    view.set_daemons(address(0), "near", listed(daemons));
     view
 }
 
@@ -352,13 +352,13 @@
 fn a_daemon_that_hears_of_nobody_takes_all_endpoints_as_starting() {
     let mut view = fleet_of(500);
     let key = key_of_a();
-    view.hear(1, START);
+    view.set_live(1, START);
     let soon = pick(&mut view, Some(&prefix(key)), START + Millis(1000));
     expect_that!(soon.expect("a place").endpoint.id, eq(&id("a")));
-    view.hear(1, START + Millis(2000));
+    view.set_live(1, START + Millis(2000));
     let later = pick(&mut view, Some(&prefix(key)), START + Millis(4000));
     expect_that!(later.is_ok(), eq(false));
-    view.hear(400, START + Millis(4100));
+    view.set_live(400, START + Millis(4100));
     let heard = pick(&mut view, Some(&prefix(key)), START + Millis(4200));
     expect_that!(heard.expect("a place").endpoint.id, eq(&id("a")));
 }
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -166,7 +166,7 @@
         self.reports.resize_with(daemons.len(), Report::default);
         for (number, daemon) in daemons.iter_mut().enumerate() {
             if (now + number as u64 * 4).is_multiple_of(self.tick) {
-                self.reports[number] = daemon.own_report(false);
+                self.reports[number] = daemon.take_report(false);
             }
         }
         if !now.is_multiple_of(self.tick) {
@@ -198,7 +198,7 @@
                 endpoints: heard,
                 ..PeerUpdate::default()
             };
-            daemon.others(heard, count, Millis(now));
+            daemon.update_peers(heard, count, Millis(now));
         }
         // Outcomes are told once.
         for entry in self.reports.iter_mut().flat_map(|r| &mut r.entries) {
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -103,11 +103,11 @@
         endpoints: HashMap::from([(short_id(&old), told)]),
         ..PeerUpdate::default()
     };
-    view.others(heard, 4, START);
+    view.update_peers(heard, 4, START);
     let picked = pick(&mut view, key, START);
     expect_that!(picked.endpoint.id, eq(&new));
     expect_that!(picked.load, eq(1.0), "its own request, no more");
-    let reported = view.own_report(false).entries;
+    let reported = view.take_report(false).entries;
     let of_old = reported
         .iter()
         .filter(|entry| entry.endpoint == short_id(&old));
@@ -154,12 +154,12 @@
 
 /// Brings what one daemon tells to another, as a hub does.
 fn tell(from: &mut View, to: &mut View, now: Millis) {
-    let report = from.own_report(false);
+    let report = from.take_report(false);
     let heard = PeerUpdate {
         moved: report.moved,
         ..PeerUpdate::default()
     };
-    to.others(heard, 2, now);
+    to.update_peers(heard, 2, now);
 }
 
 #[gtest]
@@ -187,13 +187,13 @@
     let mut view = settled();
     let key = key_of_a();
     pick(&mut view, key, START);
-    expect_that!(view.own_report(false).moved.len(), eq(0));
+    expect_that!(view.take_report(false).moved.len(), eq(0));
     view.remove(&id("a").endpoint);
     view.list(instance(born("a", 900)), START);
     for _ in 0..5 {
         pick(&mut view, key, START);
     }
-    expect_that!(view.own_report(false).moved.len(), eq(1));
+    expect_that!(view.take_report(false).moved.len(), eq(1));
 }
 
 #[gtest]
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -223,7 +223,7 @@
 
     /// What other daemons are told: requests in flight, and outcomes since the last report.
     pub fn own_report(&self, cut_off: bool) -> exchange::Report {
-        self.lock().own_report(cut_off)
+        self.lock().take_report(cut_off)
     }
 
     /// Logs which endpoints are avoided from now on, and which no more.
@@ -310,7 +310,7 @@
 
     /// Sets the daemons that a part of the platform's list names.
     pub fn deal(&self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
-        self.lock().deal(me, part, daemons);
+        self.lock().set_daemons(me, part, daemons);
     }
 
     /// Those of some daemons that the platform doesn't list.
@@ -320,12 +320,12 @@
 
     /// Notes how many daemons live, this one included.
     pub fn hear(&self, live: usize, now: Millis) {
-        self.lock().hear(live, now);
+        self.lock().set_live(live, now);
     }
 
     /// Takes what the other daemons have at endpoints, all of them together.
     pub fn others(&self, heard: exchange::PeerUpdate, daemons: usize, now: Millis) {
-        self.lock().others(heard, daemons, now);
+        self.lock().update_peers(heard, daemons, now);
     }
 }
 
