--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -48,7 +48,7 @@
             slots: 64,
             leaving: false,
         };
-        view.list(endpoint, Millis(0));
+        view.upsert(endpoint, Millis(0));
         if is_busy {
             let report = Report {
                 running: (number % 7) as u32,
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -24,7 +24,7 @@
 
 impl View {
     /// Takes an endpoint's entry; says what it changed.
-    pub fn list(&mut self, endpoint: Endpoint, now: Millis) -> ListingChange {
+    pub fn upsert(&mut self, endpoint: Endpoint, now: Millis) -> ListingChange {
         let was_told = self.births.is_told();
         let entry = self.births.judge(&endpoint.id, now);
         if self.births.is_told() && !was_told {
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -28,7 +28,7 @@
             data_centre: data_centre(place),
             ..endpoint(name)
         };
-        view.list(endpoint, Millis(0));
+        view.upsert(endpoint, Millis(0));
     }
     view
 }
@@ -68,7 +68,7 @@
 fn an_endpoint_that_is_listed_later_is_drained_too() {
     let mut view = settled();
     view.drain(data_centre("near"), START);
-    view.list(endpoint("d"), START);
+    view.upsert(endpoint("d"), START);
     expect_that!(places(&mut view, START), eq(&["c"]));
 }
 
@@ -145,7 +145,7 @@
             slots: 64,
             ..endpoint(&format!("e-{number}"))
         };
-        view.list(endpoint, Millis(0));
+        view.upsert(endpoint, Millis(0));
     }
     view.drain(data_centre("near"), START);
     // Half of the requests ask for two prefixes.
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -41,7 +41,7 @@
 /// A view of one endpoint.
 fn one(endpoint: &Endpoint) -> View {
     let mut view = view();
-    view.list(endpoint.clone(), Millis::ZERO);
+    view.upsert(endpoint.clone(), Millis::ZERO);
     view
 }
 
@@ -69,7 +69,7 @@
     expect_that!(view.note(&e.id, LEAVING, now, at(now)), eq(false));
     expect_that!(is_used(&mut view, now), eq(false));
     let changed = Endpoint { slots: 9, ..e };
-    view.list(changed, Millis(2000));
+    view.upsert(changed, Millis(2000));
     expect_that!(is_used(&mut view, Millis(2000)), eq(false));
 }
 
@@ -80,7 +80,7 @@
     view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.remove(&e.id.endpoint);
     view.tidy_notices(Millis(60_000));
-    view.list(e, Millis(60_000));
+    view.upsert(e, Millis(60_000));
     expect_that!(is_used(&mut view, Millis(60_000)), eq(false));
 }
 
@@ -92,7 +92,7 @@
     view.remove(&e.id.endpoint);
     let later = Millis::from_secs(700);
     view.tidy_notices(later);
-    view.list(e, later);
+    view.upsert(e, later);
     expect_that!(is_used(&mut view, later), eq(true));
 }
 
@@ -101,7 +101,7 @@
     let e = endpoint("e-0");
     let mut view = view();
     view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
-    view.list(e, Millis(2000));
+    view.upsert(e, Millis(2000));
     expect_that!(is_used(&mut view, Millis(2000)), eq(false));
 }
 
@@ -110,7 +110,7 @@
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
     view.note(&born("e-0", EPOCH).id, LEAVING, now, at(now));
-    view.list(born("e-0", at(Millis(6000))), Millis(7000));
+    view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
 
@@ -119,9 +119,9 @@
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
     view.note(&born("e-0", EPOCH).id, LEAVING, now, at(now));
-    view.list(born("e-0", at(Millis(4000))), Millis(7000));
+    view.upsert(born("e-0", at(Millis(4000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(false));
-    view.list(born("e-0", at(Millis(8000))), Millis(9000));
+    view.upsert(born("e-0", at(Millis(8000))), Millis(9000));
     expect_that!(is_used(&mut view, Millis(9000)), eq(true));
 }
 
@@ -129,7 +129,7 @@
 fn an_answer_under_way_while_a_later_start_is_listed_speaks_for_that_one() {
     let before = born("e-0", EPOCH);
     let mut view = one(&before);
-    view.list(born("e-0", at(Millis(4000))), Millis(4500));
+    view.upsert(born("e-0", at(Millis(4000))), Millis(4500));
     view.note(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(false));
 }
@@ -138,10 +138,10 @@
 fn a_pause_asked_of_the_start_before_does_not_end_that_the_later_one_leaves() {
     let (before, later) = (born("e-0", EPOCH), born("e-0", at(Millis(4000))));
     let mut view = one(&before);
-    view.list(later.clone(), Millis(4500));
+    view.upsert(later.clone(), Millis(4500));
     view.note(&later.id, LEAVING, Millis(5000), at(Millis(5000)));
     view.note(&before.id, pause(500), Millis(5100), at(Millis(5100)));
-    view.list(Endpoint { slots: 9, ..later }, Millis(5200));
+    view.upsert(Endpoint { slots: 9, ..later }, Millis(5200));
     expect_that!(is_used(&mut view, Millis(9000)), eq(false));
 }
 
@@ -149,7 +149,7 @@
 fn an_answer_heard_before_the_listed_start_does_not_speak_for_it() {
     let before = born("e-0", EPOCH);
     let mut view = one(&before);
-    view.list(born("e-0", at(Millis(9000))), Millis(4500));
+    view.upsert(born("e-0", at(Millis(9000))), Millis(4500));
     view.note(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(true));
 }
@@ -191,7 +191,7 @@
     let mut view = one(&e);
     view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.note(&e.id, pause(500), Millis(1100), at(Millis(1100)));
-    view.list(Endpoint { slots: 9, ..e }, Millis(1200));
+    view.upsert(Endpoint { slots: 9, ..e }, Millis(1200));
     expect_that!(is_used(&mut view, Millis(9000)), eq(false));
 }
 
@@ -200,7 +200,7 @@
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
     view.note(&born("e-0", EPOCH).id, pause(60_000), now, at(now));
-    view.list(born("e-0", at(Millis(6000))), Millis(7000));
+    view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
 
@@ -218,7 +218,7 @@
 fn an_endpoint_that_wants_a_pause_gets_no_trial() {
     let (bad, good) = (endpoint("e-0"), endpoint("e-1"));
     let mut view = one(&bad);
-    view.list(good.clone(), Millis::ZERO);
+    view.upsert(good.clone(), Millis::ZERO);
     view.note(&bad.id, pause(60_000), Millis::ZERO, EPOCH);
     for step in 1..500 {
         let now = Millis(step * 100);
@@ -270,7 +270,7 @@
 fn a_pool_is_closed_until_the_first_of_its_pauses_ends() {
     let (first, second) = (endpoint("e-0"), endpoint("e-1"));
     let mut view = one(&first);
-    view.list(second.clone(), Millis::ZERO);
+    view.upsert(second.clone(), Millis::ZERO);
     let now = Millis(1000);
     view.note(&first.id, pause(3000), now, at(now));
     expect_that!(view.closed_for(&pool(), now), none());
@@ -291,7 +291,7 @@
     let e = endpoint("e-0");
     let mut view = view();
     expect_that!(view.closed_for(&pool(), Millis::ZERO), some(anything()));
-    view.list(e.clone(), Millis::ZERO);
+    view.upsert(e.clone(), Millis::ZERO);
     expect_that!(view.closed_for(&pool(), Millis::ZERO), none());
     view.drain(e.data_centre, Millis::ZERO);
     expect_that!(view.closed_for(&pool(), Millis::ZERO), some(anything()));
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -104,7 +104,7 @@
         let daemon = |number: usize| {
             let mut view = view(data_centre(number), number as u64);
             (0..works.len()).for_each(|at| {
-                view.list(listed(at), Millis(0));
+                view.upsert(listed(at), Millis(0));
             });
             view
         };
--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -144,7 +144,7 @@
         let daemon = |number: usize| {
             let mut view = view("near", number as u64);
             (0..ENGINES).for_each(|at| {
-                view.list(endpoint(&name(at)), Millis(0));
+                view.upsert(endpoint(&name(at)), Millis(0));
             });
             view
         };
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -265,7 +265,7 @@
 fn fleet_of(daemons: usize) -> View {
     let mut view = view("near", 7);
     for name in ["a", "b", "c"] {
-        view.list(endpoint(name), Millis(0));
+        view.upsert(endpoint(name), Millis(0));
     }
     view.configure_slow_starts([(pool(), slow(RATE))].into());
     view.set_daemons(address(0), "near", listed(daemons));
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -46,7 +46,7 @@
 fn settled() -> View {
     let mut view = view("near", 7);
     for name in ["a", "b", "c"] {
-        view.list(instance(born(name, 500)), Millis(0));
+        view.upsert(instance(born(name, 500)), Millis(0));
     }
     view
 }
@@ -71,7 +71,7 @@
     expect_that!(pick(&mut view, key, START).endpoint.id, not(eq(&old)));
 
     let new = born("a", 900);
-    let listed = view.list(instance(new.clone()), START);
+    let listed = view.upsert(instance(new.clone()), START);
     expect_that!(listed, eq(&ListingChange::Restarted(old.clone())));
     let picked = pick(&mut view, key, START);
     expect_that!(picked.endpoint.id, eq(&new));
@@ -87,7 +87,7 @@
     let old = pick(&mut view, key, START).endpoint.id.clone();
     expect_that!(old, eq(&born("a", 500)));
     let new = born("a", 900);
-    view.list(instance(new.clone()), START);
+    view.upsert(instance(new.clone()), START);
     pick(&mut view, key, START);
     // The request at the old instance ends, and fails; other daemons speak of it still.
     view.end(&old);
@@ -120,7 +120,7 @@
     let key = key_of_a();
     view.remove(&id("a").endpoint);
     let meanwhile = pick(&mut view, key, START).endpoint.id.clone();
-    view.list(instance(born("a", 900)), START);
+    view.upsert(instance(born("a", 900)), START);
     let back = pick(&mut view, key, START);
     expect_that!(back.endpoint.id, eq(&born("a", 900)));
     let source = back.source.expect("a source");
@@ -130,25 +130,25 @@
 #[gtest]
 fn an_entry_without_a_birth_is_dropped_once_endpoints_tell_theirs() {
     let mut view = view("near", 7);
-    view.list(endpoint("a"), Millis(0));
+    view.upsert(endpoint("a"), Millis(0));
     expect_that!(view.endpoints(), eq(1));
-    view.list(instance(born("b", 500)), Millis(10));
+    view.upsert(instance(born("b", 500)), Millis(10));
     expect_that!(view.endpoints(), eq(1));
     expect_that!(
-        view.list(endpoint("a"), Millis(20)),
+        view.upsert(endpoint("a"), Millis(20)),
         eq(&ListingChange::Ignored(Entry::Foreign))
     );
-    view.list(instance(born("a", 700)), Millis(30));
+    view.upsert(instance(born("a", 700)), Millis(30));
     expect_that!(view.endpoints(), eq(2));
 }
 
 #[gtest]
 fn a_late_write_of_the_instance_before_changes_nothing() {
     let mut view = settled();
-    view.list(instance(born("a", 900)), START);
-    let late = view.list(instance(born("a", 500)), START + Millis(3000));
+    view.upsert(instance(born("a", 900)), START);
+    let late = view.upsert(instance(born("a", 500)), START + Millis(3000));
     expect_that!(late, eq(&ListingChange::Ignored(Entry::Late)));
-    let again = view.list(instance(born("a", 900)), START + Millis(3500));
+    let again = view.upsert(instance(born("a", 900)), START + Millis(3500));
     expect_that!(again, eq(&ListingChange::Same));
 }
 
@@ -189,7 +189,7 @@
     pick(&mut view, key, START);
     expect_that!(view.take_report(false).moved.len(), eq(0));
     view.remove(&id("a").endpoint);
-    view.list(instance(born("a", 900)), START);
+    view.upsert(instance(born("a", 900)), START);
     for _ in 0..5 {
         pick(&mut view, key, START);
     }
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -56,7 +56,7 @@
 
     /// Takes an endpoint's entry; says what it changed.
     pub fn list(&self, endpoint: Endpoint, now: Millis) -> ListingChange {
-        self.lock().list(endpoint, now)
+        self.lock().upsert(endpoint, now)
     }
 
     /// Drops an endpoint's entry; says whether it was there.
