--- a/crates/core/src/routing/view/drains.rs
+++ b/crates/core/src/routing/view/drains.rs
@@ -33,7 +33,7 @@
 
     /// Ends the drain of a data centre; says whether there was one. Its endpoints may have started
     /// meanwhile.
-    pub fn restore(&mut self, data_centre: &DataCentreId, now: Millis) -> bool {
+    pub fn undrain(&mut self, data_centre: &DataCentreId, now: Millis) -> bool {
         if !self.drained.remove(data_centre) {
             return false;
         }
@@ -45,7 +45,7 @@
     }
 
     /// Data centres that are drained.
-    pub fn drains(&self) -> usize {
+    pub fn drained_count(&self) -> usize {
         self.drained.len()
     }
 
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -59,9 +59,9 @@
     expect_that!(places(&mut view, START), eq(&["a", "b", "c"]));
     view.drain(data_centre("near"), START);
     expect_that!(places(&mut view, START), eq(&["c"]));
-    expect_that!(view.restore(&data_centre("near"), START), eq(true));
+    expect_that!(view.undrain(&data_centre("near"), START), eq(true));
     expect_that!(places(&mut view, START), eq(&["a", "b", "c"]));
-    expect_that!(view.restore(&data_centre("near"), START), eq(false));
+    expect_that!(view.undrain(&data_centre("near"), START), eq(false));
 }
 
 #[gtest]
@@ -129,7 +129,7 @@
     };
     view.configure_slow_starts([(pool(), slow)].into());
     view.drain(data_centre("near"), START);
-    view.restore(&data_centre("near"), START);
+    view.undrain(&data_centre("near"), START);
     // No daemon is listed, so that this one has no share.
     expect_that!(places(&mut view, START + Millis(2900)), eq(&["c"]));
     let warm = START + SPAN + SPAN;
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -274,7 +274,7 @@
 
     /// Ends the drain of a data centre.
     pub fn restore(&self, data_centre: &DataCentreId, revision: u64, now: Millis) {
-        if self.lock().restore(data_centre, now) {
+        if self.lock().undrain(data_centre, now) {
             let name = data_centre.as_str();
             log::info!(
                 target: "placement", data_centre = name, revision;
@@ -285,7 +285,7 @@
 
     /// Data centres that are drained.
     pub fn drains(&self) -> usize {
-        self.lock().drains()
+        self.lock().drained_count()
     }
 
     /// Sets which pools have a slow start.
