--- a/crates/core/src/routing/view/notices.rs
+++ b/crates/core/src/routing/view/notices.rs
@@ -14,7 +14,7 @@
     /// Takes what an endpoint says of itself in the answer to a request that was handed over at a
     /// time since the Unix epoch; says whether it is news. It counts also where the endpoint isn't
     /// listed any more, since it may be again.
-    pub fn note(&mut self, id: &InstanceId, notice: Notice, now: Millis, handed: Millis) -> bool {
+    pub fn apply_notice(&mut self, id: &InstanceId, notice: Notice, now: Millis, handed: Millis) -> bool {
         // A later start may have been listed while the request was under way.
         let listed = self.directory.instance(&id.endpoint).unwrap_or(id).clone();
         if !is_speaker(&listed, id, handed) {
@@ -37,12 +37,12 @@
     }
 
     /// Endpoints that want no requests now.
-    pub fn pauses(&self, now: Millis) -> usize {
+    pub fn paused_count(&self, now: Millis) -> usize {
         self.notices.pauses(now)
     }
 
     /// Forgets what endpoints said that are gone.
-    pub fn tidy_notices(&mut self, now: Millis) {
+    pub fn prune_notices(&mut self, now: Millis) {
         let directory = &self.directory;
         let is_listed = |name: &_| directory.instance(name).is_some();
         self.notices.tidy(is_listed, now);
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -65,8 +65,8 @@
     let e = endpoint("e-0");
     let mut view = one(&e);
     let now = Millis(1000);
-    expect_that!(view.note(&e.id, LEAVING, now, at(now)), eq(true));
-    expect_that!(view.note(&e.id, LEAVING, now, at(now)), eq(false));
+    expect_that!(view.apply_notice(&e.id, LEAVING, now, at(now)), eq(true));
+    expect_that!(view.apply_notice(&e.id, LEAVING, now, at(now)), eq(false));
     expect_that!(is_used(&mut view, now), eq(false));
     let changed = Endpoint { slots: 9, ..e };
     view.upsert(changed, Millis(2000));
@@ -77,9 +77,9 @@
 fn an_entry_that_lapsed_and_returned_does_not_undo_it() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.remove(&e.id.endpoint);
-    view.tidy_notices(Millis(60_000));
+    view.prune_notices(Millis(60_000));
     view.upsert(e, Millis(60_000));
     expect_that!(is_used(&mut view, Millis(60_000)), eq(false));
 }
@@ -88,10 +88,10 @@
 fn what_an_endpoint_said_that_is_gone_for_long_is_forgotten() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.remove(&e.id.endpoint);
     let later = Millis::from_secs(700);
-    view.tidy_notices(later);
+    view.prune_notices(later);
     view.upsert(e, later);
     expect_that!(is_used(&mut view, later), eq(true));
 }
@@ -100,7 +100,7 @@
 fn what_an_endpoint_says_that_is_not_listed_counts_when_it_is() {
     let e = endpoint("e-0");
     let mut view = view();
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.upsert(e, Millis(2000));
     expect_that!(is_used(&mut view, Millis(2000)), eq(false));
 }
@@ -109,7 +109,7 @@
 fn a_later_start_is_used() {
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
-    view.note(&born("e-0", EPOCH).id, LEAVING, now, at(now));
+    view.apply_notice(&born("e-0", EPOCH).id, LEAVING, now, at(now));
     view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
@@ -118,7 +118,7 @@
 fn the_word_is_the_later_starts_if_that_had_begun_when_it_was_heard() {
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
-    view.note(&born("e-0", EPOCH).id, LEAVING, now, at(now));
+    view.apply_notice(&born("e-0", EPOCH).id, LEAVING, now, at(now));
     view.upsert(born("e-0", at(Millis(4000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(false));
     view.upsert(born("e-0", at(Millis(8000))), Millis(9000));
@@ -130,7 +130,7 @@
     let before = born("e-0", EPOCH);
     let mut view = one(&before);
     view.upsert(born("e-0", at(Millis(4000))), Millis(4500));
-    view.note(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
+    view.apply_notice(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(false));
 }
 
@@ -139,8 +139,8 @@
     let (before, later) = (born("e-0", EPOCH), born("e-0", at(Millis(4000))));
     let mut view = one(&before);
     view.upsert(later.clone(), Millis(4500));
-    view.note(&later.id, LEAVING, Millis(5000), at(Millis(5000)));
-    view.note(&before.id, pause(500), Millis(5100), at(Millis(5100)));
+    view.apply_notice(&later.id, LEAVING, Millis(5000), at(Millis(5000)));
+    view.apply_notice(&before.id, pause(500), Millis(5100), at(Millis(5100)));
     view.upsert(Endpoint { slots: 9, ..later }, Millis(5200));
     expect_that!(is_used(&mut view, Millis(9000)), eq(false));
 }
@@ -150,7 +150,7 @@
     let before = born("e-0", EPOCH);
     let mut view = one(&before);
     view.upsert(born("e-0", at(Millis(9000))), Millis(4500));
-    view.note(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
+    view.apply_notice(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(true));
 }
 
@@ -166,10 +166,10 @@
     let e = endpoint("e-0");
     let mut view = one(&e);
     let now = Millis(1000);
-    expect_that!(view.note(&e.id, pause(3000), now, at(now)), eq(true));
-    expect_that!(view.pauses(now), eq(1));
+    expect_that!(view.apply_notice(&e.id, pause(3000), now, at(now)), eq(true));
+    expect_that!(view.paused_count(now), eq(1));
     expect_that!(is_used(&mut view, Millis(3999)), eq(false));
-    expect_that!(view.pauses(Millis(4000)), eq(0));
+    expect_that!(view.paused_count(Millis(4000)), eq(0));
     expect_that!(is_used(&mut view, Millis(4000)), eq(true));
 }
 
@@ -177,10 +177,10 @@
 fn of_pauses_that_overlap_the_last_to_end_counts() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, pause(3000), Millis(1000), at(Millis(1000)));
-    view.note(&e.id, pause(500), Millis(1200), at(Millis(1200)));
+    view.apply_notice(&e.id, pause(3000), Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, pause(500), Millis(1200), at(Millis(1200)));
     expect_that!(is_used(&mut view, Millis(3999)), eq(false));
-    view.note(&e.id, pause(3000), Millis(2000), at(Millis(2000)));
+    view.apply_notice(&e.id, pause(3000), Millis(2000), at(Millis(2000)));
     expect_that!(is_used(&mut view, Millis(4999)), eq(false));
     expect_that!(is_used(&mut view, Millis(5000)), eq(true));
 }
@@ -189,8 +189,8 @@
 fn a_pause_does_not_end_that_an_endpoint_leaves() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
-    view.note(&e.id, pause(500), Millis(1100), at(Millis(1100)));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, pause(500), Millis(1100), at(Millis(1100)));
     view.upsert(Endpoint { slots: 9, ..e }, Millis(1200));
     expect_that!(is_used(&mut view, Millis(9000)), eq(false));
 }
@@ -199,7 +199,7 @@
 fn a_later_start_has_no_part_in_a_pause() {
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
-    view.note(&born("e-0", EPOCH).id, pause(60_000), now, at(now));
+    view.apply_notice(&born("e-0", EPOCH).id, pause(60_000), now, at(now));
     view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
@@ -209,7 +209,7 @@
     let e = endpoint("e-0");
     let mut view = one(&e);
     let now = Millis(1000);
-    view.note(&e.id, pause(u64::MAX), now, at(now));
+    view.apply_notice(&e.id, pause(u64::MAX), now, at(now));
     expect_that!(is_used(&mut view, now + Millis::from_secs(599)), eq(false));
     expect_that!(is_used(&mut view, now + Millis::from_secs(600)), eq(true));
 }
@@ -219,7 +219,7 @@
     let (bad, good) = (endpoint("e-0"), endpoint("e-1"));
     let mut view = one(&bad);
     view.upsert(good.clone(), Millis::ZERO);
-    view.note(&bad.id, pause(60_000), Millis::ZERO, EPOCH);
+    view.apply_notice(&bad.id, pause(60_000), Millis::ZERO, EPOCH);
     for step in 1..500 {
         let now = Millis(step * 100);
         view.record_success(&good.id, now);
@@ -272,14 +272,14 @@
     let mut view = one(&first);
     view.upsert(second.clone(), Millis::ZERO);
     let now = Millis(1000);
-    view.note(&first.id, pause(3000), now, at(now));
+    view.apply_notice(&first.id, pause(3000), now, at(now));
     expect_that!(view.closed_for(&pool(), now), none());
-    view.note(&second.id, pause(2000), now, at(now));
+    view.apply_notice(&second.id, pause(2000), now, at(now));
     expect_that!(view.closed_for(&pool(), now), some(eq(Millis(2000))));
-    view.note(&second.id, LEAVING, now, at(now));
+    view.apply_notice(&second.id, LEAVING, now, at(now));
     expect_that!(view.closed_for(&pool(), now), some(eq(Millis(3000))));
     expect_that!(view.closed_for(&pool(), Millis(4000)), none());
-    view.note(&first.id, LEAVING, now, at(now));
+    view.apply_notice(&first.id, LEAVING, now, at(now));
     expect_that!(
         view.closed_for(&pool(), Millis(4000)),
         some(eq(Millis(1000)))
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -130,7 +130,7 @@
     /// Takes what an endpoint says of itself in the answer to a request that was handed over at a
     /// time since the Unix epoch.
     pub fn note(&self, id: &InstanceId, notice: Notice, handed: Millis, request: &str) {
-        if notice.is_empty() || !self.lock().note(id, notice, now(), handed) {
+        if notice.is_empty() || !self.lock().apply_notice(id, notice, now(), handed) {
             return;
         }
         log::info!(
@@ -147,7 +147,7 @@
 
     /// Endpoints that want no requests now.
     pub fn pauses(&self, now: Millis) -> usize {
-        self.lock().pauses(now)
+        self.lock().paused_count(now)
     }
 
     /// Notes a good answer.
@@ -230,7 +230,7 @@
     pub fn review(&self, now: Millis) {
         let forgotten = self.lock().quarantine().forget(now);
         self.report_changes(&forgotten);
-        self.lock().tidy_notices(now);
+        self.lock().prune_notices(now);
         let spared = self.lock().review_slow_starts(now);
         report_spared(&spared);
         let changes = self.lock().review(now);
