--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -153,7 +153,7 @@
     }
 
     /// A random number from 0 to 1.
-    pub fn draw(&mut self) -> f64 {
+    pub fn random(&mut self) -> f64 {
         self.rng.random()
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Notes that an endpoint to which a prefix was sent hasn't read it.
-    pub fn take_back(&mut self, prefix: &SharedPrefix, id: &InstanceId) {
+    pub fn retract_prefix(&mut self, prefix: &SharedPrefix, id: &InstanceId) {
         let prefix = exchange::short_key(prefix.key);
         self.holders.take_back(prefix, exchange::short_id(id));
     }
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -202,7 +202,7 @@
     let key = key_of_a();
     view.report(&born("a", 500), busy(40), START);
     let passed = pick(&mut view, key, START).endpoint.id.clone();
-    view.take_back(&prefix(key), &passed);
+    view.retract_prefix(&prefix(key), &passed);
     let back = pick(&mut view, key, START + Millis(9000));
     expect_that!(back.endpoint.id, eq(&born("a", 500)));
     expect_that!(back.source, none());
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -51,7 +51,7 @@
 
     /// A random number from 0 to 1.
     pub fn draw(&self) -> f64 {
-        self.lock().draw()
+        self.lock().random()
     }
 
     /// Takes an endpoint's entry; says what it changed.
@@ -119,7 +119,7 @@
 
     /// Notes that an endpoint to which a prefix was sent hasn't read it.
     pub fn take_back(&self, prefix: &SharedPrefix, id: &InstanceId) {
-        self.lock().take_back(prefix, id);
+        self.lock().retract_prefix(prefix, id);
     }
 
     /// Takes what an endpoint tells of its work.
