--- a/crates/core/src/routing/quarantine.rs
+++ b/crates/core/src/routing/quarantine.rs
@@ -25,7 +25,7 @@
 
 use blame::Blame;
 pub use evidence::{Evidence, Finding, Snapshot};
-pub use keeper::{Keeper, Kept, Step};
+pub use keeper::{PlatformSync, StoredRequest, Step};
 use suspect::{Row, Suspect};
 
 /// Endpoints that a request may end before it is quarantined. With fewer, a request that ran
--- a/crates/core/src/routing/quarantine/keeper.rs
+++ b/crates/core/src/routing/quarantine/keeper.rs
@@ -19,7 +19,7 @@
 /// A quarantined request as the platform keeps it.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub struct Kept {
+pub struct StoredRequest {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Short ids of the endpoints that were lost with it.
@@ -28,7 +28,7 @@
     pub lost_at: Millis,
 }
 
-impl Kept {
+impl StoredRequest {
     /// What it says at a time since the Unix epoch.
     pub fn evidence(&self, wall: Millis) -> impl Iterator<Item = Evidence> {
         let age = wall.since(self.lost_at);
@@ -58,15 +58,15 @@
 /// What one daemon knows of what the platform keeps.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Keeper {
+pub struct PlatformSync {
     has_listed: bool,
     /// Requests that are kept, and with how many losses.
     kept: HashMap<Fingerprint, usize>,
 }
 
-impl Keeper {
+impl PlatformSync {
     /// What is to be done next; `is_hub` says whether this daemon stands for others.
-    pub fn next(&self, known: &Quarantine, is_hub: bool) -> Option<Step> {
+    pub fn next_step(&self, known: &Quarantine, is_hub: bool) -> Option<Step> {
         if is_hub && !self.has_listed {
             return Some(Step::List);
         }
@@ -84,7 +84,7 @@
     }
 
     /// Notes what the platform keeps.
-    pub fn listed(&mut self, kept: &[Kept]) {
+    pub fn listed(&mut self, kept: &[StoredRequest]) {
         self.has_listed = true;
         let counted = kept
             .iter()
@@ -93,7 +93,7 @@
     }
 
     /// Notes that the platform keeps a request.
-    pub fn written(&mut self, kept: &Kept) {
+    pub fn written(&mut self, kept: &StoredRequest) {
         self.kept.insert(kept.fingerprint, kept.endpoints.len());
     }
 
@@ -116,12 +116,12 @@
     }
 
     /// A quarantined request as the platform is to keep it.
-    pub fn kept(&self, fingerprint: Fingerprint, now: Millis, wall: Millis) -> Option<Kept> {
+    pub fn stored_request(&self, fingerprint: Fingerprint, now: Millis, wall: Millis) -> Option<StoredRequest> {
         self.held.get(&fingerprint)?;
         let suspect = self.suspects.get(&fingerprint)?;
         let age = (now + SHIFT).since(suspect.last_loss());
         let endpoints = suspect.lost.iter().filter_map(|row| row.finding.endpoint());
-        Some(Kept {
+        Some(StoredRequest {
             fingerprint,
             endpoints: endpoints.collect(),
             lost_at: wall - age,
--- a/crates/core/tests/routing/keeper.rs
+++ b/crates/core/tests/routing/keeper.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::quarantine::{HOLD, KEPT, Keeper, Kept, Quarantine, Step};
+use medlarrill_core::routing::quarantine::{HOLD, KEPT, PlatformSync, StoredRequest, Quarantine, Step};
 
 const CRASHING: Fingerprint = Fingerprint(1);
 const NOW: Millis = Millis(5000);
@@ -17,47 +17,47 @@
     quarantine
 }
 
-fn kept() -> Kept {
+fn kept() -> StoredRequest {
     quarantined()
-        .kept(CRASHING, NOW, WALL)
+        .stored_request(CRASHING, NOW, WALL)
         .expect("quarantined")
 }
 
 #[gtest]
 fn a_hub_reads_once_what_is_kept_and_no_other_daemon_does() {
     let known = Quarantine::default();
-    let mut keeper = Keeper::default();
-    expect_that!(keeper.next(&known, false), none());
-    expect_that!(keeper.next(&known, true), some(eq(Step::List)));
+    let mut keeper = PlatformSync::default();
+    expect_that!(keeper.next_step(&known, false), none());
+    expect_that!(keeper.next_step(&known, true), some(eq(Step::List)));
     keeper.listed(&[]);
-    expect_that!(keeper.next(&known, true), none());
+    expect_that!(keeper.next_step(&known, true), none());
 }
 
 #[gtest]
 fn whoever_lost_endpoints_has_it_kept_and_hubs_do_and_each_once() {
     let known = quarantined();
-    let mut finder = Keeper::default();
-    expect_that!(finder.next(&known, false), some(eq(Step::Create(CRASHING))));
+    let mut finder = PlatformSync::default();
+    expect_that!(finder.next_step(&known, false), some(eq(Step::Create(CRASHING))));
     finder.written(&kept());
-    expect_that!(finder.next(&known, false), none());
+    expect_that!(finder.next_step(&known, false), none());
     let mut other = Quarantine::default();
     other.learn(&known.evidence(CRASHING, NOW), NOW);
-    expect_that!(Keeper::default().next(&other, false), none());
-    let mut hub = Keeper::default();
+    expect_that!(PlatformSync::default().next_step(&other, false), none());
+    let mut hub = PlatformSync::default();
     hub.listed(&[]);
-    expect_that!(hub.next(&other, true), some(eq(Step::Create(CRASHING))));
+    expect_that!(hub.next_step(&other, true), some(eq(Step::Create(CRASHING))));
 }
 
 #[gtest]
 fn a_further_loss_is_kept_too() {
     let mut known = quarantined();
-    let mut keeper = Keeper::default();
+    let mut keeper = PlatformSync::default();
     keeper.written(&kept());
     known.lost(CRASHING, 4, NOW);
-    let step = keeper.next(&known, false);
+    let step = keeper.next_step(&known, false);
     expect_that!(step, some(eq(Step::Replace(CRASHING))));
-    keeper.written(&known.kept(CRASHING, NOW, WALL).expect("quarantined"));
-    expect_that!(keeper.next(&known, false), none());
+    keeper.written(&known.stored_request(CRASHING, NOW, WALL).expect("quarantined"));
+    expect_that!(keeper.next_step(&known, false), none());
 }
 
 #[gtest]
@@ -65,26 +65,26 @@
     let mut known = Quarantine::default();
     known.lost(CRASHING, 1, NOW);
     known.lost(CRASHING, 2, NOW);
-    expect_that!(Keeper::default().next(&known, false), none());
-    expect_that!(known.kept(CRASHING, NOW, WALL), none());
+    expect_that!(PlatformSync::default().next_step(&known, false), none());
+    expect_that!(known.stored_request(CRASHING, NOW, WALL), none());
 }
 
 #[gtest]
 fn what_was_served_or_is_old_is_removed() {
     let mut known = quarantined();
-    let mut keeper = Keeper::default();
+    let mut keeper = PlatformSync::default();
     keeper.written(&kept());
     known.served(CRASHING, NOW);
-    expect_that!(keeper.next(&known, false), some(eq(Step::Remove(CRASHING))));
+    expect_that!(keeper.next_step(&known, false), some(eq(Step::Remove(CRASHING))));
     keeper.removed(CRASHING);
-    expect_that!(keeper.next(&known, false), none());
+    expect_that!(keeper.next_step(&known, false), none());
     // A hub that reads an old one learns nothing from it.
     let mut started = Quarantine::default();
     let evidence: Vec<_> = kept().evidence(WALL + KEPT).collect();
     started.learn(&evidence, Millis(1000));
-    let mut hub = Keeper::default();
+    let mut hub = PlatformSync::default();
     hub.listed(&[kept()]);
-    expect_that!(hub.next(&started, true), some(eq(Step::Remove(CRASHING))));
+    expect_that!(hub.next_step(&started, true), some(eq(Step::Remove(CRASHING))));
 }
 
 #[gtest]
@@ -96,7 +96,7 @@
     started.learn(&evidence, Millis(1000));
     let wait = started.wait(CRASHING, Millis(1000));
     expect_that!(wait, some(eq(Millis(HOLD.0 - 60_000))));
-    let again = started.kept(CRASHING, Millis(1000), WALL + Millis(60_000));
+    let again = started.stored_request(CRASHING, Millis(1000), WALL + Millis(60_000));
     expect_that!(again, some(eq(&kept)));
 }
 
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -16,7 +16,7 @@
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::notices::Notice;
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::quarantine::{Change, Evidence, Keeper, Kept, Snapshot, Step};
+use medlarrill_core::routing::quarantine::{Change, Evidence, PlatformSync, StoredRequest, Snapshot, Step};
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::SlowStart;
 use medlarrill_core::routing::view::{Drain, ListingChange, Result, SlowStartChanges, HealthChange, View};
@@ -188,13 +188,13 @@
     }
 
     /// What is to be done next for the platform to keep the quarantine.
-    pub fn next_kept(&self, keeper: &Keeper, is_hub: bool) -> Option<Step> {
-        keeper.next(self.lock().quarantine(), is_hub)
+    pub fn next_kept(&self, keeper: &PlatformSync, is_hub: bool) -> Option<Step> {
+        keeper.next_step(self.lock().quarantine(), is_hub)
     }
 
     /// A quarantined request as the platform is to keep it.
-    pub fn kept(&self, fingerprint: Fingerprint, now: Millis, wall: Millis) -> Option<Kept> {
-        self.lock().quarantine().kept(fingerprint, now, wall)
+    pub fn kept(&self, fingerprint: Fingerprint, now: Millis, wall: Millis) -> Option<StoredRequest> {
+        self.lock().quarantine().stored_request(fingerprint, now, wall)
     }
 
     /// Requests that are quarantined.
--- a/crates/router/src/store/quarantine.rs
+++ b/crates/router/src/store/quarantine.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::backoff;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::quarantine::{Keeper, Kept, Step};
+use medlarrill_core::routing::quarantine::{PlatformSync, StoredRequest, Step};
 use medlarrill_net::now::{now, wall};
 use medlarrill_platform::objects;
 use medlarrill_platform::store::{self as wire, Call, Freshness};
@@ -27,7 +27,7 @@
 pub async fn keep(store: Store, platform: SocketAddr) {
     let mut keeping = Keeping {
         client: Client::new(platform),
-        keeper: Keeper::default(),
+        keeper: PlatformSync::default(),
         store,
     };
     let mut failures = 0;
@@ -60,7 +60,7 @@
 
 struct Keeping {
     client: Client,
-    keeper: Keeper,
+    keeper: PlatformSync,
     store: Store,
 }
 
@@ -85,7 +85,7 @@
     }
 
     async fn list(&mut self) -> Result<()> {
-        let mut all: Vec<Kept> = Vec::new();
+        let mut all: Vec<StoredRequest> = Vec::new();
         let mut after: Option<String> = None;
         loop {
             let path = wire::list_path(wire::QUARANTINE, after.as_deref(), Freshness::Latest);
