--- a/crates/core/src/routing/quarantine.rs
+++ b/crates/core/src/routing/quarantine.rs
@@ -30,17 +30,17 @@
 
 /// Endpoints that a request may end before it is quarantined. With fewer, a request that ran
 /// beside others twice would be taken for the cause.
-pub const ENOUGH: usize = 3;
+pub const LOSS_THRESHOLD: usize = 3;
 /// Time since the last loss for which a request is quarantined. After that it is tried once more:
 /// the endpoints may have been mended.
-pub const HOLD: Millis = Millis::from_secs(600);
+pub const BASE_DURATION: Millis = Millis::from_secs(600);
 /// How many times longer each further loss holds a request, so that it is tried three times a day
 /// at the most.
-pub const GROWTH: u64 = 6;
+pub const DURATION_FACTOR: u64 = 6;
 /// Longest time for which a request is held, and for which its losses count.
-pub const KEPT: Millis = Millis::from_secs(86_400);
+pub const RETENTION: Millis = Millis::from_secs(86_400);
 /// Time for which losses count that aren't enough.
-pub const DOUBTED: Millis = Millis::from_secs(3600);
+pub const SHORT_RETENTION: Millis = Millis::from_secs(3600);
 /// Time for which a whole answer clears a request of all losses, before and after: content that
 /// is asked for often runs at endpoints that end for other reasons.
 const CLEARED: Millis = Millis::from_secs(60);
@@ -52,7 +52,7 @@
 /// Time for which what was learnt is told again, since datagrams are lost.
 const FRESH: Millis = Millis(1000);
 /// Added to the daemon's clock in here, so that what happened before its start has a time, too.
-const SHIFT: Millis = KEPT;
+const SHIFT: Millis = RETENTION;
 
 /// A request that is quarantined from now on, or no more.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -61,7 +61,7 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// Whether it is quarantined.
-    pub begins: bool,
+    pub is_quarantined: bool,
     /// Endpoints that were lost with it.
     pub lost: usize,
     /// Whether this daemon itself lost it.
@@ -152,7 +152,7 @@
     /// Takes a row; says whether it is news.
     fn take(&mut self, fingerprint: Fingerprint, row: Row, now: Millis) -> bool {
         let longest = match row.finding {
-            Finding::Lost(_) => KEPT,
+            Finding::Lost(_) => RETENTION,
             Finding::Served => CLEARED,
         };
         if now.since(row.at) >= longest {
@@ -219,11 +219,11 @@
         ended.chain(begun).collect()
     }
 
-    fn change(&self, fingerprint: Fingerprint, begins: bool) -> Change {
+    fn change(&self, fingerprint: Fingerprint, is_quarantined: bool) -> Change {
         let lost = self.suspects.get(&fingerprint).map(|known| &known.lost);
         Change {
             fingerprint,
-            begins,
+            is_quarantined,
             lost: lost.map_or(0, Vec::len),
             is_own: lost.is_some_and(|lost| lost.iter().any(|row| row.is_own)),
         }
--- a/crates/core/src/routing/quarantine/blame.rs
+++ b/crates/core/src/routing/quarantine/blame.rs
@@ -6,15 +6,15 @@
 
 use std::collections::HashMap;
 
-use super::ENOUGH;
+use super::LOSS_THRESHOLD;
 use crate::routing::fingerprint::Fingerprint;
 
 /// Losses from which on two requests that were lost at the same endpoints are both blamed. One
 /// more trial each tells them apart before.
-const APART: usize = ENOUGH + 1;
+const APART: usize = LOSS_THRESHOLD + 1;
 /// Losses from which on a request is blamed whoever was lost beside it: two of those that end
 /// endpoints may meet at some.
-const ANYHOW: usize = ENOUGH + 2;
+const ANYHOW: usize = LOSS_THRESHOLD + 2;
 
 /// The most losses of any request that was lost at an endpoint, and how many have as many.
 #[derive(Clone, Copy, Default)]
@@ -62,6 +62,6 @@
             let is_alone = most.shared_by == 1 || lost.len() >= APART;
             most.losses == lost.len() && is_alone
         };
-        lost.iter().filter(is_own).count() >= ENOUGH
+        lost.iter().filter(is_own).count() >= LOSS_THRESHOLD
     }
 }
--- a/crates/core/src/routing/quarantine/suspect.rs
+++ b/crates/core/src/routing/quarantine/suspect.rs
@@ -3,7 +3,7 @@
 use derive_more::Debug;
 
 use super::evidence::{Evidence, Finding};
-use super::{CLEARED, DOUBTED, ENOUGH, GROWTH, HOLD, KEPT};
+use super::{CLEARED, SHORT_RETENTION, LOSS_THRESHOLD, DURATION_FACTOR, BASE_DURATION, RETENTION};
 use crate::clock::Millis;
 use crate::routing::fingerprint::Fingerprint;
 
@@ -43,10 +43,10 @@
 
     /// Until when it is held, if it is to blame.
     pub fn held_until(&self) -> Millis {
-        let further = self.lost.len().saturating_sub(ENOUGH);
+        let further = self.lost.len().saturating_sub(LOSS_THRESHOLD);
         let further = u32::try_from(further).unwrap_or(u32::MAX);
-        let hold = Millis(HOLD.0.saturating_mul(GROWTH.saturating_pow(further)));
-        self.last_loss() + hold.min(KEPT)
+        let hold = Millis(BASE_DURATION.0.saturating_mul(DURATION_FACTOR.saturating_pow(further)));
+        self.last_loss() + hold.min(RETENTION)
     }
 
     /// Losses and the clearance.
@@ -92,13 +92,13 @@
     /// Drops what is too old to count; says whether anything is left.
     pub fn forget(&mut self, now: Millis) -> bool {
         let longest = match self.lost.len() {
-            ENOUGH.. => KEPT,
-            _ => DOUBTED,
+            LOSS_THRESHOLD.. => RETENTION,
+            _ => SHORT_RETENTION,
         };
         if now.since(self.last_loss()) >= longest {
             self.lost.clear();
         }
-        self.lost.retain(|row| now.since(row.at) < KEPT);
+        self.lost.retain(|row| now.since(row.at) < RETENTION);
         self.served = self.served.filter(|row| now.since(row.at) < CLEARED);
         self.rows().next().is_some()
     }
--- a/crates/core/tests/routing/keeper.rs
+++ b/crates/core/tests/routing/keeper.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::quarantine::{HOLD, KEPT, PlatformSync, StoredRequest, Quarantine, Step};
+use medlarrill_core::routing::quarantine::{BASE_DURATION, RETENTION, PlatformSync, StoredRequest, Quarantine, Step};
 
 const CRASHING: Fingerprint = Fingerprint(1);
 const NOW: Millis = Millis(5000);
@@ -80,7 +80,7 @@
     expect_that!(keeper.next_step(&known, false), none());
     // A hub that reads an old one learns nothing from it.
     let mut started = Quarantine::default();
-    let evidence: Vec<_> = kept().evidence(WALL + KEPT).collect();
+    let evidence: Vec<_> = kept().evidence(WALL + RETENTION).collect();
     started.learn(&evidence, Millis(1000));
     let mut hub = PlatformSync::default();
     hub.listed(&[kept()]);
@@ -95,7 +95,7 @@
     let evidence: Vec<_> = kept.evidence(WALL + Millis(60_000)).collect();
     started.learn(&evidence, Millis(1000));
     let wait = started.wait(CRASHING, Millis(1000));
-    expect_that!(wait, some(eq(Millis(HOLD.0 - 60_000))));
+    expect_that!(wait, some(eq(Millis(BASE_DURATION.0 - 60_000))));
     let again = started.stored_request(CRASHING, Millis(1000), WALL + Millis(60_000));
     expect_that!(again, some(eq(&kept)));
 }
@@ -105,5 +105,5 @@
     let mut started = Quarantine::default();
     let evidence: Vec<_> = kept().evidence(WALL - Millis(60_000)).collect();
     started.learn(&evidence, Millis(1000));
-    expect_that!(started.wait(CRASHING, Millis(1000)), some(eq(HOLD)));
+    expect_that!(started.wait(CRASHING, Millis(1000)), some(eq(BASE_DURATION)));
 }
--- a/crates/core/tests/routing/quarantine.rs
+++ b/crates/core/tests/routing/quarantine.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::quarantine::{DOUBTED, Evidence, Finding, HOLD, KEPT, Quarantine};
+use medlarrill_core::routing::quarantine::{SHORT_RETENTION, Evidence, Finding, BASE_DURATION, RETENTION, Quarantine};
 
 const CRASHING: Fingerprint = Fingerprint(1);
 const BESIDE: Fingerprint = Fingerprint(2);
@@ -28,7 +28,7 @@
 fn three_endpoints_lost_with_a_request_are_enough_and_two_are_not() {
     expect_that!(is_held(&after(&[(CRASHING, &[1, 2])]), CRASHING), eq(false));
     let held = after(&[(CRASHING, &[1, 2, 3])]);
-    expect_that!(held.wait(CRASHING, NOW), some(eq(HOLD)));
+    expect_that!(held.wait(CRASHING, NOW), some(eq(BASE_DURATION)));
     expect_that!(held.count(), eq(1));
 }
 
@@ -45,15 +45,15 @@
     let mut quarantine = after(&[(CRASHING, &[1, 2])]);
     let changes = quarantine.lost(CRASHING, 3, NOW);
     expect_that!(changes.len(), eq(1));
-    expect_that!(changes[0].begins, eq(true));
+    expect_that!(changes[0].is_quarantined, eq(true));
     expect_that!(changes[0].is_own, eq(true));
     expect_that!(changes[0].lost, eq(3));
     expect_that!(quarantine.lost(CRASHING, 3, NOW).is_empty(), eq(true));
     let mut other = Quarantine::default();
     let changes = other.learn(&quarantine.evidence(CRASHING, NOW), NOW);
     expect_that!(changes[0].is_own, eq(false));
-    let changes = other.forget(NOW + HOLD);
-    expect_that!(changes[0].begins, eq(false));
+    let changes = other.forget(NOW + BASE_DURATION);
+    expect_that!(changes[0].is_quarantined, eq(false));
 }
 
 #[gtest]
@@ -133,7 +133,7 @@
 #[gtest]
 fn what_is_not_enough_is_forgotten_sooner() {
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[4, 5])]);
-    quarantine.forget(NOW + DOUBTED);
+    quarantine.forget(NOW + SHORT_RETENTION);
     expect_that!(quarantine.is_suspect(CRASHING), eq(true));
     expect_that!(quarantine.is_suspect(BESIDE), eq(false));
 }
@@ -142,8 +142,8 @@
 fn all_is_forgotten_in_the_end() {
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[1])]);
     quarantine.served(BESIDE, NOW);
-    quarantine.forget(NOW + KEPT);
-    expect_that!(quarantine.snapshot(NOW + KEPT).all.is_empty(), eq(true));
+    quarantine.forget(NOW + RETENTION);
+    expect_that!(quarantine.snapshot(NOW + RETENTION).all.is_empty(), eq(true));
     expect_that!(quarantine.count(), eq(0));
 }
 
@@ -167,7 +167,7 @@
     let lost = |endpoint| Evidence {
         fingerprint: CRASHING,
         finding: Finding::Lost(endpoint),
-        age: Millis(HOLD.0 - 1000),
+        age: Millis(BASE_DURATION.0 - 1000),
     };
     let mut started = Quarantine::default();
     started.learn(&[lost(1), lost(2), lost(3)], Millis(100));
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -211,7 +211,7 @@
                 is_own,
                 ..
             } = change;
-            match change.begins {
+            match change.is_quarantined {
                 true => log::warn!(
                     target: "quarantine", fingerprint:%, lost, is_own;
                     "quarantine: begins, the request ends the endpoints that run it"
