--- a/crates/core/src/routing/quarantine.rs
+++ b/crates/core/src/routing/quarantine.rs
@@ -81,7 +81,7 @@
 
 impl Quarantine {
     /// Notes that an endpoint, by its short id, was lost with a request.
-    pub fn lost(&mut self, fingerprint: Fingerprint, endpoint: u32, now: Millis) -> Vec<Change> {
+    pub fn record_loss(&mut self, fingerprint: Fingerprint, endpoint: u32, now: Millis) -> Vec<Change> {
         let now = now + SHIFT;
         let served = self.served.get(&fingerprint);
         let finding = match served.filter(|at| now.since(**at) < CLEARED) {
@@ -92,7 +92,7 @@
     }
 
     /// Notes that a request was answered whole.
-    pub fn served(&mut self, fingerprint: Fingerprint, now: Millis) -> Vec<Change> {
+    pub fn record_served(&mut self, fingerprint: Fingerprint, now: Millis) -> Vec<Change> {
         let now = now + SHIFT;
         if self.served.len() >= SERVED && !self.served.contains_key(&fingerprint) {
             self.served.retain(|_, at| now.since(*at) < CLEARED);
@@ -121,7 +121,7 @@
     }
 
     /// Takes what other daemons know. Where a request was served here, they are told.
-    pub fn learn(&mut self, evidence: &[Evidence], now: Millis) -> Vec<Change> {
+    pub fn merge(&mut self, evidence: &[Evidence], now: Millis) -> Vec<Change> {
         let now = now + SHIFT;
         let mut is_news = false;
         for heard in evidence {
@@ -183,7 +183,7 @@
     }
 
     /// Drops what is too old; returns what that changes.
-    pub fn forget(&mut self, now: Millis) -> Vec<Change> {
+    pub fn expire(&mut self, now: Millis) -> Vec<Change> {
         if self.suspects.is_empty() {
             return Vec::new();
         }
@@ -193,7 +193,7 @@
     }
 
     /// How long a request isn't sent to any endpoint; none if it may be.
-    pub fn wait(&self, fingerprint: Fingerprint, now: Millis) -> Option<Millis> {
+    pub fn remaining(&self, fingerprint: Fingerprint, now: Millis) -> Option<Millis> {
         let until = self.held.get(&fingerprint)?;
         let left = until.since(now + SHIFT);
         (left > Millis::ZERO).then_some(left)
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -197,7 +197,7 @@
     ) -> Result<Choice> {
         // Asked before each attempt: the first one may have been the loss that was missing.
         let held = plan.fingerprint();
-        if let Some(wait) = held.and_then(|held| self.quarantine.wait(held, now)) {
+        if let Some(wait) = held.and_then(|held| self.quarantine.remaining(held, now)) {
             return Err(ChooseError::Quarantined { wait });
         }
         let candidates = self.candidates(pool, shared, plan, now);
@@ -286,7 +286,7 @@
     /// listed any more.
     pub fn record_loss(&mut self, plan: &Plan, id: &InstanceId, now: Millis) -> Vec<Change> {
         let lost = plan.fingerprint();
-        let lost = lost.map(|lost| self.quarantine.lost(lost, exchange::short_id(id), now));
+        let lost = lost.map(|lost| self.quarantine.record_loss(lost, exchange::short_id(id), now));
         lost.unwrap_or_default()
     }
 
--- a/crates/core/tests/routing/evidence.rs
+++ b/crates/core/tests/routing/evidence.rs
@@ -24,7 +24,7 @@
     for (endpoint, number) in daemons.into_iter().enumerate() {
         let now = Millis(world.now);
         let quarantine = &mut world.daemons[number].quarantine;
-        quarantine.lost(CRASHING, 700 + endpoint as u32, now);
+        quarantine.record_loss(CRASHING, 700 + endpoint as u32, now);
     }
 }
 
@@ -33,7 +33,7 @@
     let now = Millis(world.now);
     let is_unaware = |number: &usize| {
         let quarantine = &world.daemons[*number].quarantine;
-        quarantine.wait(CRASHING, now).is_none()
+        quarantine.remaining(CRASHING, now).is_none()
     };
     world.living().filter(is_unaware).collect()
 }
@@ -151,7 +151,7 @@
         let now = Millis(world.now);
         let quarantine = &mut world.daemons[number].quarantine;
         for endpoint in 0..5 {
-            quarantine.lost(Fingerprint(number as u64), endpoint, now);
+            quarantine.record_loss(Fingerprint(number as u64), endpoint, now);
         }
     }
     world.run(4000);
--- a/crates/core/tests/routing/keeper.rs
+++ b/crates/core/tests/routing/keeper.rs
@@ -12,7 +12,7 @@
 fn quarantined() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for endpoint in 1..4 {
-        quarantine.lost(CRASHING, endpoint, NOW);
+        quarantine.record_loss(CRASHING, endpoint, NOW);
     }
     quarantine
 }
@@ -41,7 +41,7 @@
     finder.written(&kept());
     expect_that!(finder.next_step(&known, false), none());
     let mut other = Quarantine::default();
-    other.learn(&known.evidence(CRASHING, NOW), NOW);
+    other.merge(&known.evidence(CRASHING, NOW), NOW);
     expect_that!(PlatformSync::default().next_step(&other, false), none());
     let mut hub = PlatformSync::default();
     hub.listed(&[]);
@@ -53,7 +53,7 @@
     let mut known = quarantined();
     let mut keeper = PlatformSync::default();
     keeper.written(&kept());
-    known.lost(CRASHING, 4, NOW);
+    known.record_loss(CRASHING, 4, NOW);
     let step = keeper.next_step(&known, false);
     expect_that!(step, some(eq(Step::Replace(CRASHING))));
     keeper.written(&known.stored_request(CRASHING, NOW, WALL).expect("quarantined"));
@@ -63,8 +63,8 @@
 #[gtest]
 fn two_losses_are_not_kept() {
     let mut known = Quarantine::default();
-    known.lost(CRASHING, 1, NOW);
-    known.lost(CRASHING, 2, NOW);
+    known.record_loss(CRASHING, 1, NOW);
+    known.record_loss(CRASHING, 2, NOW);
     expect_that!(PlatformSync::default().next_step(&known, false), none());
     expect_that!(known.stored_request(CRASHING, NOW, WALL), none());
 }
@@ -74,14 +74,14 @@
     let mut known = quarantined();
     let mut keeper = PlatformSync::default();
     keeper.written(&kept());
-    known.served(CRASHING, NOW);
+    known.record_served(CRASHING, NOW);
     expect_that!(keeper.next_step(&known, false), some(eq(Step::Remove(CRASHING))));
     keeper.removed(CRASHING);
     expect_that!(keeper.next_step(&known, false), none());
     // A hub that reads an old one learns nothing from it.
     let mut started = Quarantine::default();
     let evidence: Vec<_> = kept().evidence(WALL + RETENTION).collect();
-    started.learn(&evidence, Millis(1000));
+    started.merge(&evidence, Millis(1000));
     let mut hub = PlatformSync::default();
     hub.listed(&[kept()]);
     expect_that!(hub.next_step(&started, true), some(eq(Step::Remove(CRASHING))));
@@ -93,8 +93,8 @@
     expect_that!(kept.lost_at, eq(WALL));
     let mut started = Quarantine::default();
     let evidence: Vec<_> = kept.evidence(WALL + Millis(60_000)).collect();
-    started.learn(&evidence, Millis(1000));
-    let wait = started.wait(CRASHING, Millis(1000));
+    started.merge(&evidence, Millis(1000));
+    let wait = started.remaining(CRASHING, Millis(1000));
     expect_that!(wait, some(eq(Millis(BASE_DURATION.0 - 60_000))));
     let again = started.stored_request(CRASHING, Millis(1000), WALL + Millis(60_000));
     expect_that!(again, some(eq(&kept)));
@@ -104,6 +104,6 @@
 fn a_time_of_day_that_was_set_back_makes_no_loss_older_or_younger_than_now() {
     let mut started = Quarantine::default();
     let evidence: Vec<_> = kept().evidence(WALL - Millis(60_000)).collect();
-    started.learn(&evidence, Millis(1000));
-    expect_that!(started.wait(CRASHING, Millis(1000)), some(eq(BASE_DURATION)));
+    started.merge(&evidence, Millis(1000));
+    expect_that!(started.remaining(CRASHING, Millis(1000)), some(eq(BASE_DURATION)));
 }
--- a/crates/core/tests/routing/quarantine.rs
+++ b/crates/core/tests/routing/quarantine.rs
@@ -14,21 +14,21 @@
     let mut quarantine = Quarantine::default();
     for (fingerprint, endpoints) in losses {
         for endpoint in *endpoints {
-            quarantine.lost(*fingerprint, *endpoint, NOW);
+            quarantine.record_loss(*fingerprint, *endpoint, NOW);
         }
     }
     quarantine
 }
 
 fn is_held(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
-    quarantine.wait(fingerprint, NOW).is_some()
+    quarantine.remaining(fingerprint, NOW).is_some()
 }
 
 #[gtest]
 fn three_endpoints_lost_with_a_request_are_enough_and_two_are_not() {
     expect_that!(is_held(&after(&[(CRASHING, &[1, 2])]), CRASHING), eq(false));
     let held = after(&[(CRASHING, &[1, 2, 3])]);
-    expect_that!(held.wait(CRASHING, NOW), some(eq(BASE_DURATION)));
+    expect_that!(held.remaining(CRASHING, NOW), some(eq(BASE_DURATION)));
     expect_that!(held.count(), eq(1));
 }
 
@@ -36,23 +36,23 @@
 fn an_endpoint_counts_once_however_many_daemons_lost_it() {
     let mut quarantine = after(&[(CRASHING, &[1, 1, 1, 2])]);
     let heard = quarantine.evidence(CRASHING, NOW);
-    quarantine.learn(&heard, NOW);
+    quarantine.merge(&heard, NOW);
     expect_that!(is_held(&quarantine, CRASHING), eq(false));
 }
 
 #[gtest]
 fn a_change_is_told_once_with_whether_this_daemon_had_a_part() {
     let mut quarantine = after(&[(CRASHING, &[1, 2])]);
-    let changes = quarantine.lost(CRASHING, 3, NOW);
+    let changes = quarantine.record_loss(CRASHING, 3, NOW);
     expect_that!(changes.len(), eq(1));
     expect_that!(changes[0].is_quarantined, eq(true));
     expect_that!(changes[0].is_own, eq(true));
     expect_that!(changes[0].lost, eq(3));
-    expect_that!(quarantine.lost(CRASHING, 3, NOW).is_empty(), eq(true));
+    expect_that!(quarantine.record_loss(CRASHING, 3, NOW).is_empty(), eq(true));
     let mut other = Quarantine::default();
-    let changes = other.learn(&quarantine.evidence(CRASHING, NOW), NOW);
+    let changes = other.merge(&quarantine.evidence(CRASHING, NOW), NOW);
     expect_that!(changes[0].is_own, eq(false));
-    let changes = other.forget(NOW + BASE_DURATION);
+    let changes = other.expire(NOW + BASE_DURATION);
     expect_that!(changes[0].is_quarantined, eq(false));
 }
 
@@ -67,7 +67,7 @@
 fn of_two_that_were_lost_together_each_time_the_next_loss_tells() {
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[1, 2, 3])]);
     expect_that!(quarantine.count(), eq(0));
-    quarantine.lost(CRASHING, 4, NOW);
+    quarantine.record_loss(CRASHING, 4, NOW);
     expect_that!(is_held(&quarantine, CRASHING), eq(true));
     expect_that!(is_held(&quarantine, BESIDE), eq(false));
 }
@@ -76,11 +76,11 @@
 fn two_that_end_endpoints_and_met_are_both_held_after_five_at_the_most() {
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[3, 2, 5])]);
     expect_that!(quarantine.count(), eq(0));
-    quarantine.lost(CRASHING, 6, NOW);
-    quarantine.lost(CRASHING, 7, NOW);
+    quarantine.record_loss(CRASHING, 6, NOW);
+    quarantine.record_loss(CRASHING, 7, NOW);
     expect_that!(is_held(&quarantine, CRASHING), eq(true));
-    quarantine.lost(BESIDE, 8, NOW);
-    quarantine.lost(BESIDE, 9, NOW);
+    quarantine.record_loss(BESIDE, 8, NOW);
+    quarantine.record_loss(BESIDE, 9, NOW);
     expect_that!(is_held(&quarantine, BESIDE), eq(true));
 }
 
@@ -88,20 +88,20 @@
 fn a_whole_answer_clears_a_request_here_and_elsewhere() {
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3])]);
     let mut other = Quarantine::default();
-    other.learn(&quarantine.evidence(CRASHING, NOW), NOW);
+    other.merge(&quarantine.evidence(CRASHING, NOW), NOW);
     expect_that!(is_held(&other, CRASHING), eq(true));
-    quarantine.served(CRASHING, NOW);
+    quarantine.record_served(CRASHING, NOW);
     expect_that!(is_held(&quarantine, CRASHING), eq(false));
-    other.learn(&quarantine.snapshot(NOW).own, NOW);
+    other.merge(&quarantine.snapshot(NOW).own, NOW);
     expect_that!(is_held(&other, CRASHING), eq(false));
 }
 
 #[gtest]
 fn content_that_is_served_often_is_not_blamed_where_many_endpoints_are_lost_at_once() {
     let mut served = Quarantine::default();
-    served.served(BESIDE, NOW);
+    served.record_served(BESIDE, NOW);
     for endpoint in 1..9 {
-        served.lost(BESIDE, endpoint, NOW);
+        served.record_loss(BESIDE, endpoint, NOW);
     }
     expect_that!(is_held(&served, BESIDE), eq(false));
     // A daemon that never served it hears from one that did.
@@ -109,10 +109,10 @@
     let heard = other.snapshot(NOW).all;
     expect_that!(is_held(&other, BESIDE), eq(true));
     let mut third = Quarantine::default();
-    third.served(BESIDE, NOW);
-    third.learn(&heard, NOW);
+    third.record_served(BESIDE, NOW);
+    third.merge(&heard, NOW);
     expect_that!(is_held(&third, BESIDE), eq(false));
-    other.learn(&third.snapshot(NOW).own, NOW);
+    other.merge(&third.snapshot(NOW).own, NOW);
     expect_that!(is_held(&other, BESIDE), eq(false));
 }
 
@@ -121,11 +121,11 @@
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3])]);
     let mut now = NOW;
     for (endpoint, hold) in [(4, 60), (5, 360), (6, 1440)] {
-        now += quarantine.wait(CRASHING, now).expect("held");
-        quarantine.forget(now);
-        expect_that!(quarantine.wait(CRASHING, now), none());
-        quarantine.lost(CRASHING, endpoint, now);
-        let minutes = quarantine.wait(CRASHING, now).map(|wait| wait.0 / 60_000);
+        now += quarantine.remaining(CRASHING, now).expect("held");
+        quarantine.expire(now);
+        expect_that!(quarantine.remaining(CRASHING, now), none());
+        quarantine.record_loss(CRASHING, endpoint, now);
+        let minutes = quarantine.remaining(CRASHING, now).map(|wait| wait.0 / 60_000);
         expect_that!(minutes, some(eq(hold)), "after {endpoint}");
     }
 }
@@ -133,7 +133,7 @@
 #[gtest]
 fn what_is_not_enough_is_forgotten_sooner() {
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[4, 5])]);
-    quarantine.forget(NOW + SHORT_RETENTION);
+    quarantine.expire(NOW + SHORT_RETENTION);
     expect_that!(quarantine.is_suspect(CRASHING), eq(true));
     expect_that!(quarantine.is_suspect(BESIDE), eq(false));
 }
@@ -141,8 +141,8 @@
 #[gtest]
 fn all_is_forgotten_in_the_end() {
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[1])]);
-    quarantine.served(BESIDE, NOW);
-    quarantine.forget(NOW + RETENTION);
+    quarantine.record_served(BESIDE, NOW);
+    quarantine.expire(NOW + RETENTION);
     expect_that!(quarantine.snapshot(NOW + RETENTION).all.is_empty(), eq(true));
     expect_that!(quarantine.count(), eq(0));
 }
@@ -153,12 +153,12 @@
     for number in 0..20_000 {
         let at = NOW + Millis(1 + number / 100);
         let other = Fingerprint(1000 + number);
-        quarantine.lost(other, 100 + number as u32 % 50, at);
-        quarantine.served(Fingerprint(1_000_000 + number), at);
+        quarantine.record_loss(other, 100 + number as u32 % 50, at);
+        quarantine.record_served(Fingerprint(1_000_000 + number), at);
     }
     expect_that!(quarantine.snapshot(NOW).all.len(), le(512));
     expect_that!(is_held(&quarantine, CRASHING), eq(true));
-    quarantine.lost(BESIDE, 6, NOW);
+    quarantine.record_loss(BESIDE, 6, NOW);
     expect_that!(is_held(&quarantine, BESIDE), eq(true));
 }
 
@@ -170,10 +170,10 @@
         age: Millis(BASE_DURATION.0 - 1000),
     };
     let mut started = Quarantine::default();
-    started.learn(&[lost(1), lost(2), lost(3)], Millis(100));
-    let wait = started.wait(CRASHING, Millis(100));
+    started.merge(&[lost(1), lost(2), lost(3)], Millis(100));
+    let wait = started.remaining(CRASHING, Millis(100));
     expect_that!(wait, some(eq(Millis(1000))));
-    expect_that!(started.wait(CRASHING, Millis(1100)), none());
+    expect_that!(started.remaining(CRASHING, Millis(1100)), none());
 }
 
 #[gtest]
@@ -184,7 +184,7 @@
         other.snapshot(NOW).digest,
         not(eq(one.snapshot(NOW).digest))
     );
-    other.learn(&one.snapshot(NOW).all, NOW + Millis(300));
+    other.merge(&one.snapshot(NOW).all, NOW + Millis(300));
     expect_that!(other.snapshot(NOW).digest, eq(one.snapshot(NOW).digest));
     expect_that!(Quarantine::default().snapshot(NOW).digest, eq(0));
 }
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -139,7 +139,7 @@
                 daemon.hear(heard);
             }
             let learnt = daemon.exchange.take_evidence();
-            daemon.quarantine.learn(&learnt, now);
+            daemon.quarantine.merge(&learnt, now);
             let answers = daemon.exchange.replies(now);
             self.send(to, answers);
         }
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -169,7 +169,7 @@
     /// Notes that a request was answered whole.
     pub fn served(&self, plan: &Plan, now: Millis) {
         if let Some(served) = plan.fingerprint() {
-            let changes = self.lock().quarantine().served(served, now);
+            let changes = self.lock().quarantine().record_served(served, now);
             self.report_changes(&changes);
         }
     }
@@ -177,7 +177,7 @@
     /// Takes what other daemons know against requests.
     pub fn learn(&self, evidence: &[Evidence], now: Millis) {
         if !evidence.is_empty() {
-            let changes = self.lock().quarantine().learn(evidence, now);
+            let changes = self.lock().quarantine().merge(evidence, now);
             self.report_changes(&changes);
         }
     }
@@ -228,7 +228,7 @@
 
     /// Logs which endpoints are avoided from now on, and which no more.
     pub fn review(&self, now: Millis) {
-        let forgotten = self.lock().quarantine().forget(now);
+        let forgotten = self.lock().quarantine().expire(now);
         self.report_changes(&forgotten);
         self.lock().prune_notices(now);
         let spared = self.lock().review_slow_starts(now);
