--- a/crates/core/src/routing/quarantine.rs
+++ b/crates/core/src/routing/quarantine.rs
@@ -1,19 +1,19 @@
-//! Requests that end the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! Such a request takes down all that runs beside it, and its caller, who got
-//! no answer, sends it again: under a new id, to any daemon. So what is known
-//! against a request is kept by what it asks for ([`Fingerprint`]), told to all
+//! Such a request takes down everything that runs beside it, and its caller,
+//! who got no response, sends it again: under a new id, to any daemon. Evidence
+//! is therefore keyed by what a request asks for ([`Fingerprint`]), sent to all
 //! daemons, and outlives the attempt. Each endpoint that was lost with a
-//! request counts against it once ([`Evidence`]); after some, no daemon sends
-//! it anywhere for a while.
+//! request counts against it once ([`Evidence`]); at [`LOSS_THRESHOLD`] losses
+//! all daemons stop sending it for a while.
 //!
-//! Of the requests that are lost with an endpoint all but one only ran beside
-//! the one to blame. Whoever shares a loss with a request that lost more
-//! endpoints isn't blamed for it, and whoever was answered whole is cleared.
+//! Of the requests that are lost with an endpoint, all but one merely ran
+//! beside the one to blame. A loss isn't blamed on a request if another one
+//! lost there has lost more endpoints, and a complete response clears a request.
 
 mod blame;
 mod evidence;
-mod keeper;
+mod platform_sync;
 mod suspect;
 
 use std::collections::HashMap;
@@ -25,78 +25,84 @@
 
 use blame::Blame;
 pub use evidence::{Evidence, Finding, Snapshot};
-pub use keeper::{PlatformSync, StoredRequest, Step};
-use suspect::{Row, Suspect};
+pub use platform_sync::{PlatformSync, Step, StoredRequest};
+use suspect::{Record, Suspect};
 
-/// Endpoints that a request may end before it is quarantined. With fewer, a request that ran
-/// beside others twice would be taken for the cause.
+/// Lost endpoints at which a request is quarantined. With fewer, a request that twice ran beside
+/// the cause would be taken for it.
 pub const LOSS_THRESHOLD: usize = 3;
 /// Time since the last loss for which a request is quarantined. After that it is tried once more:
-/// the endpoints may have been mended.
+/// the endpoints may have been fixed.
 pub const BASE_DURATION: Millis = Millis::from_secs(600);
-/// How many times longer each further loss holds a request, so that it is tried three times a day
-/// at the most.
+/// Factor by which each further loss lengthens the quarantine, so that a request is tried at most
+/// three times a day.
 pub const DURATION_FACTOR: u64 = 6;
-/// Longest time for which a request is held, and for which its losses count.
+/// Longest time for which a request is quarantined, and for which its losses count.
 pub const RETENTION: Millis = Millis::from_secs(86_400);
-/// Time for which losses count that aren't enough.
+/// Time for which losses below the threshold count.
 pub const SHORT_RETENTION: Millis = Millis::from_secs(3600);
-/// Time for which a whole answer clears a request of all losses, before and after: content that
-/// is asked for often runs at endpoints that end for other reasons.
-const CLEARED: Millis = Millis::from_secs(60);
-/// Losses and clearances that are kept; at 40 bytes each some 20 KB, on the way at 16 a datagram
-/// of 8 KB. An endpoint that ends leaves as many losses as it ran requests, one to some dozens.
-const ROWS: usize = 512;
-/// Requests that were served and are remembered.
-const SERVED: usize = 4096;
-/// Time for which what was learnt is told again, since datagrams are lost.
-const FRESH: Millis = Millis(1000);
-/// Added to the daemon's clock in here, so that what happened before its start has a time, too.
-const SHIFT: Millis = RETENTION;
+/// A complete response clears a request of all earlier losses, and of those in this time after it:
+/// content that is requested often also runs at endpoints that fail for other reasons.
+const CLEARANCE: Millis = Millis::from_secs(60);
+/// Losses and clearances that are kept: some 20 KB of memory at 40 bytes each, and a datagram of
+/// 8 KB at 16 bytes each. A lost endpoint leaves as many losses as it ran requests, one to some
+/// dozens.
+const RECORDS_MAX: usize = 512;
+/// Served requests that are remembered.
+const SERVED_MAX: usize = 4096;
+/// Time for which new evidence is sent repeatedly, since datagrams are lost.
+const NEWS_PERIOD: Millis = Millis(1000);
+/// Added to the daemon's clock in this module, so that events before its start have a time too.
+const CLOCK_OFFSET: Millis = RETENTION;
 
-/// A request that is quarantined from now on, or no more.
+/// A request whose quarantine started or ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Change {
-    /// The request.
+    /// Identifies the request.
     pub fingerprint: Fingerprint,
-    /// Whether it is quarantined.
+    /// Whether it is quarantined from now on.
     pub is_quarantined: bool,
-    /// Endpoints that were lost with it.
+    /// Number of endpoints that were lost with it.
     pub lost: usize,
-    /// Whether this daemon itself lost it.
+    /// Whether this daemon saw at least one of the losses.
     pub is_own: bool,
 }
 
-/// All evidence, and who is quarantined by it.
+/// Evidence against requests, and the requests that are quarantined because of it.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// Until when requests are quarantined.
+    /// Quarantined requests, and until when they are.
     held: HashMap<Fingerprint, Millis>,
-    /// When requests were last served here.
+    /// When this daemon last got a complete response to a request.
     served: HashMap<Fingerprint, Millis>,
 }
 
 impl Quarantine {
-    /// Notes that an endpoint, by its short id, was lost with a request.
-    pub fn record_loss(&mut self, fingerprint: Fingerprint, endpoint: u32, now: Millis) -> Vec<Change> {
-        let now = now + SHIFT;
+    /// Records that an endpoint, by its short id, was lost with a request.
+    pub fn record_loss(
+        &mut self,
+        fingerprint: Fingerprint,
+        endpoint: u32,
+        now: Millis,
+    ) -> Vec<Change> {
+        let now = now + CLOCK_OFFSET;
         let served = self.served.get(&fingerprint);
-        let finding = match served.filter(|at| now.since(**at) < CLEARED) {
+        let finding = match served.filter(|at| now.since(**at) < CLEARANCE) {
             Some(_) => Finding::Served,
             None => Finding::Lost(endpoint),
         };
-        self.note(fingerprint, finding, now)
+        self.record(fingerprint, finding, now)
     }
 
-    /// Notes that a request was answered whole.
+    /// Records that a request got a complete response.
     pub fn record_served(&mut self, fingerprint: Fingerprint, now: Millis) -> Vec<Change> {
-        let now = now + SHIFT;
-        if self.served.len() >= SERVED && !self.served.contains_key(&fingerprint) {
-            self.served.retain(|_, at| now.since(*at) < CLEARED);
-            if self.served.len() >= SERVED {
+        let now = now + CLOCK_OFFSET;
+        if self.served.len() >= SERVED_MAX && !self.served.contains_key(&fingerprint) {
+            self.served.retain(|_, at| now.since(*at) < CLEARANCE);
+            if self.served.len() >= SERVED_MAX {
                 self.served.clear();
             }
         }
@@ -104,74 +110,74 @@
         if !self.suspects.contains_key(&fingerprint) {
             return Vec::new();
         }
-        self.note(fingerprint, Finding::Served, now)
+        self.record(fingerprint, Finding::Served, now)
     }
 
-    fn note(&mut self, fingerprint: Fingerprint, finding: Finding, now: Millis) -> Vec<Change> {
-        let row = Row {
+    fn record(&mut self, fingerprint: Fingerprint, finding: Finding, now: Millis) -> Vec<Change> {
+        let record = Record {
             finding,
             at: now,
-            learnt: now,
+            learned_at: now,
             is_own: true,
         };
-        match self.take(fingerprint, row, now) {
-            true => self.judge(now),
+        match self.insert(fingerprint, record, now) {
+            true => self.reassess(now),
             false => Vec::new(),
         }
     }
 
-    /// Takes what other daemons know. Where a request was served here, they are told.
+    /// Merges evidence of other daemons. A request that was served here is recorded as cleared,
+    /// which is then sent to them.
     pub fn merge(&mut self, evidence: &[Evidence], now: Millis) -> Vec<Change> {
-        let now = now + SHIFT;
+        let now = now + CLOCK_OFFSET;
         let mut is_news = false;
-        for heard in evidence {
-            let row = Row {
-                finding: heard.finding,
-                at: now - heard.age,
-                learnt: now,
+        for received in evidence {
+            let record = Record {
+                finding: received.finding,
+                at: now - received.age,
+                learned_at: now,
                 is_own: false,
             };
-            is_news |= self.take(heard.fingerprint, row, now);
-            let served = self.served.get(&heard.fingerprint).copied();
+            is_news |= self.insert(received.fingerprint, record, now);
+            let served = self.served.get(&received.fingerprint).copied();
             if let Some(at) = served {
-                let cleared = Row {
+                let cleared = Record {
                     finding: Finding::Served,
                     at,
                     is_own: true,
-                    ..row
+                    ..record
                 };
-                is_news |= self.take(heard.fingerprint, cleared, now);
+                is_news |= self.insert(received.fingerprint, cleared, now);
             }
         }
         match is_news {
-            true => self.judge(now),
+            true => self.reassess(now),
             false => Vec::new(),
         }
     }
 
-    /// Takes a row; says whether it is news.
-    fn take(&mut self, fingerprint: Fingerprint, row: Row, now: Millis) -> bool {
-        let longest = match row.finding {
+    /// Inserts a record; returns whether it is news.
+    fn insert(&mut self, fingerprint: Fingerprint, record: Record, now: Millis) -> bool {
+        let retention = match record.finding {
             Finding::Lost(_) => RETENTION,
-            Finding::Served => CLEARED,
+            Finding::Served => CLEARANCE,
         };
-        if now.since(row.at) >= longest {
+        if now.since(record.at) >= retention {
             return false;
         }
         if !self.suspects.contains_key(&fingerprint) {
             self.make_room();
         }
-        self.suspects.entry(fingerprint).or_default().take(row)
+        self.suspects.entry(fingerprint).or_default().insert(record)
     }
 
-    /// Drops the request with the least against it, the oldest of several, while there are too
-    /// many rows.
+    /// Drops requests with the fewest losses, the oldest first, until there is room for a record.
     fn make_room(&mut self) {
         let count = |suspects: &HashMap<_, Suspect>| {
-            let rows = suspects.values().map(|suspect| suspect.rows().count());
-            rows.sum::<usize>()
+            let records = suspects.values().map(|suspect| suspect.records().count());
+            records.sum::<usize>()
         };
-        while count(&self.suspects) >= ROWS {
+        while count(&self.suspects) >= RECORDS_MAX {
             let least = self.suspects.iter().min_by_key(|(fingerprint, suspect)| {
                 (suspect.lost.len(), suspect.last_loss(), **fingerprint)
             });
@@ -182,27 +188,30 @@
         }
     }
 
-    /// Drops what is too old; returns what that changes.
+    /// Drops evidence that is too old; returns the requests whose quarantine ended or started.
     pub fn expire(&mut self, now: Millis) -> Vec<Change> {
         if self.suspects.is_empty() {
             return Vec::new();
         }
-        let now = now + SHIFT;
-        self.suspects.retain(|_, suspect| suspect.forget(now));
-        self.judge(now)
+        let now = now + CLOCK_OFFSET;
+        self.suspects.retain(|_, suspect| suspect.expire(now));
+        self.reassess(now)
     }
 
-    /// How long a request isn't sent to any endpoint; none if it may be.
+    /// Time left until a quarantined request may be sent again; `None` if it may be sent now.
     pub fn remaining(&self, fingerprint: Fingerprint, now: Millis) -> Option<Millis> {
         let until = self.held.get(&fingerprint)?;
-        let left = until.since(now + SHIFT);
+        let left = until.since(now + CLOCK_OFFSET);
         (left > Millis::ZERO).then_some(left)
     }
 
-    /// Works out who is quarantined.
-    fn judge(&mut self, now: Millis) -> Vec<Change> {
+    /// Recomputes which requests are quarantined; returns the changes.
+    fn reassess(&mut self, now: Millis) -> Vec<Change> {
         let blame = Blame::new(self.suspects.iter().map(|(fingerprint, suspect)| {
-            let endpoints = suspect.lost.iter().filter_map(|row| row.finding.endpoint());
+            let endpoints = suspect
+                .lost
+                .iter()
+                .filter_map(|loss| loss.finding.endpoint());
             (*fingerprint, endpoints.collect())
         }));
         let until = Suspect::held_until;
@@ -225,7 +234,7 @@
             fingerprint,
             is_quarantined,
             lost: lost.map_or(0, Vec::len),
-            is_own: lost.is_some_and(|lost| lost.iter().any(|row| row.is_own)),
+            is_own: lost.is_some_and(|lost| lost.iter().any(|loss| loss.is_own)),
         }
     }
 
@@ -234,28 +243,30 @@
         self.held.len()
     }
 
-    /// What is known of one request, as other daemons are told it.
+    /// The evidence about one request, as it is sent to other daemons.
     pub fn evidence(&self, fingerprint: Fingerprint, now: Millis) -> Vec<Evidence> {
-        let now = now + SHIFT;
-        let rows = self.suspects.get(&fingerprint).into_iter();
-        let rows = rows.flat_map(Suspect::rows);
-        rows.map(|row| row.evidence(fingerprint, now)).collect()
+        let now = now + CLOCK_OFFSET;
+        let records = self.suspects.get(&fingerprint).into_iter();
+        let records = records.flat_map(Suspect::records);
+        records
+            .map(|record| record.evidence(fingerprint, now))
+            .collect()
     }
 
-    /// What other daemons are to know.
+    /// The evidence for other daemons: all of it, what is new, and its digest.
     pub fn snapshot(&self, now: Millis) -> Snapshot {
-        let now = now + SHIFT;
+        let now = now + CLOCK_OFFSET;
         let mut snapshot = Snapshot::default();
         for (fingerprint, suspect) in &self.suspects {
-            for row in suspect.rows() {
-                let evidence = row.evidence(*fingerprint, now);
+            for record in suspect.records() {
+                let evidence = record.evidence(*fingerprint, now);
                 snapshot.digest ^= evidence.digest();
                 snapshot.all.push(evidence);
-                if now.since(row.learnt) >= FRESH {
+                if now.since(record.learned_at) >= NEWS_PERIOD {
                     continue;
                 }
                 snapshot.fresh.push(evidence);
-                if row.is_own {
+                if record.is_own {
                     snapshot.own.push(evidence);
                 }
             }
--- a/crates/core/src/routing/quarantine/blame.rs
+++ b/crates/core/src/routing/quarantine/blame.rs
@@ -1,24 +1,25 @@
-//! Which request is to blame for the endpoints that were lost.
+//! Which requests are to blame for lost endpoints.
 //!
-//! The request that ends endpoints is lost with each of them; those beside it
-//! are others each time. So a loss is put down to the request that lost the
-//! most endpoints of all that were lost there.
+//! A request that crashes endpoints is lost with each of them, while other
+//! requests run beside it each time. So the loss of an endpoint is blamed on
+//! the request that has lost the most endpoints of all that were lost there.
 
 use std::collections::HashMap;
 
 use super::LOSS_THRESHOLD;
 use crate::routing::fingerprint::Fingerprint;
 
-/// Losses from which on two requests that were lost at the same endpoints are both blamed. One
-/// more trial each tells them apart before.
-const APART: usize = LOSS_THRESHOLD + 1;
-/// Losses from which on a request is blamed whoever was lost beside it: two of those that end
-/// endpoints may meet at some.
-const ANYHOW: usize = LOSS_THRESHOLD + 2;
+/// Losses at which requests that were lost at the same endpoints are all blamed. Below, one more
+/// attempt of each tells them apart.
+const TIE_THRESHOLD: usize = LOSS_THRESHOLD + 1;
+/// Losses at which a request is blamed whatever was lost beside it: two requests that crash
+/// endpoints may run at the same ones.
+const CERTAIN_THRESHOLD: usize = LOSS_THRESHOLD + 2;
 
-/// The most losses of any request that was lost at an endpoint, and how many have as many.
+/// The largest number of losses of any request that was lost at an endpoint, and the number of
+/// requests with as many.
 #[derive(Clone, Copy, Default)]
-struct Most {
+struct MaxLosses {
     losses: usize,
     shared_by: usize,
 }
@@ -26,14 +27,14 @@
 /// Losses by request and by endpoint.
 pub struct Blame {
     requests: HashMap<Fingerprint, Vec<u32>>,
-    endpoints: HashMap<u32, Most>,
+    endpoints: HashMap<u32, MaxLosses>,
 }
 
 impl Blame {
-    /// Requests and the endpoints that were lost with them.
+    /// Takes requests and the short ids of the endpoints that were lost with them.
     pub fn new(requests: impl Iterator<Item = (Fingerprint, Vec<u32>)>) -> Self {
         let requests: HashMap<Fingerprint, Vec<u32>> = requests.collect();
-        let mut endpoints: HashMap<u32, Most> = HashMap::new();
+        let mut endpoints: HashMap<u32, MaxLosses> = HashMap::new();
         for lost in requests.values() {
             for endpoint in lost {
                 let most = endpoints.entry(*endpoint).or_default();
@@ -49,19 +50,19 @@
         }
     }
 
-    /// Whether a request is to blame for enough losses.
+    /// Whether a request is to blame for at least [`LOSS_THRESHOLD`] losses.
     pub fn is_to_blame(&self, fingerprint: Fingerprint) -> bool {
         let Some(lost) = self.requests.get(&fingerprint) else {
             return false;
         };
-        if lost.len() >= ANYHOW {
+        if lost.len() >= CERTAIN_THRESHOLD {
             return true;
         }
-        let is_own = |endpoint: &&u32| {
+        let is_blamed = |endpoint: &&u32| {
             let most = self.endpoints.get(endpoint).copied().unwrap_or_default();
-            let is_alone = most.shared_by == 1 || lost.len() >= APART;
-            most.losses == lost.len() && is_alone
+            let is_unambiguous = most.shared_by == 1 || lost.len() >= TIE_THRESHOLD;
+            most.losses == lost.len() && is_unambiguous
         };
-        lost.iter().filter(is_own).count() >= LOSS_THRESHOLD
+        lost.iter().filter(is_blamed).count() >= LOSS_THRESHOLD
     }
 }
--- a/crates/core/src/routing/quarantine/evidence.rs
+++ b/crates/core/src/routing/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! What one daemon can tell another of a request.
+//! Evidence for or against a request, as daemons send it to each other.
 
 use derive_more::Debug;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -6,18 +6,18 @@
 use crate::clock::Millis;
 use crate::routing::fingerprint::Fingerprint;
 
-/// What speaks against a request, or for it.
+/// One observation about a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 pub enum Finding {
     /// An endpoint, by its short id, was lost while it ran the request.
     Lost(u32),
-    /// It was answered whole.
+    /// The request got a complete response.
     Served,
 }
 
 impl Finding {
-    /// The endpoint that was lost.
+    /// Short id of the endpoint that was lost; `None` for [`Self::Served`].
     pub const fn endpoint(self) -> Option<u32> {
         match self {
             Self::Lost(endpoint) => Some(endpoint),
@@ -26,21 +26,21 @@
     }
 }
 
-/// A finding on one request.
+/// A finding about one request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Evidence {
-    /// The request.
+    /// Identifies the request.
     pub fingerprint: Fingerprint,
-    /// What was found.
+    /// What was observed.
     pub finding: Finding,
-    /// How long ago.
+    /// Time since then.
     pub age: Millis,
 }
 
 impl Evidence {
-    /// Its part in the digest of all losses. Clearances have none: each daemon renews and drops
-    /// them by itself.
+    /// Its contribution to the digest of all losses. Clearances contribute nothing: each daemon
+    /// renews and drops them by itself.
     pub fn digest(&self) -> u64 {
         match self.finding {
             Finding::Lost(endpoint) => {
@@ -51,16 +51,16 @@
     }
 }
 
-/// What a daemon holds, as others are to know it.
+/// The evidence that a daemon holds.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Snapshot {
-    /// The same at all daemons that hold the same losses; zero where there are none.
+    /// Equal at all daemons that hold the same losses; zero without any.
     pub digest: u64,
-    /// All of it.
+    /// All evidence.
     pub all: Vec<Evidence>,
-    /// What was learnt lately.
+    /// Evidence that was learned within the last second.
     pub fresh: Vec<Evidence>,
-    /// What of that this daemon found itself.
+    /// The part of `fresh` that this daemon observed itself.
     pub own: Vec<Evidence>,
 }
