--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -1,16 +1,16 @@
-//! What one daemon knows of endpoints, and where the next request goes.
+//! One daemon's view of the endpoints, and the choice of one for each request.
 //!
-//! Entries come from the platform's list, loads and outcomes from this
-//! daemon's own requests and from the others ([`exchange`]). All that is known
-//! belongs to one instance of an endpoint: when that starts again, it is known
-//! anew.
+//! Endpoints come from the platform's list, loads and outcomes from this
+//! daemon's own requests and from other daemons ([`exchange`]). All state
+//! belongs to one instance of an endpoint and is discarded when the endpoint
+//! restarts.
 
 mod drains;
-mod entries;
-mod judge;
+mod health;
+mod listing;
 mod notices;
 mod sharing;
-mod sparing;
+mod slow_starts;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -41,51 +41,52 @@
 use crate::routing::slow_start::{Allowance, SlowStarts};
 
 pub use drains::Drain;
-pub use entries::ListingChange;
-pub use judge::HealthChange;
-pub use sparing::SlowStartChanges;
+pub use health::HealthChange;
+pub use listing::ListingChange;
+pub use slow_starts::SlowStartChanges;
 
-/// Result of looking for an endpoint.
+/// Result of choosing an endpoint.
 pub type Result<T> = std::result::Result<T, ChooseError>;
 
-/// All of it.
+/// One daemon's view of all endpoints.
 #[derive(Debug)]
 pub struct View {
-    near: DataCentreId,
+    /// Data centre of this daemon.
+    data_centre: DataCentreId,
     directory: Directory,
-    births: Births,
+    start_times: Births,
     loads: Loads,
     health: Health,
-    /// Endpoints that are avoided, as last logged.
+    /// Endpoints that were avoided at the last review.
     avoided: HashSet<InstanceId>,
-    /// Daemons that live.
+    /// Live daemons as of the last update, this one included.
     daemons: u32,
     budget: Budget,
     paces: Paces,
-    /// Admission to plain pools.
+    /// Admission to pools of plain services.
     valves: HashMap<PoolId, Valve>,
     outcomes: HashMap<InstanceId, Outcomes>,
     /// Requests sent with each shared prefix since the last report.
-    sent: HashMap<u32, u32>,
+    prefix_counts: HashMap<u32, u32>,
     holders: Holders,
-    /// Prefixes that went elsewhere than rank and age say, since the last report.
-    moved: Vec<exchange::PrefixMove>,
-    /// Shares of hot prefixes in the fleet's traffic.
-    hot: HashMap<u32, f64>,
+    /// Prefixes sent elsewhere than to the endpoint that rank and age give, since the last report.
+    prefix_moves: Vec<exchange::PrefixMove>,
+    /// Shares of hot prefixes in the fleet's traffic, 0 to 1.
+    hot_shares: HashMap<u32, f64>,
     quarantine: Quarantine,
     notices: Notices,
-    /// Data centres whose endpoints take no new work.
+    /// Drained data centres: their endpoints take no new work.
     drained: HashSet<DataCentreId>,
-    /// Who shares what the fleet may send.
+    /// The daemons that share the fleet's limits.
     fleet: Fleet,
     slow_starts: SlowStarts,
-    /// Endpoints that are spared, as last logged.
-    spared: HashSet<InstanceId>,
+    /// Endpoints in slow start at the last review.
+    in_slow_start: HashSet<InstanceId>,
     #[debug(skip)]
     rng: Pcg32,
 }
 
-/// How this daemon's requests ended since the last report.
+/// Outcomes of this daemon's requests since the last report.
 #[derive(Clone, Copy, Default)]
 #[derive(Debug)]
 struct Outcomes {
@@ -93,43 +94,48 @@
     bad: u32,
 }
 
-/// Why a request is given to no endpoint.
+/// Why no endpoint was chosen for a request.
 #[derive(Debug, Display, Error)]
 pub enum ChooseError {
-    /// Its pool is asked for too much.
+    /// Its pool is overloaded.
     #[display("overloaded")]
     Overloaded(#[error(not(source))] Box<Overload>),
-    /// Requests that ask for the same have ended the endpoints that ran them.
+    /// Requests with the same fingerprint have crashed the endpoints that ran them.
     #[display("quarantined")]
     Quarantined {
-        /// For how long no endpoint is sent it.
+        /// Time left until it may be sent again.
         wait: Millis,
     },
-    /// There is no endpoint that wasn't tried.
+    /// No endpoint is left that wasn't tried.
     #[display("no endpoint")]
     Nothing,
 }
 
-/// Why a request isn't given to a pool.
+/// Details of a request that was refused because its pool is overloaded.
 #[derive(Debug)]
 pub struct Overload {
-    /// The endpoint that would have got it.
+    /// The endpoint that would have got the request.
     pub choice: Choice,
-    /// How long it would have taken there, in milliseconds.
+    /// Expected time of the request there, in milliseconds.
     pub expected: f64,
-    /// The share of requests that are taken.
+    /// Share of the pool's requests that are admitted, 0 to 1.
     pub share: f64,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub wait: Millis,
 }
 
 impl View {
-    /// Nothing is known yet.
-    pub fn new(near: DataCentreId, repeats: budget::Settings, seed: u64, now: Millis) -> Self {
+    /// An empty view for a daemon in `data_centre`; `repeats` limits the fleet's retries.
+    pub fn new(
+        data_centre: DataCentreId,
+        repeats: budget::Settings,
+        seed: u64,
+        now: Millis,
+    ) -> Self {
         Self {
-            near,
+            data_centre,
             directory: Directory::default(),
-            births: Births::default(),
+            start_times: Births::default(),
             loads: Loads::default(),
             health: Health::default(),
             avoided: HashSet::new(),
@@ -138,16 +144,16 @@
             paces: Paces::default(),
             valves: HashMap::new(),
             outcomes: HashMap::new(),
-            sent: HashMap::new(),
+            prefix_counts: HashMap::new(),
             holders: Holders::default(),
-            moved: Vec::new(),
-            hot: HashMap::new(),
+            prefix_moves: Vec::new(),
+            hot_shares: HashMap::new(),
             quarantine: Quarantine::default(),
             notices: Notices::default(),
             drained: HashSet::new(),
             fleet: Fleet::new(now),
             slow_starts: SlowStarts::default(),
-            spared: HashSet::new(),
+            in_slow_start: HashSet::new(),
             rng: Pcg32::new(seed, seed),
         }
     }
@@ -157,22 +163,22 @@
         self.rng.random()
     }
 
-    /// How many endpoints are known.
+    /// Number of listed endpoints.
     pub fn endpoints(&self) -> usize {
         self.directory.len()
     }
 
-    /// Daemons that live, or may.
+    /// Number of daemons that are live or listed by the platform, whichever is more.
     pub fn daemons(&self) -> usize {
         self.fleet.size().max(self.daemons as usize)
     }
 
-    /// Repeats that the fleet may send.
+    /// The budget for retries of the whole fleet.
     pub const fn budget(&mut self) -> &mut Budget {
         &mut self.budget
     }
 
-    /// Whether a pool has an endpoint that takes new work and wasn't tried, other than this one.
+    /// Whether a pool has an untried endpoint other than `id` that takes new work.
     pub fn has_other(&mut self, pool: &PoolId, plan: &Plan, id: &InstanceId, now: Millis) -> bool {
         let allowances = self.allowances(pool, now);
         let ready = |(endpoint, allowance): &(&Arc<Endpoint>, Allowance)| {
@@ -183,11 +189,11 @@
         ready.any(|endpoint| endpoint.id != *id && !plan.has_tried(&endpoint.id))
     }
 
-    /// Picks an endpoint that takes new work, and counts the request there until [`Self::end`].
+    /// Chooses an endpoint that takes new work, and counts the request there until [`Self::end`].
     ///
     /// # Errors
     ///
-    /// When there is none, its pool is asked for too much, or the request is quarantined.
+    /// If there is none, the pool is overloaded, or the request is quarantined.
     pub fn choose(
         &mut self,
         pool: &PoolId,
@@ -195,22 +201,22 @@
         plan: &Plan,
         now: Millis,
     ) -> Result<Choice> {
-        // Asked before each attempt: the first one may have been the loss that was missing.
-        let held = plan.fingerprint();
-        if let Some(wait) = held.and_then(|held| self.quarantine.remaining(held, now)) {
+        // Checked before each attempt: the loss of the previous one may have reached the threshold.
+        let request = plan.fingerprint();
+        if let Some(wait) = request.and_then(|request| self.quarantine.remaining(request, now)) {
             return Err(ChooseError::Quarantined { wait });
         }
         let candidates = self.candidates(pool, shared, plan, now);
-        let trial = plan.is_idempotent();
-        let share = shared.map_or(0.0, |prefix| self.count(prefix));
+        let probe = plan.is_idempotent();
+        let share = shared.map_or(0.0, |prefix| self.count_prefix(prefix));
         let rng = &mut self.rng;
-        let choice = choose(&candidates, shared, share, &self.near, trial, rng);
+        let choice = choose(&candidates, shared, share, &self.data_centre, probe, rng);
         let choice = choice.ok_or(ChooseError::Nothing)?;
-        if let Some(overload) = self.overload(pool, &choice, plan, now) {
+        if let Some(overload) = self.check_overload(pool, &choice, plan, now) {
             return Err(ChooseError::Overloaded(Box::new(overload)));
         }
         if let Some(prefix) = shared {
-            self.note_sent(prefix, &choice, now);
+            self.record_prefix(prefix, &choice, now);
         }
         let id = &choice.endpoint.id;
         self.loads.begin(id);
@@ -223,38 +229,39 @@
         Ok(choice)
     }
 
-    /// Remembers where a prefix goes, and tells of it where others can't know.
-    fn note_sent(&mut self, prefix: &SharedPrefix, choice: &Choice, now: Millis) {
+    /// Records where a prefix was sent, and queues a report if other daemons can't derive it.
+    fn record_prefix(&mut self, prefix: &SharedPrefix, choice: &Choice, now: Millis) {
         if !is_worth_fetching(prefix) || !is_on(Mechanism::ToldPrefixes) {
             return;
         }
         let prefix = exchange::short_key(prefix.key);
         let endpoint = exchange::short_id(&choice.endpoint.id);
         let is_new = self.holders.note(prefix, endpoint, now);
-        if is_new && choice.moved && self.moved.len() < exchange::MOVES {
-            self.moved.push(exchange::PrefixMove { prefix, endpoint });
+        if is_new && choice.moved && self.prefix_moves.len() < exchange::MOVES_MAX {
+            self.prefix_moves
+                .push(exchange::PrefixMove { prefix, endpoint });
         }
     }
 
-    /// Notes that an endpoint to which a prefix was sent hasn't read it.
+    /// Records that an endpoint to which a prefix was sent hasn't processed it.
     pub fn retract_prefix(&mut self, prefix: &SharedPrefix, id: &InstanceId) {
         let prefix = exchange::short_key(prefix.key);
         self.holders.take_back(prefix, exchange::short_id(id));
     }
 
-    /// Counts a request at an endpoint no more.
+    /// Ends the count of a request at an endpoint that [`Self::choose`] started.
     pub fn end(&mut self, id: &InstanceId) {
         self.loads.end(id);
     }
 
-    /// Takes what an endpoint tells of its work.
+    /// Applies an endpoint's report of its load.
     pub fn report(&mut self, id: &InstanceId, report: Report, now: Millis) {
         if self.directory.is_listed(id) {
             self.loads.report(id, report, now);
         }
     }
 
-    /// Notes a good answer.
+    /// Records a successful attempt.
     pub fn record_success(&mut self, id: &InstanceId, now: Millis) {
         if !self.directory.is_listed(id) {
             return;
@@ -264,15 +271,15 @@
         self.outcomes.entry(id.clone()).or_default().good += 1;
     }
 
-    /// Notes a failed attempt.
+    /// Records a failed attempt.
     pub fn record_failure(&mut self, id: &InstanceId, fault: Fault, now: Millis) {
         if !self.directory.is_listed(id) {
             return;
         }
         self.health.bad(id, fault, now);
         if fault.is_loss() || fault == Fault::NotSent {
-            // It may have started again.
-            self.presume_started(id, now);
+            // It may have restarted.
+            self.presume_restart(id, now);
         }
         if fault == Fault::Failed {
             self.paces.answers(id, 1, now);
@@ -282,23 +289,26 @@
         }
     }
 
-    /// Notes that an endpoint was lost with a request. It counts also where the endpoint isn't
-    /// listed any more.
+    /// Records that an endpoint was lost with a request, even if it isn't listed any more. Returns
+    /// changes of the quarantine.
     pub fn record_loss(&mut self, plan: &Plan, id: &InstanceId, now: Millis) -> Vec<Change> {
         let lost = plan.fingerprint();
-        let lost = lost.map(|lost| self.quarantine.record_loss(lost, exchange::short_id(id), now));
+        let lost = lost.map(|lost| {
+            self.quarantine
+                .record_loss(lost, exchange::short_id(id), now)
+        });
         lost.unwrap_or_default()
     }
 
-    /// Evidence against requests, and who is quarantined by it.
+    /// Evidence against requests, and the requests that are quarantined.
     pub const fn quarantine(&mut self) -> &mut Quarantine {
         &mut self.quarantine
     }
 
-    /// What other daemons are told: requests in flight, and outcomes since the last report.
+    /// This daemon's report for the others: requests in flight, and outcomes since the last report.
     pub fn take_report(&mut self, cut_off: bool) -> exchange::Report {
         let mut outcomes = std::mem::take(&mut self.outcomes);
-        let sent = std::mem::take(&mut self.sent).into_iter();
+        let sent = std::mem::take(&mut self.prefix_counts).into_iter();
         let sent = sent.map(|(prefix, count)| exchange::PrefixCount { prefix, count });
         let entry = |(id, in_flight): (&InstanceId, u32)| {
             let Outcomes { good, bad } = outcomes.remove(id).unwrap_or_default();
@@ -315,22 +325,23 @@
             entries: entries.collect(),
             cut_off,
             sent: sent.collect(),
-            moved: std::mem::take(&mut self.moved),
+            moved: std::mem::take(&mut self.prefix_moves),
             ..exchange::Report::default()
         }
     }
 
-    /// Takes what the other daemons have at endpoints, all of them together.
-    pub fn update_peers(&mut self, heard: exchange::PeerUpdate, daemons: usize, now: Millis) {
+    /// Applies the sum of what the other daemons have at endpoints; `daemons` counts the live ones,
+    /// this one included.
+    pub fn update_peers(&mut self, update: exchange::PeerUpdate, daemons: usize, now: Millis) {
         let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
         self.daemons = daemons;
-        self.hot = heard.hot;
-        for exchange::PrefixMove { prefix, endpoint } in heard.moved {
+        self.hot_shares = update.hot;
+        for exchange::PrefixMove { prefix, endpoint } in update.moved {
             self.holders.note(prefix, endpoint, now);
         }
         for endpoint in self.directory.all() {
             let short = exchange::short_id(&endpoint.id);
-            let others = heard.endpoints.get(&short).copied().unwrap_or_default();
+            let others = update.endpoints.get(&short).copied().unwrap_or_default();
             if is_on(Mechanism::ToldLoads) {
                 self.loads.others(&endpoint.id, others.in_flight, now);
             }
@@ -341,15 +352,16 @@
         }
     }
 
-    /// Counts a request with a shared prefix; returns the prefix's share of the fleet's traffic.
-    fn count(&mut self, prefix: &SharedPrefix) -> f64 {
+    /// Counts a request with a shared prefix; returns the prefix's share of the fleet's traffic, 0
+    /// to 1.
+    fn count_prefix(&mut self, prefix: &SharedPrefix) -> f64 {
         let key = exchange::short_key(prefix.key);
-        *self.sent.entry(key).or_default() += 1;
-        self.hot.get(&key).copied().unwrap_or_default()
+        *self.prefix_counts.entry(key).or_default() += 1;
+        self.hot_shares.get(&key).copied().unwrap_or_default()
     }
 
-    /// Whether a pool is asked for more than it can run, so that this request isn't taken.
-    fn overload(
+    /// Details of the refusal if the pool is overloaded and this request is refused.
+    fn check_overload(
         &mut self,
         pool: &PoolId,
         choice: &Choice,
@@ -372,6 +384,7 @@
         })
     }
 
+    /// Time since an instance was first listed.
     fn age(&self, id: &InstanceId, now: Millis) -> Millis {
         let joined = self.directory.joined(id);
         joined.map_or(Millis::MAX, |joined| now.since(joined))
@@ -400,8 +413,8 @@
         let failures: PoolFailures = ready.map(|(_, look)| *look).collect();
         let candidate = |((endpoint, look), allowance): ((&Arc<Endpoint>, &Look), Allowance)| {
             let estimate = self.loads.look(&endpoint.id, now);
-            // Where requests are drawn by load, all daemons would carry on each chance of others'
-            // choices, and shun and fill the same endpoints together.
+            // Requests without a shared prefix are placed by load. If all daemons extrapolated
+            // random changes of load, they would avoid and fill the same endpoints together.
             let load = match shared {
                 Some(_) => estimate.grown,
                 None => estimate.told,
--- a/crates/core/src/routing/view/drains.rs
+++ b/crates/core/src/routing/view/drains.rs
@@ -1,4 +1,4 @@
-//! Data centres that are drained.
+//! Drained data centres.
 
 use std::sync::Arc;
 
@@ -9,30 +9,31 @@
 use crate::ids::{DataCentreId, PoolId};
 use crate::routing::endpoint::Endpoint;
 
-/// What the drain of a data centre takes from its pools.
+/// Effect of a data centre's drain on its pools.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Drain {
-    /// Endpoints there.
+    /// Number of endpoints in the data centre.
     pub endpoints: usize,
-    /// Pools that have no endpoint left which takes new work.
+    /// Pools without any endpoint left that takes new work.
     pub emptied: Vec<PoolId>,
-    /// Requests in flight at endpoints of the pools that lost some, over the slots that are left
-    /// there.
+    /// Requests in flight in an affected pool divided by its remaining slots; the largest ratio of
+    /// all affected pools.
     pub busy: f64,
 }
 
 impl View {
-    /// Gives endpoints of a data centre no new work; says what that takes, if it is news.
+    /// Sends no new work to endpoints of a data centre; returns the effect, or `None` if the data
+    /// centre was drained already.
     pub fn drain(&mut self, data_centre: DataCentreId, now: Millis) -> Option<Drain> {
         if !self.drained.insert(data_centre.clone()) {
             return None;
         }
-        Some(self.effect(&data_centre, now))
+        Some(self.drain_effect(&data_centre, now))
     }
 
-    /// Ends the drain of a data centre; says whether there was one. Its endpoints may have started
-    /// meanwhile.
+    /// Ends the drain of a data centre; returns whether it was drained. Its endpoints may have
+    /// restarted meanwhile.
     pub fn undrain(&mut self, data_centre: &DataCentreId, now: Millis) -> bool {
         if !self.drained.remove(data_centre) {
             return false;
@@ -44,7 +45,7 @@
         true
     }
 
-    /// Data centres that are drained.
+    /// Number of drained data centres.
     pub fn drained_count(&self) -> usize {
         self.drained.len()
     }
@@ -53,12 +54,12 @@
         self.drained.contains(&endpoint.data_centre)
     }
 
-    /// Whether an endpoint takes new work, be it little.
+    /// Whether an endpoint takes new work, even if little.
     pub(super) fn takes_work(&self, endpoint: &Endpoint) -> bool {
         !endpoint.leaving && !self.is_drained(endpoint)
     }
 
-    fn effect(&self, data_centre: &DataCentreId, now: Millis) -> Drain {
+    fn drain_effect(&self, data_centre: &DataCentreId, now: Millis) -> Drain {
         let mut effect = Drain {
             endpoints: 0,
             emptied: Vec::new(),
--- a/crates/core/src/routing/view/health.rs
+++ b/crates/core/src/routing/view/health.rs
@@ -1,4 +1,4 @@
-//! How endpoints stand against the others of their pool.
+//! Health of endpoints compared with the others of their pool.
 
 use std::sync::Arc;
 
@@ -9,28 +9,29 @@
 use crate::routing::endpoint::{Endpoint, InstanceId};
 use crate::routing::health::{PoolFailures, Standing};
 
-/// How an endpoint is judged.
+/// An endpoint that is avoided from now on, or no longer.
 #[derive(Debug)]
 pub struct HealthChange {
     /// The endpoint.
     pub endpoint: InstanceId,
-    /// How it stands.
+    /// Its new health status.
     pub standing: Standing,
-    /// Its failure share.
+    /// Its failure share, 0 to 1.
     pub failures: f64,
-    /// The mean of its pool's others.
+    /// Mean failure share of the other endpoints of its pool, 0 to 1.
     pub others: f64,
 }
 
 impl View {
-    /// Endpoints that are avoided from now on, or no more.
+    /// Reviews the health of all endpoints; returns those that are avoided since the last review,
+    /// or no longer.
     pub fn review(&mut self, now: Millis) -> Vec<HealthChange> {
         let mut changes = Vec::new();
         for pool in self.directory.pools() {
             let failures = self.failures(pool, now);
             for endpoint in pool {
                 let id = &endpoint.id;
-                let (standing, others) = self.standing(id, failures, now);
+                let (standing, others) = self.health_status(id, failures, now);
                 if standing.is_avoided() == self.avoided.contains(id) {
                     continue;
                 }
@@ -42,23 +43,23 @@
                 });
             }
         }
-        for verdict in &changes {
-            match verdict.standing.is_avoided() {
-                true => self.avoided.insert(verdict.endpoint.clone()),
-                false => self.avoided.remove(&verdict.endpoint),
+        for change in &changes {
+            match change.standing.is_avoided() {
+                true => self.avoided.insert(change.endpoint.clone()),
+                false => self.avoided.remove(&change.endpoint),
             };
         }
         changes
     }
 
-    /// Failure shares of the endpoints of a pool that take new work.
+    /// Failure shares of the endpoints of a pool that aren't leaving.
     pub(super) fn failures(&self, pool: &[Arc<Endpoint>], now: Millis) -> PoolFailures {
         let ready = pool.iter().filter(|endpoint| !endpoint.leaving);
         self.health.pool(ready.map(|endpoint| &endpoint.id), now)
     }
 
-    /// How an endpoint stands, and the mean failure share of its pool's others.
-    pub(super) fn standing(
+    /// Health status of an endpoint, and the mean failure share of the others of its pool.
+    pub(super) fn health_status(
         &self,
         id: &InstanceId,
         pool: PoolFailures,
--- a/crates/core/src/routing/view/listing.rs
+++ b/crates/core/src/routing/view/listing.rs
@@ -1,4 +1,4 @@
-//! Entries of endpoints: what becomes known, and what is forgotten with an instance.
+//! Updates from the platform's list of endpoints, and the removal of an instance's state.
 
 use derive_more::Debug;
 
@@ -8,27 +8,27 @@
 use crate::routing::birth::Entry;
 use crate::routing::endpoint::{Endpoint, InstanceId};
 
-/// What an endpoint's entry changed.
+/// Result of an update from the platform's list.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum ListingChange {
-    /// Nothing.
+    /// Nothing changed.
     Same,
-    /// The endpoint is new, or its entry says something else.
+    /// The endpoint is new, or its properties changed.
     Changed,
-    /// The endpoint started again: this instance is gone.
+    /// The endpoint restarted: this instance was removed.
     Restarted(InstanceId),
-    /// It was of no use.
+    /// The update was ignored.
     Ignored(Entry),
 }
 
 impl View {
-    /// Takes an endpoint's entry; says what it changed.
+    /// Inserts or updates a listed endpoint; returns what changed.
     pub fn upsert(&mut self, endpoint: Endpoint, now: Millis) -> ListingChange {
-        let was_told = self.births.is_told();
-        let entry = self.births.judge(&endpoint.id, now);
-        if self.births.is_told() && !was_told {
-            self.remove_unborn();
+        let had_starts = self.start_times.is_told();
+        let entry = self.start_times.judge(&endpoint.id, now);
+        if self.start_times.is_told() && !had_starts {
+            self.remove_without_start();
         }
         match entry {
             Entry::Current => {}
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Drops an endpoint's entry; says whether it was there.
+    /// Removes an endpoint; returns whether it was listed.
     pub fn remove(&mut self, id: &EndpointId) -> bool {
         if let Some(instance) = self.directory.instance(id).cloned() {
             self.forget(&instance);
@@ -65,16 +65,18 @@
         self.directory.remove(id)
     }
 
-    /// Drops entries that don't say when their endpoint started, now that endpoints do.
-    fn remove_unborn(&mut self) {
-        let unborn = self.directory.all().filter(|known| known.id.born.is_none());
-        let names: Vec<EndpointId> = unborn.map(|known| known.id.endpoint.clone()).collect();
+    /// Removes endpoints without a start time, once endpoints are listed with one.
+    fn remove_without_start(&mut self) {
+        let without_start = self.directory.all().filter(|known| known.id.born.is_none());
+        let names: Vec<EndpointId> = without_start
+            .map(|known| known.id.endpoint.clone())
+            .collect();
         for name in names {
             self.remove(&name);
         }
     }
 
-    /// Forgets what is known of an instance.
+    /// Discards the state of an instance.
     fn forget(&mut self, id: &InstanceId) {
         self.loads.forget(id);
         self.health.forget(id);
--- a/crates/core/src/routing/view/notices.rs
+++ b/crates/core/src/routing/view/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers.
+//! Notices that endpoints give about themselves in their responses.
 
 use super::View;
 use crate::clock::Millis;
@@ -6,16 +6,22 @@
 use crate::routing::endpoint::InstanceId;
 use crate::routing::notices::{Notice, is_speaker};
 
-/// Time until a pool that has no endpoint left is asked again: about what a new one takes from its
-/// start until the platform lists it and daemons read that.
-const NEWCOMER: Millis = Millis(1000);
+/// Time after which a request for a pool without endpoints is retried: about what a new endpoint
+/// takes from its start until the platform lists it and daemons have read the list.
+const LISTING_DELAY: Millis = Millis(1000);
 
 impl View {
-    /// Takes what an endpoint says of itself in the answer to a request that was handed over at a
-    /// time since the Unix epoch; says whether it is news. It counts also where the endpoint isn't
-    /// listed any more, since it may be again.
-    pub fn apply_notice(&mut self, id: &InstanceId, notice: Notice, now: Millis, handed: Millis) -> bool {
-        // A later start may have been listed while the request was under way.
+    /// Applies an endpoint's notice about itself from the response to a request; returns whether it
+    /// is news. `handed` is when the request was sent, since the Unix epoch. Applies also if the
+    /// endpoint isn't listed any more, since it may be listed again.
+    pub fn apply_notice(
+        &mut self,
+        id: &InstanceId,
+        notice: Notice,
+        now: Millis,
+        handed: Millis,
+    ) -> bool {
+        // A later instance may have been listed while the request was in flight.
         let listed = self.directory.instance(&id.endpoint).unwrap_or(id).clone();
         if !is_speaker(&listed, id, handed) {
             return false;
@@ -26,22 +32,22 @@
         self.notices.note(&listed, notice, now, handed)
     }
 
-    /// How long a pool takes no work of which no endpoint takes any now: until the first pause
-    /// ends, or a new endpoint may be listed. None where there is one that takes work.
+    /// Time for which no endpoint of a pool takes new work: until the first pause ends, or a new
+    /// endpoint may be listed. `None` if an endpoint takes work now.
     pub fn closed_for(&self, pool: &PoolId, now: Millis) -> Option<Millis> {
         let listed = self.directory.pool(pool).iter();
         let staying = listed.filter(|e| self.takes_work(e));
         let pauses = staying.map(|e| self.notices.pause(&e.id, now));
-        let shortest = pauses.min().unwrap_or(NEWCOMER);
+        let shortest = pauses.min().unwrap_or(LISTING_DELAY);
         (shortest > Millis::ZERO).then_some(shortest)
     }
 
-    /// Endpoints that want no requests now.
+    /// Number of endpoints that have asked for a pause without requests.
     pub fn paused_count(&self, now: Millis) -> usize {
         self.notices.pauses(now)
     }
 
-    /// Forgets what endpoints said that are gone.
+    /// Drops notices of endpoints that were removed.
     pub fn prune_notices(&mut self, now: Millis) {
         let directory = &self.directory;
         let is_listed = |name: &_| directory.instance(name).is_some();
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -1,4 +1,4 @@
-//! Who shares what the fleet may send.
+//! The daemons that share limits of the whole fleet.
 
 use std::net::SocketAddr;
 
@@ -6,28 +6,28 @@
 use crate::clock::Millis;
 
 impl View {
-    /// Sets the daemons that a part of the platform's list names; all on the list share the repeats
-    /// of the fleet and the rate of endpoints that are spared.
+    /// Sets the daemons in a part of the platform's list. All listed daemons share the fleet's
+    /// budget for retries, and the rate of endpoints in slow start.
     pub fn set_daemons(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.fleet.deal(me, part, daemons);
         self.slow_starts.deal_anew();
         self.budget.set_part(self.fleet.part(1.0));
     }
 
-    /// Notes that this daemon is told of no others.
+    /// Records that this daemon knows of no others.
     pub fn set_sole(&mut self) {
         self.fleet.set_sole();
         self.budget.set_part(self.fleet.part(1.0));
     }
 
-    /// Those of some daemons that the platform doesn't list.
+    /// Those of `daemons` that the platform doesn't list.
     pub fn unlisted(&self, daemons: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut unlisted = daemons.to_vec();
         unlisted.retain(|daemon| !self.fleet.is_listed(daemon));
         unlisted
     }
 
-    /// Notes how many daemons live, this one included.
+    /// Sets the number of live daemons, this one included.
     pub fn set_live(&mut self, live: usize, now: Millis) {
         self.fleet.hear(live, now);
         self.budget.set_part(self.fleet.part(1.0));
--- a/crates/core/src/routing/view/slow_starts.rs
+++ b/crates/core/src/routing/view/slow_starts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are spared after a start.
+//! Slow start: endpoints that get fewer requests after a start.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -11,55 +11,55 @@
 use crate::routing::endpoint::{Endpoint, InstanceId};
 use crate::routing::slow_start::{Allowance, SlowStart};
 
-/// Endpoints that are spared from now on, or no more.
+/// Endpoints whose slow start began or ended.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct SlowStartChanges {
-    /// From now on.
+    /// Endpoints that are in slow start from now on.
     pub started: Vec<InstanceId>,
-    /// No more.
+    /// Endpoints whose slow start is over.
     pub ended: Vec<InstanceId>,
 }
 
 impl View {
-    /// Sets which pools have a slow start.
+    /// Sets the pools that have a slow start.
     pub fn configure_slow_starts(&mut self, pools: HashMap<PoolId, SlowStart>) {
         self.slow_starts.configure(pools);
     }
 
-    /// Spares a listed endpoint for the time that it or its entry tells.
+    /// Starts the slow start of a listed endpoint; `left` is its remaining time.
     pub fn begin_slow_start(&mut self, id: &InstanceId, left: Millis, now: Millis) {
         if self.directory.is_listed(id) {
             self.slow_starts.spare(id, left, now);
         }
     }
 
-    /// Endpoints whose sparing began or ended since this was last asked.
+    /// Returns the endpoints whose slow start began or ended since the last call.
     pub fn review_slow_starts(&mut self, now: Millis) -> SlowStartChanges {
         self.slow_starts.tidy(now);
-        let spared: HashSet<InstanceId> = self.slow_starts.spared(now).cloned().collect();
+        let current: HashSet<InstanceId> = self.slow_starts.spared(now).cloned().collect();
         let changes = SlowStartChanges {
-            started: spared.difference(&self.spared).cloned().collect(),
-            ended: self.spared.difference(&spared).cloned().collect(),
+            started: current.difference(&self.in_slow_start).cloned().collect(),
+            ended: self.in_slow_start.difference(&current).cloned().collect(),
         };
-        self.spared = spared;
+        self.in_slow_start = current;
         changes
     }
 
-    /// Endpoints that are spared, as of the last review.
+    /// Number of endpoints in slow start as of the last review.
     pub fn slow_start_count(&self) -> usize {
-        self.spared.len()
+        self.in_slow_start.len()
     }
 
-    /// Spares an endpoint that may have started again.
-    pub(super) fn presume_started(&mut self, id: &InstanceId, now: Millis) {
+    /// Starts the slow start of an endpoint that may have restarted.
+    pub(super) fn presume_restart(&mut self, id: &InstanceId, now: Millis) {
         if let Some(endpoint) = self.directory.get(id) {
             let pool = endpoint.pool.clone();
             self.slow_starts.presume(id, &pool, now);
         }
     }
 
-    /// What may be sent to each endpoint of a pool, in their order.
+    /// The requests that may be sent to each endpoint of a pool, in the order of the directory.
     pub(super) fn allowances(&mut self, pool: &PoolId, now: Millis) -> Vec<Allowance> {
         let listed = self.directory.pool(pool).iter();
         let (slow_starts, fleet) = (&mut self.slow_starts, &self.fleet);
