--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -1,28 +1,28 @@
-//! What daemons tell each other of endpoints, through a few of them.
+//! Exchange of endpoint loads and outcomes between daemons, aggregated by hubs.
 //!
 //! In a large fleet each data centre has two hubs, the first two of its
 //! daemons by rank. Each daemon reports its requests and their outcomes to
-//! both, and asks one of them for the sums; the other shows that it lives, and
-//! is asked when the first is silent or hears from fewer. Hubs tell the hubs of
-//! other data centres what theirs has together, so that few bytes cross. In a
-//! small fleet two hubs serve all.
+//! both, and asks one of them for the sums; the other one sends heartbeats, and
+//! is asked if the first is silent or has reports of fewer daemons. Hubs send
+//! subtotals of their data centre to the hubs of the others, so that little
+//! traffic crosses between data centres. In a small fleet two hubs serve all.
 //!
-//! Any daemon that gets reports acts as a hub, so that daemons that disagree
-//! on who lives still hear from someone. Sums are told as rows that are news
-//! to their listener ([`board`]).
+//! Any daemon that receives reports acts as a hub, so that daemons that
+//! disagree on the live daemons still get sums. Only rows that are new to the
+//! receiver are sent ([`VersionedSums`]).
 
-mod board;
-mod centres;
 mod evidence;
 mod hot;
 mod hub;
+mod hub_messages;
 mod members;
 mod message;
-mod own;
+mod own_share;
+mod remote_hubs;
 mod report;
 mod roles;
 mod short;
-mod tell;
+mod sums;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,161 +32,168 @@
 use crate::clock::Millis;
 use crate::routing::quarantine::{Evidence, Snapshot};
 
-pub use board::{OutcomeCounts, VersionedSums, SumsCopy, Delta, Version};
+use evidence::EvidenceSync;
 pub use evidence::Findings;
-use evidence::Spread;
 use hot::shares;
 use hub::Hub;
 pub use members::DataCentreHash;
 use members::{Members, ranked};
 pub use message::{
-    ReportEntry, Hot, Message, PrefixMove, Peer, Peers, Prefixes, Report, Sender, PrefixCount, Subtotal, Summary,
-    Wish,
+    HotPrefix, Message, Peer, Peers, PrefixCount, PrefixMove, PrefixTotals, Report, ReportEntry,
+    Sender, Subtotal, Summary, Wish,
 };
-use own::Own;
-use roles::{Ranks, Role, first_for, holders};
+use own_share::OwnShare;
 pub use roles::{LinkClass, sources};
+use roles::{Ranks, Role, preference_order, role_holders};
 pub use short::{short_id, short_key};
+pub use sums::{Delta, OutcomeCounts, SumsCopy, Version, VersionedSums};
 
-/// Hubs of a data centre, or of a small fleet.
+/// Number of hubs of a data centre, or of a small fleet.
 const HUBS: usize = 2;
-/// Silence after which a daemon counts as gone. Ten reports, four signs of life of a hub: some may
-/// be lost, and a busy VM may be late. Who replaces two hubs that died knows all again one second
-/// later.
-const SILENT: Millis = Millis(1000);
-/// Silence after which a hub isn't asked for sums while another one speaks: a beat may be lost.
-const QUIET: Millis = Millis(600);
-/// Between reports. A load is known after half a tick at the daemon that brings it and half a tick
-/// at each hub on the way; a hub of 59 daemons reads 590 reports a second.
+/// Silence after which a daemon counts as lost: ten reports, or four heartbeats of a hub. Some may
+/// be lost, and a busy VM may be late. Daemons that replace two failed hubs have all reports one
+/// second later.
+const SILENCE_TIMEOUT: Millis = Millis(1000);
+/// Silence after which a hub isn't asked for sums while another one sends messages: a heartbeat may
+/// be lost.
+const QUIET_TIMEOUT: Millis = Millis(600);
+/// Time between reports. A load is known after half a tick at the daemon that reports it and half a
+/// tick at each hub on the way; a hub of 59 daemons reads 590 reports a second.
 pub const TICK: Millis = Millis(100);
-/// Fleet from which on data centres have hubs of their own, and some daemons follow the platform
-/// for all.
-const LARGE: usize = 16;
-/// Between two reports to a seed, which join parts of the fleet that lost each other.
-const SEED_PAUSE: Millis = Millis(2000);
-/// Between two words of a hub to a seed, and to daemons that may be taken for hubs elsewhere. What
-/// a seed learns of another part lapses after 2.1 s; a hub of this part has asked it by then.
-const SHOW_PAUSE: Millis = Millis(1000);
-/// Between two signs of life of a hub to those that ask another one.
-const BEAT: Millis = Millis(250);
-/// Between two lists of daemons in summaries.
-const LIST_PAUSE: Millis = Millis(500);
-
-/// Daemons of a large fleet that follow the platform: each change is read so often, instead of
-/// once a daemon. Three, so that two may freeze or be cut off at once.
+/// Number of daemons at which each data centre has its own hubs, and some daemons follow the
+/// platform for all.
+const LARGE_FLEET: usize = 16;
+/// Time between two reports to a seed, which rejoin the parts of a partitioned fleet.
+const SEED_INTERVAL: Millis = Millis(2000);
+/// Time between two announcements of a hub to a seed, and to daemons that other parts of the fleet
+/// may consider hubs. What a seed learns of another part expires after 2.1 s; by then a hub of this
+/// part has asked it.
+const ANNOUNCE_INTERVAL: Millis = Millis(1000);
+/// Time between two heartbeats of a hub to daemons that ask another one for sums.
+const HEARTBEAT_INTERVAL: Millis = Millis(250);
+/// Time between two lists of live daemons in summaries.
+const PEERS_INTERVAL: Millis = Millis(500);
+
+/// Number of daemons in a large fleet that follow the platform: each change is read that many
+/// times, not once by each daemon. Three, so that two may freeze or be cut off at once.
 const WATCHERS: usize = 3;
-/// Daemons whose copies one follows, so that one that freezes or is cut off delays nothing.
+/// Number of daemons whose copies a daemon follows, so that one that freezes or is cut off causes
+/// no delay.
 const SOURCES: usize = 2;
 
-/// Prefixes in one report or summary that went elsewhere than rank and age say; the rest is read
-/// again where it goes next.
-pub const MOVES: usize = 64;
+/// Largest number of moved prefixes in one report or summary. Prefixes beyond it are processed
+/// again by the endpoints to which they are sent next.
+pub const MOVES_MAX: usize = 64;
 
-/// Part of the daemons of the widest summary that another must sum up to count; hubs differ by
-/// the reports that were lost or are on their way.
-const WIDE: f64 = 0.8;
-/// Time after which a summary that no other was as wide as counts no more: time for hubs to hear
-/// of each other, and as much again for datagrams that are late.
-const WIDE_FOR: Millis = Millis(900);
+/// Share of the daemons in the largest summary that another one must cover to be used; hubs differ
+/// by reports that were lost or are in transit.
+const COVERAGE_MIN: f64 = 0.8;
+/// Time for which the largest summary is the reference: time for hubs to learn of each other, and
+/// as much again for late datagrams.
+const COVERAGE_WINDOW: Millis = Millis(900);
 
-/// A message and where it goes.
+/// A message and its destination.
 pub type Outgoing = (SocketAddr, Message);
 
-/// One daemon's part in the exchange.
+/// State of one daemon in the exchange.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Exchange {
     members: Members,
     hub: Hub,
-    /// What hubs told this daemon.
-    hubs: HashMap<SocketAddr, Told>,
-    own: Own,
-    evidence: Spread,
+    /// State received from hubs.
+    hubs: HashMap<SocketAddr, HubState>,
+    own: OwnShare,
+    evidence: EvidenceSync,
     seeds: Vec<SocketAddr>,
-    seeded: Option<Millis>,
+    /// When a seed was last asked.
+    seed_asked_at: Option<Millis>,
     next_seed: usize,
-    announced: Option<Millis>,
-    /// Whether this daemon has lost the platform.
+    /// When this daemon last announced itself as a hub.
+    announced_at: Option<Millis>,
+    /// Whether this daemon has lost its connection to the platform.
     cut_off: bool,
-    /// Daemons in the widest summary of late, and when it came.
-    widest: (u32, Millis),
-    /// How many daemons live as a hub last told, and when.
-    told: (usize, Millis),
+    /// Number of daemons in the largest recent summary, and when it was received.
+    largest_summary: (u32, Millis),
+    /// Number of live daemons as last reported by a hub, and when.
+    reported_live: (usize, Millis),
 }
 
-/// What one hub told this daemon.
+/// State received from one hub.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-struct Told {
+struct HubState {
+    /// Time of the last summary.
     at: Millis,
     sums: SumsCopy,
-    /// How many daemons report to it.
-    gathered: u32,
+    /// Number of daemons that report to it.
+    reporters: u32,
     hot: HashMap<u32, f64>,
     /// Digest of the evidence that it holds.
     digest: u64,
 }
 
-/// From whom a daemon learns what the platform says.
+/// The daemons through which a daemon follows the platform.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Following {
-    /// The daemons that follow the platform for all, first in rank first.
+    /// The daemons that follow the platform for all, in rank order.
     pub watchers: Vec<SocketAddr>,
-    /// The daemons whose copies of its objects this one follows while it doesn't itself.
+    /// The daemons whose copies of the platform's objects this one follows unless it follows the
+    /// platform itself.
     pub sources: Vec<SocketAddr>,
     /// Whether this daemon is a hub.
     pub is_hub: bool,
-    /// Whether this daemon leaves the platform to others: in a large fleet all do but hubs and
-    /// watchers.
+    /// Whether this daemon follows the platform only through others: in a large fleet all do except
+    /// hubs and watchers.
     pub is_indirect: bool,
 }
 
-/// What others have at one endpoint, and how their requests ended since the last tick.
+/// Requests of the other daemons at one endpoint, and their outcomes since the last update.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct PeerCounts {
     /// Requests in flight.
     pub in_flight: u32,
-    /// Good answers.
+    /// Successful attempts.
     pub good: u32,
     /// Failed attempts.
     pub bad: u32,
 }
 
-/// What a daemon hears of the others.
+/// An update on the other daemons.
 #[derive(Clone, PartialEq, Default)]
 #[derive(Debug)]
 pub struct PeerUpdate {
-    /// What they have at endpoints, by the endpoints' short ids.
+    /// Their requests at endpoints, by the endpoints' short ids.
     pub endpoints: HashMap<u32, PeerCounts>,
-    /// Shared prefixes that get much of the fleet's traffic, by the short forms of their keys,
-    /// and their shares of it.
+    /// Shared prefixes that get much of the fleet's traffic, by the short forms of their keys, and
+    /// their shares of it, 0 to 1.
     pub hot: HashMap<u32, f64>,
-    /// Prefixes that went elsewhere than rank and age say.
+    /// Prefixes sent elsewhere than to the endpoint that rank and age give.
     pub moved: Vec<PrefixMove>,
 }
 
 impl Exchange {
-    /// The part of the daemon that is reached at `me`.
+    /// The state of a daemon with the address `me` that knows only the seeds.
     pub fn new(me: SocketAddr, seeds: Vec<SocketAddr>) -> Self {
         Self {
             members: Members::new(me),
             hub: Hub::new(0),
             hubs: HashMap::new(),
-            own: Own::default(),
-            evidence: Spread::default(),
+            own: OwnShare::default(),
+            evidence: EvidenceSync::default(),
             seeds: seeds.into_iter().filter(|seed| *seed != me).collect(),
-            seeded: None,
+            seed_asked_at: None,
             next_seed: 0,
-            announced: None,
+            announced_at: None,
             cut_off: false,
-            widest: (0, Millis::ZERO),
-            told: (0, Millis::ZERO),
+            largest_summary: (0, Millis::ZERO),
+            reported_live: (0, Millis::ZERO),
         }
     }
 
-    /// Sets how strong this daemon's VM is.
+    /// Sets the link class of this daemon's VM.
     pub fn with_link_class(mut self, link_class: LinkClass) -> Self {
         self.members.ranks = Ranks::new(self.members.me, link_class);
         self
@@ -198,7 +205,8 @@
         self
     }
 
-    /// Sets what tells this daemon's sums from those of its earlier and later starts.
+    /// Sets the epoch, which distinguishes this daemon's sums from those of its earlier and later
+    /// starts.
     pub fn with_epoch(self, epoch: u32) -> Self {
         Self {
             hub: Hub::new(epoch),
@@ -206,79 +214,80 @@
         }
     }
 
-    /// Daemons that live, this one included.
+    /// Number of live daemons, this one included.
     pub fn live_count(&self, now: Millis) -> usize {
-        let (told, at) = self.told;
-        let seen = 1 + self.members.others(now).count();
-        match now.since(at) < SILENT {
-            true => seen.max(told),
-            false => seen,
+        let (reported, at) = self.reported_live;
+        let known = 1 + self.members.live_others(now).count();
+        match now.since(at) < SILENCE_TIMEOUT {
+            true => known.max(reported),
+            false => known,
         }
     }
 
-    /// Daemons that live, as far as this one knows them, itself among them.
+    /// The live daemons that this one knows, itself included.
     pub fn live_daemons(&self, now: Millis) -> Vec<SocketAddr> {
-        let others = self.members.others(now).map(|(address, _)| address);
+        let others = self.members.live_others(now).map(|(address, _)| address);
         others.chain([self.members.me]).collect()
     }
 
     fn is_large(&self, now: Millis) -> bool {
-        self.live_count(now) >= LARGE
+        self.live_count(now) >= LARGE_FLEET
     }
 
-    /// The hubs of this daemon, first in rank first; it may be one itself.
+    /// The hubs of this daemon in rank order; it may be one itself.
     pub fn hubs(&self, now: Millis) -> Vec<SocketAddr> {
-        self.members.hubs_of(self.area(now), now)
+        self.members.hubs_of(self.hub_scope(now), now)
     }
 
-    /// The hub that is asked for sums. Daemons are spread over the hubs; one that hears from many
-    /// fewer daemons than its fellow, or is silent, is passed over.
-    fn source(&self, now: Millis) -> Option<SocketAddr> {
+    /// The hub that is asked for sums. Daemons are spread over the hubs; a hub that is silent, or
+    /// has reports of far fewer daemons than the other, is skipped.
+    fn sums_source(&self, now: Millis) -> Option<SocketAddr> {
         let me = self.members.me;
-        let hubs = first_for(me, self.hubs(now));
-        let gathered = |hub: &SocketAddr| match *hub == me {
-            true => Some(self.gathered_from(now)),
+        let hubs = preference_order(me, self.hubs(now));
+        let reporters = |hub: &SocketAddr| match *hub == me {
+            true => Some(self.reporter_count(now)),
             false => {
-                let told = self.hubs.get(hub)?;
-                (now.since(told.at) < QUIET).then_some(told.gathered)
+                let state = self.hubs.get(hub)?;
+                (now.since(state.at) < QUIET_TIMEOUT).then_some(state.reporters)
             }
         };
-        let most = hubs.iter().filter_map(gathered).max().unwrap_or_default();
-        let is_wide = |hub: &&SocketAddr| {
-            gathered(hub).is_some_and(|count| f64::from(count) >= WIDE * f64::from(most))
+        let most = hubs.iter().filter_map(reporters).max().unwrap_or_default();
+        let has_coverage = |hub: &&SocketAddr| {
+            reporters(hub).is_some_and(|count| f64::from(count) >= COVERAGE_MIN * f64::from(most))
         };
-        hubs.iter().find(is_wide).or(hubs.first()).copied()
+        hubs.iter().find(has_coverage).or(hubs.first()).copied()
     }
 
-    /// The daemons that follow the platform for all: in a small fleet each does.
+    /// The daemons that follow the platform for all; in a small fleet each daemon does.
     ///
-    /// Daemons that have lost the platform aren't chosen, unless all have. One that was turned
-    /// away at its start knows nothing that could be followed: where the platform turned away six
-    /// of nine, following such a one cost 0.3 s of the 1.0 s to their first configuration.
+    /// Daemons that have lost the platform aren't chosen, unless all have. A daemon that the
+    /// platform refused at its start has no copy that could be followed: when six of nine were
+    /// refused, following such daemons took 0.3 s of the 1.0 s until their first configuration.
     pub fn watchers(&self, cut_off: bool, now: Millis) -> Vec<SocketAddr> {
         let members = &self.members;
         let own = (members.me, members.ranks);
         if !self.is_large(now) {
             let address = |(address, _): (SocketAddr, _)| address;
-            let mut chosen: Vec<SocketAddr> = members.reachers(now).map(address).collect();
+            let mut chosen: Vec<SocketAddr> = members.with_platform(now).map(address).collect();
             if chosen.is_empty() {
-                chosen.extend(members.others(now).map(address));
+                chosen.extend(members.live_others(now).map(address));
             }
             chosen.push(members.me);
             return chosen;
         }
-        let own_reach = (!cut_off).then_some(own);
-        let reach = members.reachers(now).map(ranked).chain(own_reach);
-        let chosen = holders(reach, Role::Watcher, WATCHERS);
+        let own_candidate = (!cut_off).then_some(own);
+        let candidates = members.with_platform(now).map(ranked).chain(own_candidate);
+        let chosen = role_holders(candidates, Role::Watcher, WATCHERS);
         if !chosen.is_empty() {
             return chosen;
         }
-        let all = members.others(now).map(ranked).chain([own]);
-        holders(all, Role::Watcher, WATCHERS)
+        let all = members.live_others(now).map(ranked).chain([own]);
+        role_holders(all, Role::Watcher, WATCHERS)
     }
 
-    /// Whom this daemon follows. In a large fleet hubs follow the watchers and the others their
-    /// hubs, so that a change crosses to a data centre as often as that has hubs, not daemons.
+    /// The daemons that this one follows. In a large fleet hubs follow the watchers, and the others
+    /// follow their hubs, so that each change is sent to a data centre once for each of its hubs,
+    /// not for each of its daemons.
     pub fn following(&self, cut_off: bool, now: Millis) -> Following {
         let me = self.members.me;
         let watchers = self.watchers(cut_off, now);
@@ -298,101 +307,115 @@
 
     /// Sets the evidence against requests that this daemon holds.
     pub fn set_evidence(&mut self, held: Snapshot) {
-        self.evidence.hold(held);
+        self.evidence.set_held(held);
     }
 
-    /// Evidence that other daemons told since this was last asked.
+    /// Returns the evidence received from other daemons since the last call.
     pub fn take_evidence(&mut self) -> Vec<Evidence> {
-        self.evidence.learnt()
+        self.evidence.take_received()
     }
 
-    /// What is due: this daemon's report, and sums of the reports it got.
+    /// Returns the messages that are due: this daemon's reports, and as a hub sums of the reports
+    /// that it received. `own` is this daemon's report.
     pub fn tick(&mut self, own: Report, now: Millis) -> Vec<Outgoing> {
-        self.members.forget(now);
-        self.hub.forget(now);
-        self.evidence.forget(now);
-        self.hubs.retain(|_, told| now.since(told.at) < SILENT);
+        self.members.expire(now);
+        self.hub.expire(now);
+        self.evidence.expire(now);
+        self.hubs
+            .retain(|_, state| now.since(state.at) < SILENCE_TIMEOUT);
         self.cut_off = own.cut_off;
-        self.own.note(&own, now);
-        let mut out = self.tell(&own, now);
+        self.own.record(&own, now);
+        let mut out = self.publish_sums(&own, now);
         out.extend(self.reports(own, now));
         out
     }
 
-    /// Whether sums of so many daemons count. A hub that was chosen just now sums up the few
-    /// reports that it got by then.
-    fn is_wide(&mut self, daemons: u32, now: Millis) -> bool {
-        let (most, at) = self.widest;
-        let is_old = now.since(at) >= WIDE_FOR;
+    /// Whether sums over so many daemons are used. A hub that was just chosen has received only a
+    /// few reports.
+    fn has_coverage(&mut self, daemons: u32, now: Millis) -> bool {
+        let (most, at) = self.largest_summary;
+        let is_old = now.since(at) >= COVERAGE_WINDOW;
         if is_old || daemons >= most {
-            self.widest = (daemons, now);
+            self.largest_summary = (daemons, now);
         }
-        is_old || f64::from(daemons) >= WIDE * f64::from(most)
+        is_old || f64::from(daemons) >= COVERAGE_MIN * f64::from(most)
     }
 
-    /// Takes a message; returns what others have, if it is a summary that says it.
-    pub fn receive(&mut self, from: SocketAddr, message: Message, now: Millis) -> Option<PeerUpdate> {
+    /// Processes a message; returns the update on the other daemons if it is a summary with usable
+    /// sums.
+    pub fn receive(
+        &mut self,
+        from: SocketAddr,
+        message: Message,
+        now: Millis,
+    ) -> Option<PeerUpdate> {
         let Sender {
             link_class,
             centre,
             cut_off,
             findings,
         } = message.sender();
-        self.evidence.take(findings);
-        self.members.hear(from, link_class, centre, cut_off, now);
+        self.evidence.receive(findings);
+        self.members
+            .record_contact(from, link_class, centre, cut_off, now);
         match message {
             Message::Report(report) => {
-                let counts = self.area(now).is_none_or(|area| area == centre);
-                self.hub.report(from, &report, counts, now);
+                let is_counted = self.hub_scope(now).is_none_or(|scope| scope == centre);
+                self.hub.receive(from, &report, is_counted, now);
                 None
             }
-            Message::Summary(summary) => self.take_summary(from, &summary, now),
+            Message::Summary(summary) => self.receive_summary(from, &summary, now),
             Message::Subtotal(subtotal) => {
-                self.hear_of(subtotal.peers.as_ref(), now);
-                self.hub.take(from, &subtotal, now);
+                self.record_peers(subtotal.peers.as_ref(), now);
+                self.hub.receive_subtotal(from, &subtotal, now);
                 None
             }
         }
     }
 
-    fn hear_of(&mut self, peers: Option<&Peers>, now: Millis) {
+    fn record_peers(&mut self, peers: Option<&Peers>, now: Millis) {
         for peer in peers.iter().flat_map(|peers| peers.all()) {
-            self.members.hear_of(&peer, now);
+            self.members.record_indirect(&peer, now);
         }
     }
 
-    fn take_summary(&mut self, from: SocketAddr, summary: &Summary, now: Millis) -> Option<PeerUpdate> {
-        self.hear_of(summary.peers.as_ref(), now);
-        let told = self.hubs.entry(from).or_default();
-        told.at = now;
-        told.gathered = summary.gathered;
-        told.digest = summary.digest;
-        let is_source = self.source(now) == Some(from);
+    fn receive_summary(
+        &mut self,
+        from: SocketAddr,
+        summary: &Summary,
+        now: Millis,
+    ) -> Option<PeerUpdate> {
+        self.record_peers(summary.peers.as_ref(), now);
+        let state = self.hubs.entry(from).or_default();
+        state.at = now;
+        state.reporters = summary.reporters;
+        state.digest = summary.digest;
+        let is_source = self.sums_source(now) == Some(from);
         if is_source {
-            self.told = (summary.live as usize, now);
+            self.reported_live = (summary.live as usize, now);
         }
-        let told = self.hubs.entry(from).or_default();
+        let state = self.hubs.entry(from).or_default();
         let delta = summary.delta.as_ref()?;
         if summary.peers.is_some() {
-            told.hot = shares(&summary.hot);
+            state.hot = shares(&summary.hot);
         }
-        let news = told.sums.take(delta)?;
-        if !is_source || !self.is_wide(summary.daemons, now) {
+        let new_outcomes = state.sums.apply(delta)?;
+        if !is_source || !self.has_coverage(summary.daemons, now) {
             return None;
         }
-        let told = self.hubs.get(&from)?;
-        let heard = self.own.others(&told.sums, news);
+        let state = self.hubs.get(&from)?;
+        let update = self.own.subtract_from(&state.sums, new_outcomes);
         Some(PeerUpdate {
-            hot: told.hot.clone(),
+            hot: state.hot.clone(),
             moved: summary.moved.clone(),
-            ..heard
+            ..update
         })
     }
 }
 
-/// Whether a pause has passed; notes that it has.
-fn is_due(last: &mut Option<Millis>, pause: Millis, now: Millis) -> bool {
-    if last.is_some_and(|at| now.since(at) < pause) {
+/// Whether an interval has passed since `last`; if so, sets `last` to now.
+fn is_due(last: &mut Option<Millis>, interval: Millis, now: Millis) -> bool {
+    if last.is_some_and(|at| now.since(at) < interval) {
         return false;
     }
     *last = Some(now);
--- a/crates/core/src/routing/exchange/evidence.rs
+++ b/crates/core/src/routing/exchange/evidence.rs
@@ -1,12 +1,12 @@
-//! How evidence against requests is told.
+//! Synchronises evidence against requests between daemons.
 //!
-//! Datagrams are lost, and daemons start, stop and lose each other, so that
-//! evidence is told twice over. What was learnt just now goes with each
-//! message for some ticks: from whoever found it to its hubs, and from those
-//! on. Besides, each message bears a digest of what its sender holds; a daemon
-//! that reads another one than its own sends back all that it holds, which is
-//! how one that has just started comes to know it, and how parts of a fleet
-//! that lost each other agree again.
+//! Datagrams are lost, daemons start and stop, and the fleet may be partitioned,
+//! so evidence is sent in two ways. New evidence is added to each message for
+//! some ticks: from the daemon that observed it to its hubs, and from there to
+//! the others. Besides, each message has a digest of the evidence that its
+//! sender holds. A daemon that receives a digest other than its own sends back
+//! all its evidence, which updates a daemon that has just started, and makes
+//! the parts of a partitioned fleet agree again.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,31 +17,32 @@
 use crate::routing::fingerprint::Fingerprint;
 use crate::routing::quarantine::{Evidence, Finding, Snapshot};
 
-/// Between the first two times that all evidence is sent to a daemon that holds other. Each
-/// further pause is twice as long, until both hold the same.
-const FIRST_PAUSE: Millis = Millis(300);
-/// Longest such pause: where more is found than is kept, daemons keep different parts of it.
-const LONGEST_PAUSE: Millis = Millis::from_secs(10);
-/// Stands for a clearance in the place of an endpoint.
+/// Time between the first two full sends to a daemon that holds other evidence. Doubles with each
+/// further one, until both hold the same.
+const FULL_INTERVAL_MIN: Millis = Millis(300);
+/// Longest such time: if there is more evidence than daemons keep, they keep different parts of it
+/// and never agree.
+const FULL_INTERVAL_MAX: Millis = Millis::from_secs(10);
+/// Marks a clearance in the column of endpoints.
 const SERVED: u32 = 0;
 
-/// Evidence; one entry of each column makes a row.
+/// Evidence; the entries at one index of all columns form a row.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Findings {
     /// Fingerprints of requests.
     #[prost(fixed64, repeated, tag = "1")]
     fingerprints: Vec<u64>,
-    /// Short ids of the endpoints that were lost; zero where the request was served.
+    /// Short ids of the endpoints that were lost; zero for a request that was served.
     #[prost(fixed32, repeated, tag = "2")]
     endpoints: Vec<u32>,
-    /// Milliseconds since then.
+    /// Time since the loss or the response, in milliseconds.
     #[prost(uint32, repeated, tag = "3")]
     ages: Vec<u32>,
 }
 
 impl Findings {
-    /// Rows for a message; none where there are none.
+    /// The columns for a message; `None` without any evidence.
     fn new(evidence: &[Evidence]) -> Option<Self> {
         let mut columns = Self::default();
         for row in evidence {
@@ -55,7 +56,7 @@
     }
 
     /// The rows.
-    fn all(&self) -> impl Iterator<Item = Evidence> {
+    fn rows(&self) -> impl Iterator<Item = Evidence> {
         let found = self.endpoints.iter().zip(&self.ages);
         let rows = self.fingerprints.iter().zip(found);
         rows.map(|(fingerprint, (endpoint, age))| Evidence {
@@ -69,96 +70,97 @@
     }
 }
 
-/// What of the news one daemon tells another.
+/// Which new evidence one daemon sends to another.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-pub enum News {
-    /// What it found itself.
+pub enum NewEvidence {
+    /// What it observed itself.
     Own,
-    /// Also what it heard.
+    /// Also what it received.
     All,
 }
 
-/// What this daemon holds and was told of evidence.
+/// The evidence that this daemon holds and has received.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Spread {
+pub struct EvidenceSync {
     held: Snapshot,
-    learnt: Vec<Evidence>,
-    /// Daemons that were sent all of it and hold something else still.
-    pushed: HashMap<SocketAddr, Pushed>,
+    received: Vec<Evidence>,
+    /// Daemons that were sent all evidence, and still hold other evidence.
+    full_sends: HashMap<SocketAddr, FullSend>,
 }
 
-/// The last time that a daemon was sent all evidence.
+/// The last time that all evidence was sent to a daemon.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
-struct Pushed {
+struct FullSend {
     at: Millis,
-    /// Until the next time.
-    pause: Millis,
+    /// Time until it is sent again.
+    interval: Millis,
 }
 
-impl Spread {
-    /// Sets what this daemon holds.
-    pub fn hold(&mut self, held: Snapshot) {
+impl EvidenceSync {
+    /// Sets the evidence that this daemon holds.
+    pub fn set_held(&mut self, held: Snapshot) {
         self.held = held;
     }
 
-    /// Digest of what it holds.
+    /// Digest of the evidence that this daemon holds.
     pub const fn digest(&self) -> u64 {
         self.held.digest
     }
 
-    /// Takes what a message says.
-    pub fn take(&mut self, findings: Option<&Findings>) {
-        let rows = findings.into_iter().flat_map(Findings::all);
-        self.learnt.extend(rows);
+    /// Stores evidence from a message.
+    pub fn receive(&mut self, findings: Option<&Findings>) {
+        let rows = findings.into_iter().flat_map(Findings::rows);
+        self.received.extend(rows);
     }
 
-    /// What was told since this was last asked.
-    pub fn learnt(&mut self) -> Vec<Evidence> {
-        std::mem::take(&mut self.learnt)
+    /// Returns the evidence received since the last call.
+    pub fn take_received(&mut self) -> Vec<Evidence> {
+        std::mem::take(&mut self.received)
     }
 
-    /// What a message to a daemon says: all where that holds something else, as its digest tells
-    /// if it is known, and the news otherwise.
+    /// The evidence for a message to a daemon: all of it if the daemon's digest, where known,
+    /// differs and a full send is due; otherwise the new evidence.
     pub fn findings(
         &mut self,
         to: SocketAddr,
         digest: Option<u64>,
-        news: News,
+        scope: NewEvidence,
         now: Millis,
     ) -> Option<Findings> {
-        if self.is_push_due(to, digest, now) {
+        if self.is_full_send_due(to, digest, now) {
             return Findings::new(&self.held.all);
         }
-        let news = match news {
-            News::Own => &self.held.own,
-            News::All => &self.held.fresh,
+        let new = match scope {
+            NewEvidence::Own => &self.held.own,
+            NewEvidence::All => &self.held.fresh,
         };
-        Findings::new(news)
+        Findings::new(new)
     }
 
-    /// Whether a daemon is to be sent all evidence now; notes that it is.
-    fn is_push_due(&mut self, to: SocketAddr, digest: Option<u64>, now: Millis) -> bool {
+    /// Whether all evidence is to be sent to a daemon now; if so, records that it is.
+    fn is_full_send_due(&mut self, to: SocketAddr, digest: Option<u64>, now: Millis) -> bool {
         let differs = digest.is_some_and(|digest| digest != self.held.digest);
         if !differs || self.held.all.is_empty() {
-            self.pushed.remove(&to);
+            self.full_sends.remove(&to);
             return false;
         }
-        let last = self.pushed.get(&to).copied();
-        if last.is_some_and(|last| now.since(last.at) < last.pause) {
+        let last = self.full_sends.get(&to).copied();
+        if last.is_some_and(|last| now.since(last.at) < last.interval) {
             return false;
         }
-        let pause = last.map_or(FIRST_PAUSE, |last| last.pause + last.pause);
-        let pause = pause.min(LONGEST_PAUSE);
-        self.pushed.insert(to, Pushed { at: now, pause });
+        let interval = last.map_or(FULL_INTERVAL_MIN, |last| last.interval + last.interval);
+        let interval = interval.min(FULL_INTERVAL_MAX);
+        self.full_sends.insert(to, FullSend { at: now, interval });
         true
     }
 
-    /// Forgets daemons that haven't been told anything for long.
-    pub fn forget(&mut self, now: Millis) {
-        let is_recent = |last: &Pushed| now.since(last.at) <= LONGEST_PAUSE + LONGEST_PAUSE;
-        self.pushed.retain(|_, last| is_recent(last));
+    /// Removes daemons to which no full send was due for long.
+    pub fn expire(&mut self, now: Millis) {
+        let is_recent =
+            |last: &FullSend| now.since(last.at) <= FULL_INTERVAL_MAX + FULL_INTERVAL_MAX;
+        self.full_sends.retain(|_, last| is_recent(last));
     }
 }
--- a/crates/core/src/routing/exchange/hub.rs
+++ b/crates/core/src/routing/exchange/hub.rs
@@ -1,122 +1,122 @@
-//! What a hub holds: reports, and what it adds up from them.
+//! State of a hub: the reports that it received, and the sums over them.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
 use derive_more::Debug;
 
-use super::board::{OutcomeCounts, VersionedSums, Version};
-use super::centres::Centres;
-use super::hot::Counts;
+use super::hot::DecayingCounts;
 use super::members::DataCentreHash;
-use super::message::{ReportEntry, Hot, PrefixMove, Report, Subtotal, Wish};
-use super::{MOVES, SILENT};
+use super::message::{HotPrefix, PrefixMove, Report, ReportEntry, Subtotal, Wish};
+use super::remote_hubs::RemoteHubs;
+use super::sums::{OutcomeCounts, Version, VersionedSums};
+use super::{MOVES_MAX, SILENCE_TIMEOUT};
 use crate::clock::Millis;
 
-/// A report, as far as it is needed until the next.
+/// The parts of a daemon's last report that are needed until its next one.
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct Received {
+pub struct ReceivedReport {
     at: Millis,
-    /// The reporter's data centre.
+    /// Data centre of the reporter.
     pub centre: DataCentreHash,
-    /// Whether the reporter takes this daemon for its hub.
+    /// Whether the reporter considers this daemon its hub.
     is_full: bool,
     entries: Vec<ReportEntry>,
-    /// What it has reached of this daemon's sums.
+    /// The version of this daemon's sums that the reporter has reached.
     pub reached: Option<Version>,
-    /// Whether it asks for the sums.
+    /// Whether the reporter asks for the sums.
     pub wants_sums: bool,
-    /// Digest of the evidence that it holds.
+    /// Digest of the evidence that the reporter holds.
     pub digest: u64,
 }
 
-/// A daemon that asked who lives.
+/// A daemon's query for the live daemons.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
-pub struct Asked {
-    /// Where it is reached.
-    pub by: SocketAddr,
+pub struct PeerQuery {
+    /// Address of the daemon.
+    pub from: SocketAddr,
     /// Its data centre.
     pub centre: DataCentreHash,
     /// Digest of the evidence that it holds.
     pub digest: u64,
 }
 
-/// What a hub sums up.
+/// Reports to a hub, and the sums over them.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Hub {
     /// The last report of each daemon.
-    pub reports: HashMap<SocketAddr, Received>,
-    /// Who asked who lives.
-    pub asked: Vec<Asked>,
+    pub reports: HashMap<SocketAddr, ReceivedReport>,
+    /// Queries for the live daemons that weren't answered yet.
+    pub queries: Vec<PeerQuery>,
     /// Sums over the reports, for hubs of other data centres.
     pub local: VersionedSums,
     /// Sums over the fleet, for the reporters.
     pub fleet: VersionedSums,
-    /// What other data centres tell.
-    pub centres: Centres,
+    /// Sums received from hubs of other data centres.
+    pub remote: RemoteHubs,
     /// Requests with shared prefixes, as reported.
-    pub counts: Counts,
+    pub prefixes: DecayingCounts,
     /// Shared prefixes that get much of the fleet's traffic.
-    pub hot: Vec<Hot>,
-    /// Answers that this daemon itself hasn't heard of.
-    pub news: HashMap<u32, OutcomeCounts>,
-    /// Moved prefixes that this daemon itself hasn't heard of.
-    pub unheard: Vec<PrefixMove>,
-    /// Moved prefixes that reporters haven't been told of.
-    pub moved: BTreeSet<PrefixMove>,
-    /// Moved prefixes of this data centre that others haven't been told of.
-    pub moved_here: BTreeSet<PrefixMove>,
-    /// When those that ask another hub last got a sign of life.
-    pub beat: Option<Millis>,
-    /// When reporters were last told who lives.
-    pub listed: Option<Millis>,
-    /// When hubs of other data centres were.
-    pub listed_far: Option<Millis>,
-    /// When those were last told sums.
-    pub told: Option<Millis>,
+    pub hot: Vec<HotPrefix>,
+    /// Outcomes that this daemon hasn't applied to its own view yet.
+    pub new_outcomes: HashMap<u32, OutcomeCounts>,
+    /// Moved prefixes that this daemon hasn't applied to its own view yet.
+    pub new_moves: Vec<PrefixMove>,
+    /// Moved prefixes that weren't sent to reporters yet.
+    pub fleet_moves: BTreeSet<PrefixMove>,
+    /// Moved prefixes of this data centre that weren't sent to other data centres yet.
+    pub local_moves: BTreeSet<PrefixMove>,
+    /// When a heartbeat was last sent to reporters that ask another hub for sums.
+    pub heartbeat_at: Option<Millis>,
+    /// When the list of live daemons was last sent to reporters.
+    pub peers_at: Option<Millis>,
+    /// When that list was last sent to hubs of other data centres.
+    pub remote_peers_at: Option<Millis>,
+    /// When subtotals were last sent to those hubs.
+    pub subtotals_at: Option<Millis>,
 }
 
 impl Hub {
-    /// Nothing was reported yet.
+    /// A hub without any reports; `epoch` distinguishes the daemon's restarts.
     pub fn new(epoch: u32) -> Self {
         Self {
             reports: HashMap::new(),
-            asked: Vec::new(),
+            queries: Vec::new(),
             local: VersionedSums::new(epoch),
             fleet: VersionedSums::new(epoch),
-            centres: Centres::default(),
-            counts: Counts::default(),
+            remote: RemoteHubs::default(),
+            prefixes: DecayingCounts::default(),
             hot: Vec::new(),
-            news: HashMap::new(),
-            unheard: Vec::new(),
-            moved: BTreeSet::new(),
-            moved_here: BTreeSet::new(),
-            beat: None,
-            listed: None,
-            listed_far: None,
-            told: None,
+            new_outcomes: HashMap::new(),
+            new_moves: Vec::new(),
+            fleet_moves: BTreeSet::new(),
+            local_moves: BTreeSet::new(),
+            heartbeat_at: None,
+            peers_at: None,
+            remote_peers_at: None,
+            subtotals_at: None,
         }
     }
 
-    /// Forgets daemons that are silent.
-    pub fn forget(&mut self, now: Millis) {
+    /// Removes daemons that have been silent for [`SILENCE_TIMEOUT`].
+    pub fn expire(&mut self, now: Millis) {
         self.reports
-            .retain(|_, report| now.since(report.at) < SILENT);
-        self.centres.forget(now);
+            .retain(|_, report| now.since(report.at) < SILENCE_TIMEOUT);
+        self.remote.expire(now);
     }
 
-    /// Takes a report; `counts` says whether the reporter's requests are summed up here.
-    pub fn report(&mut self, from: SocketAddr, report: &Report, counts: bool, now: Millis) {
+    /// Applies a report; `is_counted` says whether the reporter's requests are summed up here.
+    pub fn receive(&mut self, from: SocketAddr, report: &Report, is_counted: bool, now: Millis) {
         let centre = DataCentreHash(report.centre);
-        let wish = Wish::try_from(report.wish).unwrap_or(Wish::Life);
+        let wish = Wish::try_from(report.wish).unwrap_or(Wish::Heartbeat);
         let is_full = wish != Wish::Peers;
-        if is_full && counts {
+        if is_full && is_counted {
             self.count(report, false);
         }
-        let received = Received {
+        let received = ReceivedReport {
             at: now,
             centre,
             is_full,
@@ -127,91 +127,94 @@
         };
         self.reports.insert(from, received);
         if !is_full {
-            self.asked.push(Asked {
-                by: from,
+            self.queries.push(PeerQuery {
+                from,
                 centre,
                 digest: report.digest,
             });
         }
     }
 
-    /// Counts what a report tells once.
+    /// Counts the outcomes and prefixes of a report, each of which is reported once.
     pub fn count(&mut self, report: &Report, is_own: bool) {
         for entry in &report.entries {
-            let answers = entry.answers();
-            self.local.count(entry.endpoint, answers);
-            self.count_fleet(entry.endpoint, answers, is_own);
+            let outcomes = entry.outcomes();
+            self.local.count(entry.endpoint, outcomes);
+            self.count_fleet(entry.endpoint, outcomes, is_own);
         }
-        self.counts.add(&report.sent);
-        note(&mut self.moved_here, &report.moved);
-        self.note_moved(&report.moved, is_own);
+        self.prefixes.add(&report.sent);
+        add_moves(&mut self.local_moves, &report.moved);
+        self.record_moves(&report.moved, is_own);
     }
 
-    fn count_fleet(&mut self, endpoint: u32, answers: OutcomeCounts, is_own: bool) {
-        self.fleet.count(endpoint, answers);
-        if !is_own && answers != OutcomeCounts::default() {
-            self.news.entry(endpoint).or_default().add(answers);
+    fn count_fleet(&mut self, endpoint: u32, outcomes: OutcomeCounts, is_own: bool) {
+        self.fleet.count(endpoint, outcomes);
+        if !is_own && outcomes != OutcomeCounts::default() {
+            self.new_outcomes.entry(endpoint).or_default().add(outcomes);
         }
     }
 
-    fn note_moved(&mut self, moved: &[PrefixMove], is_own: bool) {
-        note(&mut self.moved, moved);
-        if !is_own && self.unheard.len() < MOVES {
-            self.unheard.extend_from_slice(moved);
+    fn record_moves(&mut self, moved: &[PrefixMove], is_own: bool) {
+        add_moves(&mut self.fleet_moves, moved);
+        if !is_own && self.new_moves.len() < MOVES_MAX {
+            self.new_moves.extend_from_slice(moved);
         }
     }
 
-    /// Takes what a hub of another data centre tells.
-    pub fn take(&mut self, from: SocketAddr, subtotal: &Subtotal, now: Millis) {
-        for (endpoint, answers) in self.centres.take(from, subtotal, now) {
-            self.count_fleet(endpoint, answers, false);
+    /// Applies a subtotal from a hub of another data centre.
+    pub fn receive_subtotal(&mut self, from: SocketAddr, subtotal: &Subtotal, now: Millis) {
+        for (endpoint, outcomes) in self.remote.apply(from, subtotal, now) {
+            self.count_fleet(endpoint, outcomes, false);
         }
-        self.note_moved(&subtotal.moved, false);
+        self.record_moves(&subtotal.moved, false);
     }
 
-    /// Reports that count here: in a large fleet those of the same data centre, since the others
-    /// are summed up in theirs.
-    pub fn counted(&self, centre: Option<DataCentreHash>) -> impl Iterator<Item = &Received> {
-        let counts = move |report: &&Received| {
+    /// Reports that are summed up here: in a large fleet only those of the same data centre, since
+    /// each data centre has its own hubs.
+    pub fn counted_reports(
+        &self,
+        centre: Option<DataCentreHash>,
+    ) -> impl Iterator<Item = &ReceivedReport> {
+        let counts = move |report: &&ReceivedReport| {
             report.is_full && centre.is_none_or(|centre| report.centre == centre)
         };
         self.reports.values().filter(counts)
     }
 
-    /// Requests in flight of the reporters.
+    /// Requests in flight of the reporters by endpoint.
     pub fn loads(&self, centre: Option<DataCentreHash>) -> HashMap<u32, u32> {
         let mut loads = HashMap::new();
-        for report in self.counted(centre) {
-            add(&mut loads, loads_of(&report.entries));
+        for report in self.counted_reports(centre) {
+            add_loads(&mut loads, loads_of(&report.entries));
         }
         loads
     }
 
-    /// Adds what other data centres have.
-    pub fn add_centres(&self, loads: &mut HashMap<u32, u32>) {
-        for (_, told) in self.centres.chosen() {
-            add(loads, told.copy.loads());
+    /// Adds the requests in flight of other data centres.
+    pub fn add_remote(&self, loads: &mut HashMap<u32, u32>) {
+        for (_, remote) in self.remote.chosen() {
+            add_loads(loads, remote.copy.loads());
         }
     }
 }
 
 /// Adds requests in flight by endpoint.
-pub fn add(loads: &mut HashMap<u32, u32>, others: impl Iterator<Item = (u32, u32)>) {
+pub fn add_loads(loads: &mut HashMap<u32, u32>, others: impl Iterator<Item = (u32, u32)>) {
     for (endpoint, in_flight) in others {
         let load = loads.entry(endpoint).or_default();
         *load = load.saturating_add(in_flight);
     }
 }
 
-/// A report's endpoints and its requests in flight there.
+/// Endpoints of a report, and its requests in flight there.
 pub fn loads_of(entries: &[ReportEntry]) -> impl Iterator<Item = (u32, u32)> {
     entries
         .iter()
         .map(|entry| (entry.endpoint, entry.in_flight))
 }
 
-/// Notes prefixes, no more than one message takes.
-fn note(known: &mut BTreeSet<PrefixMove>, moved: &[PrefixMove]) {
-    let room = MOVES.saturating_sub(known.len());
+/// Adds moved prefixes, up to the limit for one message.
+fn add_moves(known: &mut BTreeSet<PrefixMove>, moved: &[PrefixMove]) {
+    let room = MOVES_MAX.saturating_sub(known.len());
     known.extend(moved.iter().take(room));
 }
--- a/crates/core/src/routing/exchange/hub_messages.rs
+++ b/crates/core/src/routing/exchange/hub_messages.rs
@@ -1,118 +1,128 @@
-//! What a hub tells: the sums to its reporters, subtotals to other data centres.
+//! Messages of a hub: summaries for its reporters, subtotals for other data centres.
 
 use std::collections::HashMap;
 
-use super::evidence::News;
+use super::evidence::NewEvidence;
 use super::hot::shares;
-use super::hub::{Asked, add, loads_of};
+use super::hub::{PeerQuery, add_loads, loads_of};
 use super::members::DataCentreHash;
-use super::message::{Message, PrefixMove, Peers, Report, Subtotal, Summary};
-use super::{BEAT, Exchange, PeerUpdate, LIST_PAUSE, PeerCounts, Outgoing, is_due};
+use super::message::{Message, Peers, PrefixMove, Report, Subtotal, Summary};
+use super::{
+    Exchange, HEARTBEAT_INTERVAL, Outgoing, PEERS_INTERVAL, PeerCounts, PeerUpdate, is_due,
+};
 use crate::clock::Millis;
 
-/// Between two words to the hubs of other data centres. Each of these has two, and both are told
-/// by both, so that one that is lost costs a tick.
-const SUBTOTAL_PAUSE: Millis = Millis(200);
+/// Time between two subtotals to the hubs of other data centres. Both hubs of a data centre send to
+/// both hubs of each other one, so a lost subtotal delays the sums by one tick.
+const SUBTOTAL_INTERVAL: Millis = Millis(200);
 
 impl Exchange {
-    /// Answers those that asked who lives, at once: a daemon that has just started can't serve its
-    /// callers before it knows whom to follow.
+    /// Immediate replies to queries for the live daemons: a daemon that has just started can't
+    /// serve its callers before it knows which daemons to follow.
     pub fn replies(&mut self, now: Millis) -> Vec<Outgoing> {
-        let asked = std::mem::take(&mut self.hub.asked);
-        let answer = |Asked { by, centre, digest }| {
+        let queries = std::mem::take(&mut self.hub.queries);
+        let reply = |PeerQuery {
+                         from,
+                         centre,
+                         digest,
+                     }| {
             let mut summary = self.summary(now);
-            summary.peers = Some(Peers::new(&self.members.worth_telling(centre, now)));
-            summary.findings = self.evidence.findings(by, Some(digest), News::All, now);
-            (by, Message::Summary(summary))
+            summary.peers = Some(Peers::new(&self.members.peers_for(centre, now)));
+            summary.findings = self
+                .evidence
+                .findings(from, Some(digest), NewEvidence::All, now);
+            (from, Message::Summary(summary))
         };
-        asked.into_iter().map(answer).collect()
+        queries.into_iter().map(reply).collect()
     }
 
-    /// What all summaries say.
+    /// The fields that all summaries have in common.
     fn summary(&self, now: Millis) -> Summary {
         Summary {
-            daemons: self.summed_up(now),
-            live: self.counted(now),
+            daemons: self.summed_count(now),
+            live: self.local_live_count(now),
             link_class: self.members.ranks.link_class().0,
             centre: self.members.centre.0,
-            gathered: self.gathered_from(now),
+            reporters: self.reporter_count(now),
             cut_off: self.cut_off,
             digest: self.evidence.digest(),
             ..Summary::default()
         }
     }
 
-    /// The data centre whose daemons have hubs of their own with this one; none in a small fleet,
-    /// where all have the same.
-    pub(super) fn area(&self, now: Millis) -> Option<DataCentreHash> {
+    /// The data centre whose daemons share hubs with this one; `None` in a small fleet, where all
+    /// daemons share them.
+    pub(super) fn hub_scope(&self, now: Millis) -> Option<DataCentreHash> {
         self.is_large(now).then_some(self.members.centre)
     }
 
-    /// Daemons whose reports this one has, itself included.
-    pub(super) fn gathered_from(&self, now: Millis) -> u32 {
-        let others = self.hub.counted(self.area(now)).count();
+    /// Number of daemons whose reports this one sums up, itself included.
+    pub(super) fn reporter_count(&self, now: Millis) -> u32 {
+        let others = self.hub.counted_reports(self.hub_scope(now)).count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
     }
 
-    /// Daemons whose requests are in the sums.
-    fn summed_up(&self, now: Millis) -> u32 {
-        let gathered = self.gathered_from(now);
+    /// Number of daemons whose requests are in the sums.
+    fn summed_count(&self, now: Millis) -> u32 {
+        let reporters = self.reporter_count(now);
         match self.is_large(now) {
-            true => gathered.saturating_add(self.elsewhere()),
-            false => gathered,
+            true => reporters.saturating_add(self.remote_count()),
+            false => reporters,
         }
     }
 
-    /// Daemons that live as this one counts them, whatever others say.
-    fn counted(&self, now: Millis) -> u32 {
+    /// Number of live daemons by this daemon's own count, without the counts of others.
+    fn local_live_count(&self, now: Millis) -> u32 {
         if self.is_large(now) {
-            return self.summed_up(now);
+            return self.summed_count(now);
         }
-        let others = self.members.others(now).count();
+        let others = self.members.live_others(now).count();
         u32::try_from(1 + others).unwrap_or(u32::MAX)
     }
 
-    /// Daemons of other data centres, as their hubs tell.
-    fn elsewhere(&self) -> u32 {
-        let centres = self.hub.centres.chosen();
-        let daemons = centres.map(|(_, told)| told.daemons);
+    /// Number of daemons in other data centres, as their hubs report.
+    fn remote_count(&self) -> u32 {
+        let remote = self.hub.remote.chosen();
+        let daemons = remote.map(|(_, remote)| remote.daemons);
         daemons.fold(0, u32::saturating_add)
     }
 
-    /// Adds up what was reported, this daemon's own report with it, and tells who is to know.
-    pub(super) fn tell(&mut self, own: &Report, now: Millis) -> Vec<Outgoing> {
+    /// Sums up the reports, this daemon's own included; returns the messages that are due.
+    pub(super) fn publish_sums(&mut self, own: &Report, now: Millis) -> Vec<Outgoing> {
         self.hub.count(own, true);
-        let area = self.area(now);
-        let mut loads = self.hub.loads(area);
-        add(&mut loads, loads_of(&own.entries));
+        let scope = self.hub_scope(now);
+        let mut loads = self.hub.loads(scope);
+        add_loads(&mut loads, loads_of(&own.entries));
         self.hub.local.publish(&loads, now);
-        if area.is_some() {
-            self.hub.add_centres(&mut loads);
+        if scope.is_some() {
+            self.hub.add_remote(&mut loads);
         }
         self.hub.fleet.publish(&loads, now);
-        if area.is_some() && self.source(now) == Some(self.members.me) {
-            self.told = (self.counted(now) as usize, now);
+        if scope.is_some() && self.sums_source(now) == Some(self.members.me) {
+            self.reported_live = (self.local_live_count(now) as usize, now);
         }
         let mut out = self.subtotals(now);
         out.extend(self.summaries(now));
         out
     }
 
-    /// What each reporter asked for.
+    /// Summaries for the reporters, with what each asked for.
     fn summaries(&mut self, now: Millis) -> Vec<Outgoing> {
-        let is_beat = is_due(&mut self.hub.beat, BEAT, now);
-        let is_listed = is_due(&mut self.hub.listed, LIST_PAUSE, now);
-        if is_listed {
-            self.hub.counts.fade(now);
-            let told = self.hub.centres.chosen();
-            let others = told.map(|(_, told)| &told.prefixes);
-            self.hub.hot = self.hub.counts.hot(others);
+        let is_heartbeat_due = is_due(&mut self.hub.heartbeat_at, HEARTBEAT_INTERVAL, now);
+        let are_peers_due = is_due(&mut self.hub.peers_at, PEERS_INTERVAL, now);
+        if are_peers_due {
+            self.hub.prefixes.decay(now);
+            let remote = self.hub.remote.chosen();
+            let others = remote.map(|(_, remote)| &remote.prefixes);
+            self.hub.hot = self.hub.prefixes.hot(others);
         }
         let common = self.summary(now);
-        let moved: Vec<PrefixMove> = std::mem::take(&mut self.hub.moved).into_iter().collect();
+        let moved: Vec<PrefixMove> = std::mem::take(&mut self.hub.fleet_moves)
+            .into_iter()
+            .collect();
         let mut lists: HashMap<DataCentreHash, Peers> = HashMap::new();
         let mut list = |to: DataCentreHash| {
-            let peers = || Peers::new(&self.members.worth_telling(to, now));
+            let peers = || Peers::new(&self.members.peers_for(to, now));
             Some(lists.entry(to).or_insert_with(peers).clone())
         };
         let mut out = Vec::new();
@@ -122,12 +132,14 @@
                 summary.delta = Some(self.hub.fleet.delta_since(report.reached));
                 summary.moved.clone_from(&moved);
                 let digest = Some(report.digest);
-                summary.findings = self.evidence.findings(*address, digest, News::All, now);
-                if is_listed {
+                summary.findings = self
+                    .evidence
+                    .findings(*address, digest, NewEvidence::All, now);
+                if are_peers_due {
                     summary.peers = list(report.centre);
                     summary.hot.clone_from(&self.hub.hot);
                 }
-            } else if !is_beat {
+            } else if !is_heartbeat_due {
                 continue;
             }
             out.push((*address, Message::Summary(summary)));
@@ -135,18 +147,18 @@
         out
     }
 
-    /// What the hubs of other data centres have to know of this one, if it is time to tell.
+    /// Subtotals for the hubs of other data centres, if they are due.
     fn subtotals(&mut self, now: Millis) -> Vec<Outgoing> {
         let is_hub = self.is_large(now) && self.hubs(now).contains(&self.members.me);
-        if !is_hub || !is_due(&mut self.hub.told, SUBTOTAL_PAUSE, now) {
+        if !is_hub || !is_due(&mut self.hub.subtotals_at, SUBTOTAL_INTERVAL, now) {
             return Vec::new();
         }
-        let is_listed = is_due(&mut self.hub.listed_far, LIST_PAUSE, now);
-        let moved = std::mem::take(&mut self.hub.moved_here);
-        let prefixes = is_listed.then(|| self.hub.counts.prefixes());
+        let are_peers_due = is_due(&mut self.hub.remote_peers_at, PEERS_INTERVAL, now);
+        let moved = std::mem::take(&mut self.hub.local_moves);
+        let prefixes = are_peers_due.then(|| self.hub.prefixes.prefixes());
         let common = Subtotal {
             prefixes,
-            daemons: self.gathered_from(now),
+            daemons: self.reporter_count(now),
             link_class: self.members.ranks.link_class().0,
             moved: moved.into_iter().collect(),
             centre: self.members.centre.0,
@@ -156,17 +168,17 @@
         };
         let mut out = Vec::new();
         for centre in self.members.other_centres(now) {
-            let peers = || Peers::new(&self.members.worth_telling(centre, now));
-            let peers = is_listed.then(peers);
+            let peers = || Peers::new(&self.members.peers_for(centre, now));
+            let peers = are_peers_due.then(peers);
             for hub in self.members.hubs_of(Some(centre), now) {
-                let told = self.hub.centres.told(&hub);
-                let reached = told.and_then(|told| told.reached);
-                let digest = told.map(|told| told.digest);
+                let remote = self.hub.remote.get(&hub);
+                let reached = remote.and_then(|remote| remote.reached);
+                let digest = remote.map(|remote| remote.digest);
                 let subtotal = Subtotal {
                     delta: Some(self.hub.local.delta_since(reached)),
                     peers: peers.clone(),
-                    findings: self.evidence.findings(hub, digest, News::All, now),
-                    reached: told.and_then(|told| told.copy.reached()),
+                    findings: self.evidence.findings(hub, digest, NewEvidence::All, now),
+                    reached: remote.and_then(|remote| remote.copy.reached()),
                     ..common.clone()
                 };
                 out.push((hub, Message::Subtotal(subtotal)));
@@ -175,32 +187,35 @@
         out
     }
 
-    /// What the reports that this daemon got say of the others, unless a hub knows better.
+    /// The update from reports to this daemon as a hub; `None` if another hub is asked for sums, or
+    /// if the reports cover too few daemons.
     pub fn hub_update(&mut self, now: Millis) -> Option<PeerUpdate> {
-        if self.source(now) != Some(self.members.me) || !self.is_wide(self.summed_up(now), now) {
+        if self.sums_source(now) != Some(self.members.me)
+            || !self.has_coverage(self.summed_count(now), now)
+        {
             return None;
         }
-        let mut loads = self.hub.loads(self.area(now));
+        let mut loads = self.hub.loads(self.hub_scope(now));
         if self.is_large(now) {
-            self.hub.add_centres(&mut loads);
+            self.hub.add_remote(&mut loads);
         }
-        let mut heard = PeerUpdate {
+        let mut update = PeerUpdate {
             hot: shares(&self.hub.hot),
-            moved: std::mem::take(&mut self.hub.unheard),
+            moved: std::mem::take(&mut self.hub.new_moves),
             ..PeerUpdate::default()
         };
         for (endpoint, in_flight) in loads {
-            heard.endpoints.entry(endpoint).or_default().in_flight = in_flight;
+            update.endpoints.entry(endpoint).or_default().in_flight = in_flight;
         }
-        for (endpoint, answers) in self.hub.news.drain() {
-            let others: &mut PeerCounts = heard.endpoints.entry(endpoint).or_default();
-            others.good = answers.good;
-            others.bad = answers.bad;
+        for (endpoint, outcomes) in self.hub.new_outcomes.drain() {
+            let others: &mut PeerCounts = update.endpoints.entry(endpoint).or_default();
+            others.good = outcomes.good;
+            others.bad = outcomes.bad;
         }
-        Some(heard)
+        Some(update)
     }
 
-    /// Whether this daemon has reports of others.
+    /// Whether this daemon has received reports, and so acts as a hub.
     pub fn has_reports(&self) -> bool {
         !self.hub.reports.is_empty()
     }
--- a/crates/core/src/routing/exchange/members.rs
+++ b/crates/core/src/routing/exchange/members.rs
@@ -1,4 +1,4 @@
-//! Which other daemons live, where, and what they are fit for.
+//! The known live daemons, with their data centres and ranks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,24 +7,25 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::message::Peer;
-use super::roles::{Ranks, Role, LinkClass, holders};
-use super::{HUBS, LARGE, SILENT, short_key};
+use super::roles::{LinkClass, Ranks, Role, role_holders};
+use super::{HUBS, LARGE_FLEET, SILENCE_TIMEOUT, short_key};
 use crate::clock::Millis;
 use crate::ids::DataCentreId;
 
-/// Silence after which a daemon that others tell of counts as gone: [`SILENT`], so that the next in
-/// rank are still known when hubs have died, and two lists more, one of which may be lost.
-const TOLD_SILENT: Millis = Millis(2100);
-/// Time by which others have to have heard a daemon later than this one for their word to count.
-/// Ages on the way leave out the way itself, and would have one that died seem to live longer.
-const LATER: Millis = Millis(300);
-/// Silence after which a daemon is forgotten.
-const FORGOTTEN: Millis = Millis::from_secs(10);
-/// Daemons that are told of for each role in a large fleet, the first in rank: enough to replace
-/// those that hold it, several times over. Lists of all took 18 KB a second and daemon at 300.
-pub const TOLD: usize = 8;
-
-/// Short form of a data centre's id in messages.
+/// Silence after which a daemon that is known through others counts as lost. Includes
+/// [`SILENCE_TIMEOUT`], so that the next in rank are still known when hubs have failed, and the
+/// time of two more lists, one of which may be lost.
+const INDIRECT_TIMEOUT: Millis = Millis(2100);
+/// Margin by which an indirect contact must be later than a direct one to replace it. Reported ages
+/// don't include the time in transit, which would make a failed daemon seem to live longer.
+const INDIRECT_MARGIN: Millis = Millis(300);
+/// Silence after which a daemon is removed.
+const REMOVAL_TIMEOUT: Millis = Millis::from_secs(10);
+/// Daemons that are listed for each role in a large fleet, the first in rank: enough to replace the
+/// holders several times over. Lists of all daemons took 18 KB a second for each daemon at 300.
+pub const LISTED_PER_ROLE: usize = 8;
+
+/// Hash of a data centre's id, its short form in messages.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Debug)]
 pub struct DataCentreHash(pub u32);
@@ -38,94 +39,98 @@
 /// What is known of another daemon.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
-pub struct Seen {
-    /// When it last showed life.
+pub struct Member {
+    /// Time of the last contact.
     pub at: Millis,
-    /// Whether it did so here, not at another daemon.
-    pub here: bool,
-    /// Whether it had lost the platform then.
+    /// Whether that contact was with this daemon, not with another one that reported it.
+    pub is_direct: bool,
+    /// Whether it had lost its connection to the platform then.
     pub cut_off: bool,
-    /// Its ranks.
+    /// Its ranks for the roles.
     pub ranks: Ranks,
     /// Its data centre.
     pub centre: DataCentreHash,
 }
 
-/// The daemons that one knows, itself included.
+/// This daemon, and the other daemons that it knows.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Members {
-    /// This daemon.
+    /// Address of this daemon.
     pub me: SocketAddr,
     /// Its data centre.
     pub centre: DataCentreHash,
-    /// Its ranks.
+    /// Its ranks for the roles.
     pub ranks: Ranks,
-    seen: HashMap<SocketAddr, Seen>,
+    others: HashMap<SocketAddr, Member>,
 }
 
 impl Members {
-    /// This daemon alone.
+    /// Only this daemon is known.
     pub fn new(me: SocketAddr) -> Self {
         Self {
             me,
             centre: DataCentreHash::default(),
             ranks: Ranks::new(me, LinkClass::default()),
-            seen: HashMap::new(),
+            others: HashMap::new(),
         }
     }
 
-    /// Forgets daemons that were silent for long.
-    pub fn forget(&mut self, now: Millis) {
-        self.seen.retain(|_, seen| now.since(seen.at) < FORGOTTEN);
+    /// Removes daemons that have been silent for long.
+    pub fn expire(&mut self, now: Millis) {
+        self.others
+            .retain(|_, member| now.since(member.at) < REMOVAL_TIMEOUT);
     }
 
-    /// The other daemons that live.
-    pub fn others(&self, now: Millis) -> impl Iterator<Item = (SocketAddr, Seen)> {
-        let live = move |(_, seen): &(&SocketAddr, &Seen)| {
-            let silent = match seen.here {
-                true => SILENT,
-                false => TOLD_SILENT,
+    /// The other live daemons.
+    pub fn live_others(&self, now: Millis) -> impl Iterator<Item = (SocketAddr, Member)> {
+        let live = move |(_, member): &(&SocketAddr, &Member)| {
+            let timeout = match member.is_direct {
+                true => SILENCE_TIMEOUT,
+                false => INDIRECT_TIMEOUT,
             };
-            now.since(seen.at) < silent
+            now.since(member.at) < timeout
         };
-        self.seen
+        self.others
             .iter()
             .filter(live)
-            .map(|(address, seen)| (*address, *seen))
+            .map(|(address, member)| (*address, *member))
     }
 
-    /// The other daemons that reach the platform.
-    pub fn reachers(&self, now: Millis) -> impl Iterator<Item = (SocketAddr, Seen)> {
-        self.others(now).filter(|(_, seen)| !seen.cut_off)
+    /// The other live daemons that reach the platform.
+    pub fn with_platform(&self, now: Millis) -> impl Iterator<Item = (SocketAddr, Member)> {
+        self.live_others(now).filter(|(_, member)| !member.cut_off)
     }
 
-    /// The daemons that hold the hubs' role in one data centre, or in the whole fleet; this one
-    /// among them if it does.
-    pub fn hubs_of(&self, area: Option<DataCentreHash>, now: Millis) -> Vec<SocketAddr> {
-        let is_here = |centre| area.is_none_or(|area| centre == area);
-        let others = self.others(now).filter(|(_, seen)| is_here(seen.centre));
+    /// The hubs of one data centre, or of the fleet if `scope` is `None`; includes this daemon if
+    /// it is a hub.
+    pub fn hubs_of(&self, scope: Option<DataCentreHash>, now: Millis) -> Vec<SocketAddr> {
+        let is_here = |centre| scope.is_none_or(|scope| centre == scope);
+        let others = self
+            .live_others(now)
+            .filter(|(_, member)| is_here(member.centre));
         let own = is_here(self.centre).then_some((self.me, self.ranks));
-        holders(others.map(ranked).chain(own), Role::Hub, HUBS)
+        role_holders(others.map(ranked).chain(own), Role::Hub, HUBS)
     }
 
-    /// Data centres in which other daemons live, but for the own one.
+    /// The other data centres with live daemons.
     pub fn other_centres(&self, now: Millis) -> Vec<DataCentreHash> {
-        let centres = self.others(now).map(|(_, seen)| seen.centre);
-        let mut centres: Vec<DataCentreHash> = centres.filter(|centre| *centre != self.centre).collect();
+        let centres = self.live_others(now).map(|(_, member)| member.centre);
+        let mut centres: Vec<DataCentreHash> =
+            centres.filter(|centre| *centre != self.centre).collect();
         centres.sort_unstable();
         centres.dedup();
         centres
     }
 
     fn ranks_of(&self, address: SocketAddr, link_class: LinkClass) -> Ranks {
-        let known = self.seen.get(&address).map(|seen| seen.ranks);
+        let known = self.others.get(&address).map(|member| member.ranks);
         let same = known.filter(|ranks| ranks.link_class() == link_class);
         same.unwrap_or_else(|| Ranks::new(address, link_class))
     }
 
-    /// Notes a message of a daemon.
-    pub fn hear(
+    /// Records a message from a daemon.
+    pub fn record_contact(
         &mut self,
         address: SocketAddr,
         link_class: LinkClass,
@@ -133,80 +138,83 @@
         cut_off: bool,
         now: Millis,
     ) {
-        let seen = Seen {
+        let member = Member {
             at: now,
-            here: true,
+            is_direct: true,
             cut_off,
             ranks: self.ranks_of(address, link_class),
             centre,
         };
-        self.seen.insert(address, seen);
+        self.others.insert(address, member);
     }
 
-    /// Notes word that a daemon showed life some time ago.
-    pub fn hear_of(&mut self, peer: &Peer, now: Millis) {
+    /// Records a contact that another daemon had with a peer.
+    pub fn record_indirect(&mut self, peer: &Peer, now: Millis) {
         if peer.address == self.me {
             return;
         }
-        let heard = Seen {
+        let indirect = Member {
             at: now - peer.age,
-            here: false,
+            is_direct: false,
             cut_off: peer.cut_off,
             ranks: self.ranks_of(peer.address, peer.link_class),
             centre: peer.centre,
         };
-        let seen = self.seen.entry(peer.address).or_insert(heard);
-        let margin = match seen.here {
-            true => LATER,
+        let known = self.others.entry(peer.address).or_insert(indirect);
+        let margin = match known.is_direct {
+            true => INDIRECT_MARGIN,
             false => Millis::ZERO,
         };
-        if heard.at > seen.at + margin {
-            *seen = heard;
+        if indirect.at > known.at + margin {
+            *known = indirect;
         }
     }
 
-    /// Daemons that live and may hold a role soon, as a daemon of a data centre has to know
-    /// them; in a small fleet all.
-    pub fn worth_telling(&self, to: DataCentreHash, now: Millis) -> Vec<Peer> {
-        let mut live: Vec<(SocketAddr, Seen)> = self.others(now).collect();
-        if live.len() > LARGE {
+    /// The live daemons to list for a daemon in a data centre: those that hold a role or may soon
+    /// hold one; all of them in a small fleet.
+    pub fn peers_for(&self, to: DataCentreHash, now: Millis) -> Vec<Peer> {
+        let mut live: Vec<(SocketAddr, Member)> = self.live_others(now).collect();
+        if live.len() > LARGE_FLEET {
             live = first_in_rank(live, to);
         }
-        let peer = |(address, seen): (SocketAddr, Seen)| Peer {
+        let peer = |(address, member): (SocketAddr, Member)| Peer {
             address,
-            age: now.since(seen.at),
-            cut_off: seen.cut_off,
-            link_class: seen.ranks.link_class(),
-            centre: seen.centre,
+            age: now.since(member.at),
+            cut_off: member.cut_off,
+            link_class: member.ranks.link_class(),
+            centre: member.centre,
         };
         live.into_iter().map(peer).collect()
     }
 }
 
-/// The first in rank for each role: watchers of the whole fleet, hubs of a data centre, and the
-/// hubs of each other one.
-fn first_in_rank(mut live: Vec<(SocketAddr, Seen)>, to: DataCentreHash) -> Vec<(SocketAddr, Seen)> {
+/// The first daemons in rank for each role: watchers of the fleet, hubs of data centre `to`, and
+/// the hubs of each other data centre.
+fn first_in_rank(
+    mut live: Vec<(SocketAddr, Member)>,
+    to: DataCentreHash,
+) -> Vec<(SocketAddr, Member)> {
     live.sort_by(|(_, a), (_, b)| a.ranks.order(&b.ranks, Role::Watcher));
-    // Of watchers, too, it has to be known that they have lost the platform. The other places are
-    // for those that reach it.
-    live[TOLD / 2..].sort_by_key(|(_, seen)| seen.cut_off);
-    let mut rest = live.split_off(TOLD);
+    // Half of the places go to the first in rank even if they have lost the platform, so that this
+    // is known; the others go first to daemons that reach it.
+    live[LISTED_PER_ROLE / 2..].sort_by_key(|(_, member)| member.cut_off);
+    let mut rest = live.split_off(LISTED_PER_ROLE);
     rest.sort_by(|(_, a), (_, b)| a.ranks.order(&b.ranks, Role::Hub));
-    let mut told: HashMap<DataCentreHash, usize> = HashMap::new();
-    rest.retain(|(_, seen)| {
-        let most = match seen.centre == to {
-            true => TOLD,
+    let mut listed: HashMap<DataCentreHash, usize> = HashMap::new();
+    rest.retain(|(_, member)| {
+        let limit = match member.centre == to {
+            true => LISTED_PER_ROLE,
             false => HUBS,
         };
-        let count = told.entry(seen.centre).or_default();
+        let count = listed.entry(member.centre).or_default();
         *count += 1;
-        *count <= most
+        *count <= limit
     });
     live.extend(rest);
     live
 }
 
-/// A daemon with its ranks.
-pub const fn ranked((address, seen): (SocketAddr, Seen)) -> (SocketAddr, Ranks) {
-    (address, seen.ranks)
+/// Pairs a daemon's address with its ranks.
+pub const fn ranked((address, member): (SocketAddr, Member)) -> (SocketAddr, Ranks) {
+    (address, member.ranks)
 }
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the exchange, coded by `prost`.
+//! Datagrams of the exchange, encoded as Protocol Buffers.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -6,15 +6,15 @@
 use prost::{DecodeError, Message as _, Oneof};
 
 use super::LinkClass;
-use super::board::{OutcomeCounts, Delta, Version};
 use super::evidence::Findings;
 use super::members::DataCentreHash;
+use super::sums::{Delta, OutcomeCounts, Version};
 use crate::clock::Millis;
 
 /// Result of reading a datagram.
 pub type Result<T> = std::result::Result<T, DecodeError>;
 
-/// One endpoint in a report.
+/// One endpoint in a daemon's report.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct ReportEntry {
@@ -24,7 +24,7 @@
     /// Requests in flight.
     #[prost(uint32, tag = "2")]
     pub in_flight: u32,
-    /// Good answers since the last report.
+    /// Successful attempts since the last report.
     #[prost(uint32, tag = "3")]
     pub good: u32,
     /// Failed attempts since the last report.
@@ -33,8 +33,8 @@
 }
 
 impl ReportEntry {
-    /// Its answers since the last report.
-    pub const fn answers(&self) -> OutcomeCounts {
+    /// Outcomes since the last report.
+    pub const fn outcomes(&self) -> OutcomeCounts {
         OutcomeCounts {
             good: self.good,
             bad: self.bad,
@@ -42,32 +42,32 @@
     }
 }
 
-/// What one daemon has at endpoints.
+/// One daemon's requests at endpoints, sent to hubs.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Report {
-    /// Endpoints with requests in flight or outcomes.
+    /// Endpoints with requests in flight or with outcomes since the last report.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<ReportEntry>,
-    /// Whether the daemon has lost the platform.
+    /// Whether the daemon has lost its connection to the platform.
     #[prost(bool, tag = "2")]
     pub cut_off: bool,
     /// Requests with shared prefixes that were sent since the last report.
     #[prost(message, repeated, tag = "3")]
     pub sent: Vec<PrefixCount>,
-    /// How strong the daemon's VM is.
+    /// Link class of the daemon's VM.
     #[prost(uint32, tag = "4")]
     pub link_class: u32,
-    /// Prefixes that went elsewhere than rank and age say, since the last report.
+    /// Prefixes sent elsewhere than to the endpoint that rank and age give, since the last report.
     #[prost(message, repeated, tag = "5")]
     pub moved: Vec<PrefixMove>,
     /// Short form of the daemon's data centre.
     #[prost(fixed32, tag = "6")]
     pub centre: u32,
-    /// What the daemon has reached of the hub's sums.
+    /// The version of the hub's sums that the daemon has reached.
     #[prost(message, optional, tag = "7")]
     pub reached: Option<Version>,
-    /// What is asked for.
+    /// What the receiver is asked for.
     #[prost(enumeration = "Wish", tag = "8")]
     pub wish: i32,
     /// Evidence against requests.
@@ -82,27 +82,27 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, prost::Enumeration)]
 pub enum Wish {
-    /// A sign of life.
-    Life = 0,
+    /// A heartbeat.
+    Heartbeat = 0,
     /// The sums.
     Sums = 1,
-    /// Who lives, once.
+    /// The live daemons, once.
     Peers = 2,
 }
 
-/// Requests with one shared prefix.
+/// Number of requests with one shared prefix.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct PrefixCount {
     /// Short form of the prefix's key.
     #[prost(fixed32, tag = "1")]
     pub prefix: u32,
-    /// Requests.
+    /// Number of requests.
     #[prost(uint32, tag = "2")]
     pub count: u32,
 }
 
-/// A shared prefix and an endpoint that was sent it.
+/// A shared prefix, and an endpoint to which it was sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(prost::Message)]
 pub struct PrefixMove {
@@ -117,7 +117,7 @@
 /// A shared prefix that gets much of the traffic.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Hot {
+pub struct HotPrefix {
     /// Short form of the prefix's key.
     #[prost(fixed32, tag = "1")]
     pub prefix: u32,
@@ -126,29 +126,29 @@
     pub share: u32,
 }
 
-impl Hot {
-    /// The share of all requests.
-    pub const WHOLE: f64 = 1e6;
+impl HotPrefix {
+    /// Value of `share` for all requests.
+    pub const SCALE: f64 = 1e6;
 }
 
-/// A daemon that lives.
+/// A live daemon.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Peer {
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
-    /// Time since it last showed life.
+    /// Time since the last contact with it.
     pub age: Millis,
-    /// Whether it has lost the platform.
+    /// Whether it has lost its connection to the platform.
     pub cut_off: bool,
-    /// How strong its VM is.
+    /// Link class of its VM.
     pub link_class: LinkClass,
     /// Its data centre.
     pub centre: DataCentreHash,
 }
 
-/// Daemons that live; one entry of each column makes a daemon. A message for each took twice the
-/// bytes.
+/// Live daemons; the entries at one index of all columns describe one daemon. A message for each
+/// took twice the bytes.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Peers {
@@ -158,10 +158,10 @@
     /// Ports.
     #[prost(uint32, repeated, tag = "2")]
     ports: Vec<u32>,
-    /// Milliseconds since they last showed life.
+    /// Times since the last contacts, in milliseconds.
     #[prost(uint32, repeated, tag = "3")]
     ages: Vec<u32>,
-    /// How strong their VMs are, doubled, and one more for those that have lost the platform.
+    /// Link classes of their VMs, doubled, plus one for daemons that have lost the platform.
     #[prost(uint32, repeated, tag = "4")]
     states: Vec<u32>,
     /// Short forms of their data centres.
@@ -170,7 +170,7 @@
 }
 
 impl Peers {
-    /// Daemons to tell of; those that aren't reached by IPv4 are left out.
+    /// Encodes daemons; those without an IPv4 address are left out.
     pub fn new(peers: &[Peer]) -> Self {
         let mut columns = Self::default();
         for peer in peers {
@@ -188,7 +188,7 @@
         columns
     }
 
-    /// The daemons.
+    /// Decodes the daemons.
     pub fn all(&self) -> impl Iterator<Item = Peer> {
         let addresses = self.ips.iter().zip(&self.ports);
         let states = self.ages.iter().zip(&self.states);
@@ -206,38 +206,38 @@
     }
 }
 
-/// What daemons have at endpoints together.
+/// Requests of all daemons at endpoints, sent by a hub to its reporters.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Summary {
-    /// The sums, as far as they are news.
+    /// The sums that are new to the receiver.
     #[prost(message, optional, tag = "1")]
     pub delta: Option<Delta>,
-    /// Daemons that live; not in every summary.
+    /// Live daemons; not in every summary.
     #[prost(message, optional, tag = "2")]
     pub peers: Option<Peers>,
-    /// Shared prefixes that get much of the traffic.
+    /// Shared prefixes that get much of the traffic; not in every summary.
     #[prost(message, repeated, tag = "3")]
-    pub hot: Vec<Hot>,
-    /// How many daemons it sums up.
+    pub hot: Vec<HotPrefix>,
+    /// Number of daemons in the sums.
     #[prost(uint32, tag = "4")]
     pub daemons: u32,
-    /// How many daemons live.
+    /// Number of live daemons.
     #[prost(uint32, tag = "5")]
     pub live: u32,
-    /// How strong the hub's VM is.
+    /// Link class of the hub's VM.
     #[prost(uint32, tag = "6")]
     pub link_class: u32,
-    /// Prefixes that went elsewhere than rank and age say.
+    /// Prefixes sent elsewhere than to the endpoint that rank and age give.
     #[prost(message, repeated, tag = "7")]
     pub moved: Vec<PrefixMove>,
     /// Short form of the hub's data centre.
     #[prost(fixed32, tag = "8")]
     pub centre: u32,
-    /// How many daemons report to the hub, itself included.
+    /// Number of daemons that report to the hub, itself included.
     #[prost(uint32, tag = "9")]
-    pub gathered: u32,
-    /// Whether the hub has lost the platform.
+    pub reporters: u32,
+    /// Whether the hub has lost its connection to the platform.
     #[prost(bool, tag = "10")]
     pub cut_off: bool,
     /// Evidence against requests.
@@ -248,47 +248,48 @@
     pub digest: u64,
 }
 
-/// Requests with shared prefixes in one data centre, the old ones fading.
+/// Requests with shared prefixes in one data centre, with exponential decay.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
-pub struct Prefixes {
-    /// The prefixes that get most of them.
+pub struct PrefixTotals {
+    /// The most frequent prefixes.
     #[prost(message, repeated, tag = "1")]
     pub most: Vec<PrefixCount>,
-    /// All requests, also those of other prefixes.
+    /// Number of requests with any shared prefix.
     #[prost(uint32, tag = "2")]
     pub total: u32,
 }
 
-/// What the daemons of one data centre have at endpoints together, for hubs of the others.
+/// Requests of the daemons of one data centre at endpoints, sent by its hubs to those of the
+/// others.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Subtotal {
-    /// The sums, as far as they are news.
+    /// The sums that are new to the receiver.
     #[prost(message, optional, tag = "1")]
     pub delta: Option<Delta>,
-    /// Daemons that live; not in every subtotal.
+    /// Live daemons; not in every subtotal.
     #[prost(message, optional, tag = "2")]
     pub peers: Option<Peers>,
-    /// Shared prefixes; not in every subtotal.
+    /// Requests with shared prefixes; not in every subtotal.
     #[prost(message, optional, tag = "3")]
-    pub prefixes: Option<Prefixes>,
-    /// How many daemons it sums up.
+    pub prefixes: Option<PrefixTotals>,
+    /// Number of daemons in the sums.
     #[prost(uint32, tag = "4")]
     pub daemons: u32,
-    /// How strong the hub's VM is.
+    /// Link class of the hub's VM.
     #[prost(uint32, tag = "5")]
     pub link_class: u32,
-    /// Prefixes that went elsewhere than rank and age say.
+    /// Prefixes sent elsewhere than to the endpoint that rank and age give.
     #[prost(message, repeated, tag = "6")]
     pub moved: Vec<PrefixMove>,
     /// Short form of the hub's data centre.
     #[prost(fixed32, tag = "7")]
     pub centre: u32,
-    /// Whether the hub has lost the platform.
+    /// Whether the hub has lost its connection to the platform.
     #[prost(bool, tag = "8")]
     pub cut_off: bool,
-    /// What the hub has reached of the receiver's sums.
+    /// The version of the receiver's sums that the hub has reached.
     #[prost(message, optional, tag = "9")]
     pub reached: Option<Version>,
     /// Evidence against requests.
@@ -299,12 +300,12 @@
     pub digest: u64,
 }
 
-/// A datagram.
+/// A message of the exchange.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Message {
     /// From a daemon to a hub.
     Report(Report),
-    /// From a hub to a daemon.
+    /// From a hub to a daemon that reports to it.
     Summary(Summary),
     /// From a hub to a hub of another data centre.
     Subtotal(Subtotal),
@@ -313,7 +314,7 @@
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 struct Datagram {
-    // Tags 1 and 2 were reports and summaries without versions.
+    // Tags 1 and 2 were used for reports and summaries without versions.
     #[prost(oneof = "Content", tags = "3, 4, 5")]
     content: Option<Content>,
 }
@@ -329,17 +330,17 @@
     Subtotal(Subtotal),
 }
 
-/// What each message says of its sender.
+/// The fields about the sender that all messages have.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
 pub struct Sender<'a> {
-    /// How strong its VM is.
+    /// Link class of its VM.
     pub link_class: LinkClass,
     /// Its data centre.
     pub centre: DataCentreHash,
-    /// Whether it has lost the platform.
+    /// Whether it has lost its connection to the platform.
     pub cut_off: bool,
-    /// Evidence against requests that it tells.
+    /// Evidence against requests in the message.
     pub findings: Option<&'a Findings>,
 }
 
@@ -360,22 +361,31 @@
 }
 
 impl Message {
-    /// What it says of its sender.
+    /// The fields about the sender.
     pub const fn sender(&self) -> Sender<'_> {
         match self {
-            Self::Report(told) => {
-                Sender::new(told.link_class, told.centre, told.cut_off, &told.findings)
-            }
-            Self::Summary(told) => {
-                Sender::new(told.link_class, told.centre, told.cut_off, &told.findings)
-            }
-            Self::Subtotal(told) => {
-                Sender::new(told.link_class, told.centre, told.cut_off, &told.findings)
-            }
+            Self::Report(message) => Sender::new(
+                message.link_class,
+                message.centre,
+                message.cut_off,
+                &message.findings,
+            ),
+            Self::Summary(message) => Sender::new(
+                message.link_class,
+                message.centre,
+                message.cut_off,
+                &message.findings,
+            ),
+            Self::Subtotal(message) => Sender::new(
+                message.link_class,
+                message.centre,
+                message.cut_off,
+                &message.findings,
+            ),
         }
     }
 
-    /// The datagram.
+    /// Encodes the message as a datagram.
     pub fn encode(self) -> Bytes {
         let content = match self {
             Self::Report(report) => Content::Report(report),
@@ -386,11 +396,11 @@
         Datagram { content }.encode_to_vec().into()
     }
 
-    /// Reads a datagram; none if it carries what only newer daemons know.
+    /// Decodes a datagram; `None` for a kind of message that only newer daemons know.
     ///
     /// # Errors
     ///
-    /// When it isn't a datagram of the exchange.
+    /// If the bytes aren't a datagram of the exchange.
     pub fn decode(bytes: &[u8]) -> Result<Option<Self>> {
         let datagram = Datagram::decode(bytes)?;
         Ok(datagram.content.map(|content| match content {
--- a/crates/core/src/routing/exchange/own_share.rs
+++ b/crates/core/src/routing/exchange/own_share.rs
@@ -1,72 +1,79 @@
-//! This daemon's share of the sums that it is told.
+//! Subtracts this daemon's own share from the sums that it receives.
 //!
-//! Sums are the same for all listeners, so that each takes its own share off:
-//! loads as last reported, and outcomes that were reported and haven't come
-//! back yet.
+//! Hubs send the same sums to all daemons, so each subtracts its own share:
+//! loads as last reported, and outcomes that it has reported and not yet seen
+//! in the sums.
 
 use std::collections::HashMap;
 
 use derive_more::Debug;
 
-use super::board::{OutcomeCounts, SumsCopy};
 use super::hub::loads_of;
 use super::message::Report;
-use super::{PeerUpdate, PeerCounts};
+use super::sums::{OutcomeCounts, SumsCopy};
+use super::{PeerCounts, PeerUpdate};
 use crate::clock::Millis;
 
-/// Time in which outcomes that were reported come back in sums; those that don't were lost on
-/// the way. Rows with good answers wait two seconds at a hub at the most.
-const BACK: Millis = Millis(2500);
+/// Time in which reported outcomes appear in the sums; after that they count as lost in transit. A
+/// hub delays rows with successful attempts by two seconds at most.
+const ECHO_TIMEOUT: Millis = Millis(2500);
 
-/// What this daemon reported.
+/// Loads and outcomes that this daemon has reported.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Own {
+pub struct OwnShare {
     loads: HashMap<u32, u32>,
-    answers: HashMap<u32, (OutcomeCounts, Millis)>,
+    /// Outcomes not yet seen in the sums, and when the last of them were reported.
+    outcomes: HashMap<u32, (OutcomeCounts, Millis)>,
 }
 
-impl Own {
-    /// Notes a report.
-    pub fn note(&mut self, report: &Report, now: Millis) {
+impl OwnShare {
+    /// Records a report.
+    pub fn record(&mut self, report: &Report, now: Millis) {
         self.loads = loads_of(&report.entries).collect();
-        self.answers.retain(|_, (_, at)| now.since(*at) < BACK);
+        self.outcomes
+            .retain(|_, (_, at)| now.since(*at) < ECHO_TIMEOUT);
         for entry in &report.entries {
-            let answers = entry.answers();
-            if answers != OutcomeCounts::default() {
-                let (known, at) = self.answers.entry(entry.endpoint).or_default();
-                known.add(answers);
+            let outcomes = entry.outcomes();
+            if outcomes != OutcomeCounts::default() {
+                let (known, at) = self.outcomes.entry(entry.endpoint).or_default();
+                known.add(outcomes);
                 *at = now;
             }
         }
     }
 
-    /// What the others have, by the sums and the answers that are news in them.
-    pub fn others(&mut self, sums: &SumsCopy, news: Vec<(u32, OutcomeCounts)>) -> PeerUpdate {
-        let mut heard = PeerUpdate::default();
+    /// The update with what the other daemons have, from the sums and their new outcomes.
+    pub fn subtract_from(
+        &mut self,
+        sums: &SumsCopy,
+        new_outcomes: Vec<(u32, OutcomeCounts)>,
+    ) -> PeerUpdate {
+        let mut update = PeerUpdate::default();
         for (endpoint, in_flight) in sums.loads() {
             let own = self.loads.get(&endpoint).copied().unwrap_or_default();
             let others = PeerCounts {
                 in_flight: in_flight.saturating_sub(own),
                 ..PeerCounts::default()
             };
-            heard.endpoints.insert(endpoint, others);
+            update.endpoints.insert(endpoint, others);
         }
-        for (endpoint, answers) in news {
-            let left = self.take_off(endpoint, answers);
-            let others = heard.endpoints.entry(endpoint).or_default();
+        for (endpoint, outcomes) in new_outcomes {
+            let left = self.subtract(endpoint, outcomes);
+            let others = update.endpoints.entry(endpoint).or_default();
             others.good = left.good;
             others.bad = left.bad;
         }
-        heard
+        update
     }
 
-    fn take_off(&mut self, endpoint: u32, answers: OutcomeCounts) -> OutcomeCounts {
-        let Some((own, _)) = self.answers.get_mut(&endpoint) else {
-            return answers;
+    /// Subtracts this daemon's own outcomes; returns those of the others.
+    fn subtract(&mut self, endpoint: u32, outcomes: OutcomeCounts) -> OutcomeCounts {
+        let Some((own, _)) = self.outcomes.get_mut(&endpoint) else {
+            return outcomes;
         };
-        let (left, off) = answers.without(*own);
-        *own = own.without(off).0;
+        let (left, subtracted) = outcomes.subtract(*own);
+        *own = own.subtract(subtracted).0;
         left
     }
 }
--- a/crates/core/src/routing/exchange/roles.rs
+++ b/crates/core/src/routing/exchange/roles.rs
@@ -1,8 +1,8 @@
-//! Who holds a role: daemons are ranked alike by all that know them.
+//! Assignment of roles by rank, which all daemons compute alike.
 //!
-//! Daemons on strong VMs come first: what a hub or a watcher sends grows with
-//! the fleet, and VMs differ by a factor of twenty. Among those that are about
-//! alike, rendezvous hashing decides.
+//! Daemons on VMs with fast links come first: the traffic of a hub or a watcher
+//! grows with the fleet, and VMs differ by a factor of twenty. Within a link
+//! class, rendezvous hashing decides.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -12,31 +12,31 @@
 use crate::placement::{Node, key_of};
 use crate::units::LinkRate;
 
-/// Name under which hubs are ranked.
+/// Key for the rendezvous hash of hubs.
 const HUB_KEY: &str = "hub";
-/// Name under which watchers are ranked.
+/// Key for the rendezvous hash of watchers.
 const WATCH_KEY: &str = "watch";
 
-/// How strong a daemon's VM is, in steps of a factor of four.
+/// Bandwidth class of a daemon's VM, in steps of a factor of four.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 #[derive(Debug)]
 pub struct LinkClass(pub u32);
 
 impl LinkClass {
-    /// The strength of a VM with this link.
+    /// The class of a VM with a link of this rate.
     pub fn of_link(link: LinkRate) -> Self {
         let mbits = link.0 as u32;
         Self(mbits.checked_ilog2().unwrap_or_default() / 2)
     }
 }
 
-/// What daemons do for each other.
+/// Roles that daemons have for the others.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Role {
-    /// Adds up reports.
+    /// Aggregates reports.
     Hub,
-    /// Follows the platform.
+    /// Follows the platform for others.
     Watcher,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Ranks {
-    /// The ranks of a daemon.
+    /// Computes the ranks of a daemon.
     pub fn new(address: SocketAddr, link_class: LinkClass) -> Self {
         let node = Node::new((), &address.to_string());
         Self {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// How strong its VM is.
+    /// Link class of its VM.
     pub const fn link_class(&self) -> LinkClass {
         self.link_class
     }
@@ -72,15 +72,15 @@
         }
     }
 
-    /// Order for a role, the first in rank first.
+    /// Compares two daemons for a role; the first in rank is the least.
     pub fn order(&self, other: &Self, role: Role) -> Ordering {
         let by_score = other.score(role).total_cmp(&self.score(role));
         other.link_class.cmp(&self.link_class).then(by_score)
     }
 }
 
-/// The daemons that hold a role, the first in rank first.
-pub fn holders(
+/// The daemons that hold a role, in rank order.
+pub fn role_holders(
     daemons: impl Iterator<Item = (SocketAddr, Ranks)>,
     role: Role,
     count: usize,
@@ -91,9 +91,9 @@
     ranked.into_iter().map(|(address, _)| address).collect()
 }
 
-/// Daemons in the order in which one turns to them; daemons are spread over them. It comes first
-/// itself.
-pub fn first_for(me: SocketAddr, mut daemons: Vec<SocketAddr>) -> Vec<SocketAddr> {
+/// `daemons` in the order in which `me` prefers them: itself first, then by rendezvous hashing,
+/// which spreads the load over them.
+pub fn preference_order(me: SocketAddr, mut daemons: Vec<SocketAddr>) -> Vec<SocketAddr> {
     let key = key_of(&me.to_string());
     let score = |address: &SocketAddr| Node::new((), &address.to_string()).score(key);
     daemons.sort_by(|a, b| {
@@ -104,9 +104,9 @@
     daemons
 }
 
-/// The watchers whose copies a daemon follows.
+/// The watchers whose copies of the platform's objects a daemon follows, at most `count`.
 pub fn sources(me: SocketAddr, watchers: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
-    let mut others = first_for(me, watchers.to_vec());
+    let mut others = preference_order(me, watchers.to_vec());
     others.retain(|watcher| *watcher != me);
     others.truncate(count);
     others
--- a/crates/core/src/routing/exchange/short.rs
+++ b/crates/core/src/routing/exchange/short.rs
@@ -1,18 +1,18 @@
-//! Short forms of names in messages.
+//! 32-bit forms of ids in messages.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::routing::endpoint::InstanceId;
 
-/// Short form of a prefix's key in messages.
+/// Short form of a 64-bit key: its upper half.
 pub const fn short_key(key: u64) -> u32 {
     (key >> u32::BITS) as u32
 }
 
-/// Short form of an endpoint's instance in messages: what is told of one instance doesn't count
-/// for the next one.
+/// Short form of an instance's id. Includes the start time, so that reports on one instance don't
+/// count for the next one.
 pub fn short_id(id: &InstanceId) -> u32 {
     let born = id.born.map_or(0, |born| born.0);
-    // The upper half of a 64-bit hash; among 4,500 endpoints two share one with odds of 1 in 400.
+    // Among 4,500 endpoints two share a short id with a probability of 1 in 400.
     short_key(xxh3_64_with_seed(id.endpoint.as_str().as_bytes(), born))
 }
--- a/crates/core/src/routing/exchange/sums.rs
+++ b/crates/core/src/routing/exchange/sums.rs
@@ -1,11 +1,11 @@
-//! Sums by endpoint with versions, so that a listener is told only what it doesn't know.
+//! Versioned sums by endpoint, of which a receiver is sent only what has changed.
 //!
-//! Whoever sums up keeps a [`VersionedSums`] and marks it each tick: rows that differ
-//! enough from what was told of them bear the new version from then on. A
-//! listener keeps a [`SumsCopy`], says which version that has reached, and is sent
-//! the rows that are newer. Rows hold values, not differences, and outcomes
-//! are counted up: a datagram that is lost, late or doubled loses nothing and
-//! counts nothing twice.
+//! A sender keeps [`VersionedSums`] and publishes a new version each tick: rows
+//! that differ enough from their last published values get the new version
+//! number. A receiver keeps a [`SumsCopy`], reports the version that it has
+//! reached, and is sent the rows that are newer. Rows hold values, not
+//! differences, and outcomes are running totals: a lost, late or duplicated
+//! datagram loses nothing and counts nothing twice.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,47 +13,47 @@
 
 use crate::clock::Millis;
 
-/// A load is told at once when it differs from what was told by more than this part of it. At a
-/// load of 7, where the bound lies at 12, it is known to one request, and many
-/// fewer rows are told than if each change were.
-const COARSE: u32 = 4;
-/// Requests by which a load may differ untold, however large it is: a busy endpoint is filled over
-/// the bound by a quarter of its load within the time of a few reports.
-const COARSE_MAX: u32 = 2;
-/// Time after which any difference of a load is told.
-const SETTLE: Millis = Millis(1000);
-/// Good answers that are told at once. Plain endpoints give as many in a tick or two, and their
-/// pace is judged by it; engines give five a second.
+/// A load is published at once if it differs from its published value by more than that value
+/// divided by this. At a load of 7, where the bound lies at 12, it is known to one request, with
+/// far fewer rows than if each change were published.
+const LOAD_STEP_DIVISOR: u32 = 4;
+/// Requests by which a load may differ from its published value, however large it is: an error of a
+/// quarter of its load fills a busy endpoint beyond the bound within a few reports.
+const LOAD_STEP_MAX: u32 = 2;
+/// Time after which any change of a load is published.
+const LOAD_DELAY_MAX: Millis = Millis(1000);
+/// Successful attempts that are published at once. Plain services complete as many in a tick or
+/// two, and their pace is measured by it; engines complete five a second.
 const GOOD_STEP: u32 = 8;
-/// Time after which fewer good answers are told. Failed attempts never wait, and take along the
-/// good answers that they are weighed against.
-const GOOD_SETTLE: Millis = Millis(2000);
-/// Time after which a row with requests is told although nothing changed, so that whatever a
-/// listener has wrong ends.
-const RENEW: Millis = Millis::from_secs(5);
-/// Time after which a row without requests is dropped. Listeners know its zero by then.
-const IDLE: Millis = Millis::from_secs(60);
+/// Time after which fewer successful attempts are published. Failed attempts never wait, and are
+/// published with the successful ones, since they count in proportion to those.
+const GOOD_DELAY_MAX: Millis = Millis(2000);
+/// Time after which an unchanged row with requests in flight is published again, which corrects any
+/// error in a receiver's copy.
+const REFRESH_INTERVAL: Millis = Millis::from_secs(5);
+/// Time after which a row without requests in flight is dropped. Receivers know its zero by then.
+const IDLE_TIMEOUT: Millis = Millis::from_secs(60);
 
-/// A version of one board.
+/// A version of one sender's sums.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Version {
-    /// Distinguishes the boards of one daemon over its restarts.
+    /// Distinguishes the sums of one daemon across its restarts.
     #[prost(fixed32, tag = "1")]
     pub epoch: u32,
-    /// Counts marks.
+    /// Number of publications.
     #[prost(uint32, tag = "2")]
     pub number: u32,
 }
 
-/// Rows that bring a copy up to a version; one entry of each column makes a row.
+/// Rows that update a copy to a version; the entries at one index of all columns form a row.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(prost::Message)]
 pub struct Delta {
-    /// The version that is reached.
+    /// The version that the copy has reached with it.
     #[prost(message, required, tag = "1")]
     pub version: Version,
-    /// Number of the version that the copy has to have reached; zero where these are all rows.
+    /// Number of the version that the copy must have reached before; zero if all rows are included.
     #[prost(uint32, tag = "2")]
     pub base: u32,
     /// Short forms of endpoints' ids.
@@ -62,15 +62,15 @@
     /// Requests in flight.
     #[prost(uint32, repeated, tag = "4")]
     pub in_flight: Vec<u32>,
-    /// Good answers since the board was made.
+    /// Successful attempts since the sender's start.
     #[prost(uint32, repeated, tag = "5")]
     pub good: Vec<u32>,
-    /// Failed attempts since the board was made.
+    /// Failed attempts since the sender's start.
     #[prost(uint32, repeated, tag = "6")]
     pub bad: Vec<u32>,
 }
 
-/// What is summed up for one endpoint.
+/// The sums for one endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 struct Sum {
@@ -79,25 +79,25 @@
     bad: u32,
 }
 
-/// Answers of an endpoint that a copy hadn't counted.
+/// Numbers of outcomes at one endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct OutcomeCounts {
-    /// Good ones.
+    /// Successful attempts.
     pub good: u32,
     /// Failed attempts.
     pub bad: u32,
 }
 
 impl OutcomeCounts {
-    /// Adds further ones.
+    /// Adds others, saturating.
     pub const fn add(&mut self, other: Self) {
         self.good = self.good.saturating_add(other.good);
         self.bad = self.bad.saturating_add(other.bad);
     }
 
-    /// What is left without some, and how many of those were taken off.
-    pub fn without(self, other: Self) -> (Self, Self) {
+    /// Subtracts others as far as possible; returns what is left, and what was subtracted.
+    pub fn subtract(self, other: Self) -> (Self, Self) {
         let off = Self {
             good: self.good.min(other.good),
             bad: self.bad.min(other.bad),
@@ -114,29 +114,30 @@
 #[derive(Debug)]
 struct Row {
     sum: Sum,
-    told: Sum,
-    /// Number of the version in which it was last told.
+    published: Sum,
+    /// Number of the version in which it was last published.
     number: u32,
     at: Millis,
 }
 
 impl Row {
+    /// Whether the row is to be published now.
     fn is_due(&self, now: Millis) -> bool {
         let age = now.since(self.at);
-        if self.sum == self.told {
-            return self.sum.in_flight > 0 && age >= RENEW;
+        if self.sum == self.published {
+            return self.sum.in_flight > 0 && age >= REFRESH_INTERVAL;
         }
-        let moved = self.sum.in_flight.abs_diff(self.told.in_flight);
-        let good = self.sum.good.wrapping_sub(self.told.good);
-        moved > (self.told.in_flight / COARSE).min(COARSE_MAX)
-            || self.sum.bad != self.told.bad
+        let load_change = self.sum.in_flight.abs_diff(self.published.in_flight);
+        let good = self.sum.good.wrapping_sub(self.published.good);
+        load_change > (self.published.in_flight / LOAD_STEP_DIVISOR).min(LOAD_STEP_MAX)
+            || self.sum.bad != self.published.bad
             || good >= GOOD_STEP
-            || moved > 0 && age >= SETTLE
-            || age >= GOOD_SETTLE
+            || load_change > 0 && age >= LOAD_DELAY_MAX
+            || age >= GOOD_DELAY_MAX
     }
 }
 
-/// Sums that a daemon tells others.
+/// Sums that a daemon sends to others.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct VersionedSums {
@@ -145,7 +146,7 @@
 }
 
 impl VersionedSums {
-    /// Nothing is summed up yet.
+    /// Empty sums; `epoch` distinguishes the daemon's restarts.
     pub const fn new(epoch: u32) -> Self {
         Self {
             version: Version { epoch, number: 0 },
@@ -156,24 +157,25 @@
     fn sum(&mut self, endpoint: u32) -> &mut Sum {
         let row = self.rows.entry(endpoint).or_insert(Row {
             sum: Sum::default(),
-            told: Sum::default(),
+            published: Sum::default(),
             number: 0,
             at: Millis::ZERO,
         });
         &mut row.sum
     }
 
-    /// Counts answers of an endpoint.
-    pub fn count(&mut self, endpoint: u32, answers: OutcomeCounts) {
-        if answers == OutcomeCounts::default() {
+    /// Counts outcomes at an endpoint.
+    pub fn count(&mut self, endpoint: u32, outcomes: OutcomeCounts) {
+        if outcomes == OutcomeCounts::default() {
             return;
         }
         let sum = self.sum(endpoint);
-        sum.good = sum.good.wrapping_add(answers.good);
-        sum.bad = sum.bad.wrapping_add(answers.bad);
+        sum.good = sum.good.wrapping_add(outcomes.good);
+        sum.bad = sum.bad.wrapping_add(outcomes.bad);
     }
 
-    /// Sets the requests in flight, and makes a new version of what has changed enough.
+    /// Sets the requests in flight, and publishes the rows that have changed enough as a new
+    /// version.
     pub fn publish(&mut self, loads: &HashMap<u32, u32>, now: Millis) {
         for row in self.rows.values_mut() {
             row.sum.in_flight = 0;
@@ -183,15 +185,15 @@
         }
         self.version.number += 1;
         for row in self.rows.values_mut().filter(|row| row.is_due(now)) {
-            row.told = row.sum;
+            row.published = row.sum;
             row.number = self.version.number;
             row.at = now;
         }
         self.rows
-            .retain(|_, row| row.sum.in_flight > 0 || now.since(row.at) < IDLE);
+            .retain(|_, row| row.sum.in_flight > 0 || now.since(row.at) < IDLE_TIMEOUT);
     }
 
-    /// What brings a copy that has reached a version up to this one.
+    /// The rows that update a copy from the version that it has reached to the current one.
     pub fn delta_since(&self, reached: Option<Version>) -> Delta {
         let known = reached.filter(|version| version.epoch == self.version.epoch);
         let base = known.map_or(0, |version| version.number);
@@ -202,9 +204,9 @@
         };
         for (endpoint, row) in self.rows.iter().filter(|(_, row)| row.number > base) {
             delta.endpoints.push(*endpoint);
-            delta.in_flight.push(row.told.in_flight);
-            delta.good.push(row.told.good);
-            delta.bad.push(row.told.bad);
+            delta.in_flight.push(row.published.in_flight);
+            delta.good.push(row.published.good);
+            delta.bad.push(row.published.bad);
         }
         delta
     }
@@ -213,9 +215,9 @@
 impl Delta {
     fn rows(&self) -> impl Iterator<Item = (u32, Sum)> {
         let loads = self.endpoints.iter().zip(&self.in_flight);
-        let answers = self.good.iter().zip(&self.bad);
+        let outcomes = self.good.iter().zip(&self.bad);
         loads
-            .zip(answers)
+            .zip(outcomes)
             .map(|((endpoint, in_flight), (good, bad))| {
                 let sum = Sum {
                     in_flight: *in_flight,
@@ -227,7 +229,7 @@
     }
 }
 
-/// Another daemon's board, as far as it was told.
+/// A copy of another daemon's sums, as of the last delta.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct SumsCopy {
@@ -236,23 +238,23 @@
 }
 
 impl SumsCopy {
-    /// The version that it has reached.
+    /// The version that it has reached, if any.
     pub const fn reached(&self) -> Option<Version> {
         self.version
     }
 
-    /// Takes rows; returns the answers that they add. None if they don't follow on what is known,
-    /// or are no news.
-    pub fn take(&mut self, delta: &Delta) -> Option<Vec<(u32, OutcomeCounts)>> {
-        let same = self
+    /// Applies a delta; returns the outcomes that it adds. `None` if the delta is old, or starts
+    /// after the version that the copy has reached.
+    pub fn apply(&mut self, delta: &Delta) -> Option<Vec<(u32, OutcomeCounts)>> {
+        let same_epoch = self
             .version
             .filter(|version| version.epoch == delta.version.epoch);
-        let reached = same.map_or(0, |version| version.number);
-        if delta.base > reached || same.is_some() && delta.version.number <= reached {
+        let reached = same_epoch.map_or(0, |version| version.number);
+        if delta.base > reached || same_epoch.is_some() && delta.version.number <= reached {
             return None;
         }
-        if same.is_none() {
-            // What was counted before is no news of now.
+        if same_epoch.is_none() {
+            // Outcomes from before the first delta may be old, and aren't counted.
             self.rows = delta.rows().collect();
             self.version = Some(delta.version);
             return Some(Vec::new());
@@ -263,14 +265,14 @@
             }
         }
         self.version = Some(delta.version);
-        let put = |(endpoint, sum)| (endpoint, self.put(endpoint, sum));
-        let counted: Vec<(u32, OutcomeCounts)> = delta.rows().map(put).collect();
+        let set = |(endpoint, sum)| (endpoint, self.set(endpoint, sum));
+        let counted: Vec<(u32, OutcomeCounts)> = delta.rows().map(set).collect();
         Some(counted)
     }
 
-    fn put(&mut self, endpoint: u32, sum: Sum) -> OutcomeCounts {
+    fn set(&mut self, endpoint: u32, sum: Sum) -> OutcomeCounts {
         let before = self.rows.insert(endpoint, sum).unwrap_or_default();
-        // A row that was dropped over there begins anew.
+        // A row that the sender has dropped restarts from zero.
         let more = |now: u32, before: u32| now.checked_sub(before).unwrap_or(now);
         OutcomeCounts {
             good: more(sum.good, before.good),
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Endpoints and their requests in flight.
+    /// Short ids of endpoints, and their requests in flight.
     pub fn loads(&self) -> impl Iterator<Item = (u32, u32)> {
         let load = |(endpoint, sum): (&u32, &Sum)| (*endpoint, sum.in_flight);
         self.rows.iter().map(load)
