--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::routing::choose::{Candidate, choose};
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::exchange::{
-    self, ReportEntry, Exchange, PeerUpdate, Report, PrefixCount, short_id, short_key,
+    self, Exchange, PeerUpdate, PrefixCount, Report, ReportEntry, short_id, short_key,
 };
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::load::Loads;
--- a/crates/core/tests/routing/centres.rs
+++ b/crates/core/tests/routing/centres.rs
@@ -38,7 +38,9 @@
     let live: Vec<usize> = world.living().collect();
     for number in &live {
         let daemon = &world.daemons[*number];
-        let counted = daemon.exchange.live_count(Millis(world.now - daemon.behind));
+        let counted = daemon
+            .exchange
+            .live_count(Millis(world.now - daemon.behind));
         expect_that!(counted, eq(live.len()), "{after}, daemon {number}");
     }
 }
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -4,7 +4,8 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    ReportEntry, Exchange, PeerUpdate, Message, PeerCounts, Peer, Report, PrefixCount, LinkClass, Wish, sources,
+    Exchange, LinkClass, Message, Peer, PeerCounts, PeerUpdate, PrefixCount, Report, ReportEntry,
+    Wish, sources,
 };
 use medlarrill_core::units::LinkRate;
 
--- a/crates/core/tests/routing/keeper.rs
+++ b/crates/core/tests/routing/keeper.rs
@@ -3,7 +3,9 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::quarantine::{BASE_DURATION, RETENTION, PlatformSync, StoredRequest, Quarantine, Step};
+use medlarrill_core::routing::quarantine::{
+    BASE_DURATION, PlatformSync, Quarantine, RETENTION, Step, StoredRequest,
+};
 
 const CRASHING: Fingerprint = Fingerprint(1);
 const NOW: Millis = Millis(5000);
@@ -37,7 +39,10 @@
 fn whoever_lost_endpoints_has_it_kept_and_hubs_do_and_each_once() {
     let known = quarantined();
     let mut finder = PlatformSync::default();
-    expect_that!(finder.next_step(&known, false), some(eq(Step::Create(CRASHING))));
+    expect_that!(
+        finder.next_step(&known, false),
+        some(eq(Step::Create(CRASHING)))
+    );
     finder.written(&kept());
     expect_that!(finder.next_step(&known, false), none());
     let mut other = Quarantine::default();
@@ -45,7 +50,10 @@
     expect_that!(PlatformSync::default().next_step(&other, false), none());
     let mut hub = PlatformSync::default();
     hub.listed(&[]);
-    expect_that!(hub.next_step(&other, true), some(eq(Step::Create(CRASHING))));
+    expect_that!(
+        hub.next_step(&other, true),
+        some(eq(Step::Create(CRASHING)))
+    );
 }
 
 #[gtest]
@@ -56,7 +64,11 @@
     known.record_loss(CRASHING, 4, NOW);
     let step = keeper.next_step(&known, false);
     expect_that!(step, some(eq(Step::Replace(CRASHING))));
-    keeper.written(&known.stored_request(CRASHING, NOW, WALL).expect("quarantined"));
+    keeper.written(
+        &known
+            .stored_request(CRASHING, NOW, WALL)
+            .expect("quarantined"),
+    );
     expect_that!(keeper.next_step(&known, false), none());
 }
 
@@ -75,7 +87,10 @@
     let mut keeper = PlatformSync::default();
     keeper.written(&kept());
     known.record_served(CRASHING, NOW);
-    expect_that!(keeper.next_step(&known, false), some(eq(Step::Remove(CRASHING))));
+    expect_that!(
+        keeper.next_step(&known, false),
+        some(eq(Step::Remove(CRASHING)))
+    );
     keeper.removed(CRASHING);
     expect_that!(keeper.next_step(&known, false), none());
     // A hub that reads an old one learns nothing from it.
@@ -84,7 +99,10 @@
     started.merge(&evidence, Millis(1000));
     let mut hub = PlatformSync::default();
     hub.listed(&[kept()]);
-    expect_that!(hub.next_step(&started, true), some(eq(Step::Remove(CRASHING))));
+    expect_that!(
+        hub.next_step(&started, true),
+        some(eq(Step::Remove(CRASHING)))
+    );
 }
 
 #[gtest]
@@ -105,5 +123,8 @@
     let mut started = Quarantine::default();
     let evidence: Vec<_> = kept().evidence(WALL - Millis(60_000)).collect();
     started.merge(&evidence, Millis(1000));
-    expect_that!(started.remaining(CRASHING, Millis(1000)), some(eq(BASE_DURATION)));
+    expect_that!(
+        started.remaining(CRASHING, Millis(1000)),
+        some(eq(BASE_DURATION))
+    );
 }
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -166,7 +166,10 @@
     let e = endpoint("e-0");
     let mut view = one(&e);
     let now = Millis(1000);
-    expect_that!(view.apply_notice(&e.id, pause(3000), now, at(now)), eq(true));
+    expect_that!(
+        view.apply_notice(&e.id, pause(3000), now, at(now)),
+        eq(true)
+    );
     expect_that!(view.paused_count(now), eq(1));
     expect_that!(is_used(&mut view, Millis(3999)), eq(false));
     expect_that!(view.paused_count(Millis(4000)), eq(0));
--- a/crates/core/tests/routing/quarantine.rs
+++ b/crates/core/tests/routing/quarantine.rs
@@ -3,7 +3,9 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::quarantine::{SHORT_RETENTION, Evidence, Finding, BASE_DURATION, RETENTION, Quarantine};
+use medlarrill_core::routing::quarantine::{
+    BASE_DURATION, Evidence, Finding, Quarantine, RETENTION, SHORT_RETENTION,
+};
 
 const CRASHING: Fingerprint = Fingerprint(1);
 const BESIDE: Fingerprint = Fingerprint(2);
@@ -48,7 +50,10 @@
     expect_that!(changes[0].is_quarantined, eq(true));
     expect_that!(changes[0].is_own, eq(true));
     expect_that!(changes[0].lost, eq(3));
-    expect_that!(quarantine.record_loss(CRASHING, 3, NOW).is_empty(), eq(true));
+    expect_that!(
+        quarantine.record_loss(CRASHING, 3, NOW).is_empty(),
+        eq(true)
+    );
     let mut other = Quarantine::default();
     let changes = other.merge(&quarantine.evidence(CRASHING, NOW), NOW);
     expect_that!(changes[0].is_own, eq(false));
@@ -125,7 +130,9 @@
         quarantine.expire(now);
         expect_that!(quarantine.remaining(CRASHING, now), none());
         quarantine.record_loss(CRASHING, endpoint, now);
-        let minutes = quarantine.remaining(CRASHING, now).map(|wait| wait.0 / 60_000);
+        let minutes = quarantine
+            .remaining(CRASHING, now)
+            .map(|wait| wait.0 / 60_000);
         expect_that!(minutes, some(eq(hold)), "after {endpoint}");
     }
 }
@@ -143,7 +150,10 @@
     let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[1])]);
     quarantine.record_served(BESIDE, NOW);
     quarantine.expire(NOW + RETENTION);
-    expect_that!(quarantine.snapshot(NOW + RETENTION).all.is_empty(), eq(true));
+    expect_that!(
+        quarantine.snapshot(NOW + RETENTION).all.is_empty(),
+        eq(true)
+    );
     expect_that!(quarantine.count(), eq(0));
 }
 
--- a/crates/core/tests/routing/repeats.rs
+++ b/crates/core/tests/routing/repeats.rs
@@ -186,7 +186,9 @@
             let live = heard.count();
             let daemon = &mut self.daemons[number];
             if now >= daemon.started + HEARD {
-                daemon.view.update_peers(PeerUpdate::default(), live, Millis(now));
+                daemon
+                    .view
+                    .update_peers(PeerUpdate::default(), live, Millis(now));
                 daemon.view.set_live(live, Millis(now));
             }
         }
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -11,7 +11,7 @@
 use medlarrill_core::routing::choose::Candidate;
 use medlarrill_core::routing::config::{Priority, Repeat, Route, Share};
 use medlarrill_core::routing::endpoint::{Born, Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{ReportEntry, PeerUpdate, PeerCounts, Report};
+use medlarrill_core::routing::exchange::{PeerCounts, PeerUpdate, Report, ReportEntry};
 use medlarrill_core::routing::fleet::Fleet;
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::request::SharedPrefix;
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::routing::choose::Choice;
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{PeerUpdate, PeerCounts, short_id};
+use medlarrill_core::routing::exchange::{PeerCounts, PeerUpdate, short_id};
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::view::{ListingChange, View};
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -8,7 +8,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    DataCentreHash, ReportEntry, Exchange, PeerUpdate, Message, Outgoing, Report, TICK,
+    DataCentreHash, Exchange, Message, Outgoing, PeerUpdate, Report, ReportEntry, TICK,
 };
 use medlarrill_core::routing::quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
@@ -164,7 +164,9 @@
             daemon.hear(heard);
         }
         let report = daemon.report();
-        daemon.exchange.set_evidence(daemon.quarantine.snapshot(now));
+        daemon
+            .exchange
+            .set_evidence(daemon.quarantine.snapshot(now));
         let out = daemon.exchange.tick(report, now);
         daemon.due = self.now + TICK.0;
         self.send(number, out);
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -6,7 +6,8 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::events::Splitter;
 use medlarrill_core::routing::exchange::{
-    OutcomeCounts, VersionedSums, SumsCopy, Delta, ReportEntry, Exchange, Message, PrefixMove, Report, PrefixCount,
+    Delta, Exchange, Message, OutcomeCounts, PrefixCount, PrefixMove, Report, ReportEntry,
+    SumsCopy, VersionedSums,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -6,7 +6,7 @@
 use derive_more::Debug;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    DataCentreHash, Exchange, Following, Message, Outgoing, LinkClass, TICK,
+    DataCentreHash, Exchange, Following, LinkClass, Message, Outgoing, TICK,
 };
 use medlarrill_net::now::now;
 use tokio::net::UdpSocket;
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -16,10 +16,14 @@
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::notices::Notice;
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::quarantine::{Change, Evidence, PlatformSync, StoredRequest, Snapshot, Step};
+use medlarrill_core::routing::quarantine::{
+    Change, Evidence, PlatformSync, Snapshot, Step, StoredRequest,
+};
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::SlowStart;
-use medlarrill_core::routing::view::{Drain, ListingChange, Result, SlowStartChanges, HealthChange, View};
+use medlarrill_core::routing::view::{
+    Drain, HealthChange, ListingChange, Result, SlowStartChanges, View,
+};
 use medlarrill_net::now::now;
 
 /// State behind a lock that is held for a few instructions, never while waiting.
@@ -193,8 +197,15 @@
     }
 
     /// A quarantined request as the platform is to keep it.
-    pub fn kept(&self, fingerprint: Fingerprint, now: Millis, wall: Millis) -> Option<StoredRequest> {
-        self.lock().quarantine().stored_request(fingerprint, now, wall)
+    pub fn kept(
+        &self,
+        fingerprint: Fingerprint,
+        now: Millis,
+        wall: Millis,
+    ) -> Option<StoredRequest> {
+        self.lock()
+            .quarantine()
+            .stored_request(fingerprint, now, wall)
     }
 
     /// Requests that are quarantined.
--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/effect.rs
@@ -123,7 +123,9 @@
                 continue;
             };
             match self.list(object) {
-                Some(entry) if entry.listed == ListingChange::Changed && !entry.endpoint.leaving => {
+                Some(entry)
+                    if entry.listed == ListingChange::Changed && !entry.endpoint.leaving =>
+                {
                     let Endpoint {
                         id, pool, address, ..
                     } = entry.endpoint;
--- a/crates/router/src/store/quarantine.rs
+++ b/crates/router/src/store/quarantine.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::backoff;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::quarantine::{PlatformSync, StoredRequest, Step};
+use medlarrill_core::routing::quarantine::{PlatformSync, Step, StoredRequest};
 use medlarrill_net::now::{now, wall};
 use medlarrill_platform::objects;
 use medlarrill_platform::store::{self as wire, Call, Freshness};
