--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::routing::choose::{Candidate, choose};
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::exchange::{
-    self, Entry, Exchange, Heard, Report, Sent, short_id, short_key,
+    self, Exchange, PeerUpdate, PrefixCount, Report, ReportEntry, short_id, short_key,
 };
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::load::Loads;
@@ -44,7 +44,7 @@
     rng: Pcg32,
     told: bool,
     tick: u64,
-    sent: Vec<Vec<Sent>>,
+    sent: Vec<Vec<PrefixCount>>,
     hot: Vec<HashMap<u32, f64>>,
     /// When each third endpoint is drained.
     drained: u64,
@@ -145,7 +145,7 @@
         let all: Vec<Candidate> = all.map(candidate).collect();
         let near = "near".parse().expect("a name");
         let share = self.hot[daemon].get(&short_key(prefix(key).key)).copied();
-        self.sent[daemon].push(Sent {
+        self.sent[daemon].push(PrefixCount {
             prefix: short_key(prefix(key).key),
             count: 1,
         });
@@ -167,7 +167,7 @@
     fn exchange(&mut self, now: Millis) {
         let mut sent = VecDeque::new();
         for (number, (exchange, loads)) in self.daemons.iter_mut().enumerate() {
-            let entry = |(id, in_flight)| Entry {
+            let entry = |(id, in_flight)| ReportEntry {
                 endpoint: short_id(id),
                 in_flight,
                 good: 0,
@@ -178,8 +178,8 @@
                 sent: std::mem::take(&mut self.sent[number]),
                 ..Report::default()
             };
-            if exchange.is_hub() {
-                let gathered = exchange.gathered(now);
+            if exchange.has_reports() {
+                let gathered = exchange.hub_update(now);
                 if let Some(heard) = gathered {
                     take(loads, &self.endpoints, &heard, now);
                     self.hot[number] = heard.hot;
@@ -195,13 +195,13 @@
                 take(loads, &self.endpoints, &heard, now);
                 self.hot[usize::from(to.port()) - 1] = heard.hot;
             }
-            let answers = exchange.answers(now).into_iter();
+            let answers = exchange.replies(now).into_iter();
             sent.extend(answers.map(|(back, message)| (to, back, message)));
         }
     }
 }
 
-fn take(loads: &mut Loads, endpoints: &[Arc<Endpoint>], heard: &Heard, now: Millis) {
+fn take(loads: &mut Loads, endpoints: &[Arc<Endpoint>], heard: &PeerUpdate, now: Millis) {
     for endpoint in endpoints {
         let others = heard.endpoints.get(&short_id(&endpoint.id));
         let in_flight = others.map_or(0, |others| others.in_flight);
--- a/crates/core/tests/routing/centres.rs
+++ b/crates/core/tests/routing/centres.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::exchange::{Centre, Exchange};
+use medlarrill_core::routing::exchange::{DataCentreHash, Exchange};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -38,7 +38,9 @@
     let live: Vec<usize> = world.living().collect();
     for number in &live {
         let daemon = &world.daemons[*number];
-        let counted = daemon.exchange.live(Millis(world.now - daemon.behind));
+        let counted = daemon
+            .exchange
+            .live_count(Millis(world.now - daemon.behind));
         expect_that!(counted, eq(live.len()), "{after}, daemon {number}");
     }
 }
@@ -153,8 +155,8 @@
     let hub = hubs(&world, 3)[0];
     let seeds = vec![address(0), address(1), address(2)];
     let exchange = Exchange::new(address(hub), seeds);
-    let centre = Centre(world.daemons[hub].centre as u32 + 1);
-    world.daemons[hub].exchange = exchange.with_centre(centre).with_epoch(77);
+    let centre = DataCentreHash(world.daemons[hub].centre as u32 + 1);
+    world.daemons[hub].exchange = exchange.with_data_centre(centre).with_epoch(77);
     world.run(2000);
     expect_full_knowledge(&mut world, "restart");
 }
@@ -166,7 +168,7 @@
         world.passes = Box::new(|from, to| (from % 5 == 0) == (to % 5 == 0));
         world.run(length);
         for number in 0..100 {
-            let live = world.daemons[number].exchange.live(Millis(world.now));
+            let live = world.daemons[number].exchange.live_count(Millis(world.now));
             let expected = if number % 5 == 0 { 20 } else { 80 };
             expect_that!(live, eq(expected), "daemon {number} after {length}");
         }
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -28,7 +28,7 @@
             data_centre: data_centre(place),
             ..endpoint(name)
         };
-        view.list(endpoint, Millis(0));
+        view.upsert(endpoint, Millis(0));
     }
     view
 }
@@ -59,16 +59,16 @@
     expect_that!(places(&mut view, START), eq(&["a", "b", "c"]));
     view.drain(data_centre("near"), START);
     expect_that!(places(&mut view, START), eq(&["c"]));
-    expect_that!(view.restore(&data_centre("near"), START), eq(true));
+    expect_that!(view.undrain(&data_centre("near"), START), eq(true));
     expect_that!(places(&mut view, START), eq(&["a", "b", "c"]));
-    expect_that!(view.restore(&data_centre("near"), START), eq(false));
+    expect_that!(view.undrain(&data_centre("near"), START), eq(false));
 }
 
 #[gtest]
 fn an_endpoint_that_is_listed_later_is_drained_too() {
     let mut view = settled();
     view.drain(data_centre("near"), START);
-    view.list(endpoint("d"), START);
+    view.upsert(endpoint("d"), START);
     expect_that!(places(&mut view, START), eq(&["c"]));
 }
 
@@ -127,9 +127,9 @@
         rate: Rate(8.9),
         span: SPAN,
     };
-    view.configure([(pool(), slow)].into());
+    view.configure_slow_starts([(pool(), slow)].into());
     view.drain(data_centre("near"), START);
-    view.restore(&data_centre("near"), START);
+    view.undrain(&data_centre("near"), START);
     // No daemon is listed, so that this one has no share.
     expect_that!(places(&mut view, START + Millis(2900)), eq(&["c"]));
     let warm = START + SPAN + SPAN;
@@ -145,7 +145,7 @@
             slots: 64,
             ..endpoint(&format!("e-{number}"))
         };
-        view.list(endpoint, Millis(0));
+        view.upsert(endpoint, Millis(0));
     }
     view.drain(data_centre("near"), START);
     // Half of the requests ask for two prefixes.
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -4,7 +4,8 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Entry, Exchange, Heard, Message, Others, Peer, Report, Sent, Strength, Wish, sources,
+    Exchange, LinkClass, Message, Peer, PeerCounts, PeerUpdate, PrefixCount, Report, ReportEntry,
+    Wish, sources,
 };
 use medlarrill_core::units::LinkRate;
 
@@ -14,7 +15,7 @@
 
 fn report(endpoint: u32, in_flight: u32, good: u32, bad: u32) -> Report {
     Report {
-        entries: vec![Entry {
+        entries: vec![ReportEntry {
             endpoint,
             in_flight,
             good,
@@ -27,7 +28,7 @@
 /// Daemons that tick together; datagrams between all but the lost ones arrive at once.
 struct Fleet {
     daemons: Vec<Exchange>,
-    heard: Vec<HashMap<u32, Others>>,
+    heard: Vec<HashMap<u32, PeerCounts>>,
     /// Failed attempts that each has heard of.
     bad: Vec<u32>,
     /// Hot prefixes that each has heard of.
@@ -55,8 +56,8 @@
             if self.lost.contains(&number) {
                 continue;
             }
-            if self.daemons[number].is_hub() {
-                let gathered = self.daemons[number].gathered(now);
+            if self.daemons[number].has_reports() {
+                let gathered = self.daemons[number].hub_update(now);
                 if let Some(heard) = gathered {
                     self.hear(number, heard);
                 }
@@ -74,12 +75,12 @@
             if let Some(heard) = self.daemons[to].receive(address(from as u16), message, now) {
                 self.hear(to, heard);
             }
-            let answers = self.daemons[to].answers(now).into_iter();
+            let answers = self.daemons[to].replies(now).into_iter();
             sent.extend(answers.map(|(back, message)| (to, back, message)));
         }
     }
 
-    fn hear(&mut self, number: usize, heard: Heard) {
+    fn hear(&mut self, number: usize, heard: PeerUpdate) {
         let bad = heard.endpoints.values().map(|others| others.bad);
         self.bad[number] += bad.sum::<u32>();
         self.hot[number] = heard.hot;
@@ -101,7 +102,7 @@
     for number in 0..30 {
         let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
         expect_that!(others.in_flight, eq(58), "daemon {number}");
-        expect_that!(fleet.daemons[number].live(Millis(now)), eq(30));
+        expect_that!(fleet.daemons[number].live_count(Millis(now)), eq(30));
     }
 }
 
@@ -153,7 +154,7 @@
     let now = fleet.run(40, now, |_| report(7, 1, 0, 0));
     let lost = fleet.lost.clone();
     for number in (0..20).filter(|number| !lost.contains(number)) {
-        let live = fleet.daemons[number].live(Millis(now));
+        let live = fleet.daemons[number].live_count(Millis(now));
         expect_that!(live, eq(18), "daemon {number}");
         let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
         expect_that!(others.in_flight, eq(17), "daemon {number}");
@@ -181,11 +182,11 @@
     let mut fleet = Fleet::new(20);
     let sent = |number: usize| Report {
         sent: vec![
-            Sent {
+            PrefixCount {
                 prefix: 1,
                 count: 1,
             },
-            Sent {
+            PrefixCount {
                 prefix: 100 + number as u32,
                 count: 4,
             },
@@ -208,11 +209,11 @@
     let now = fleet.run(20, 0, |_| Report::default());
     fleet.lost = vec![4];
     let now = fleet.run(40, now, |_| Report::default());
-    expect_that!(fleet.daemons[2].live(Millis(now)), eq(9));
+    expect_that!(fleet.daemons[2].live_count(Millis(now)), eq(9));
     fleet.lost.clear();
     let now = fleet.run(40, now, |_| Report::default());
-    expect_that!(fleet.daemons[2].live(Millis(now)), eq(10));
-    expect_that!(fleet.daemons[4].live(Millis(now)), eq(10));
+    expect_that!(fleet.daemons[2].live_count(Millis(now)), eq(10));
+    expect_that!(fleet.daemons[4].live_count(Millis(now)), eq(10));
 }
 
 #[gtest]
@@ -310,7 +311,7 @@
         let daemon = &fleet.daemons[*number];
         expect_that!(daemon.hubs(Millis(now)), eq(&hubs));
         expect_that!(daemon.watchers(false, Millis(now)), eq(&watchers));
-        expect_that!(daemon.live(Millis(now)), eq(left.len()));
+        expect_that!(daemon.live_count(Millis(now)), eq(left.len()));
     }
     expect_that!(hubs.iter().any(|hub| lost.contains(hub)), eq(false));
     expect_that!(watchers.len(), eq(3));
@@ -325,7 +326,7 @@
         let seeds = vec![address(0), address(1)];
         let daemon = Exchange::new(address(number), seeds);
         let link = LinkRate(200.0);
-        fleet.daemons[usize::from(number)] = daemon.with_strength(Strength::of_link(link));
+        fleet.daemons[usize::from(number)] = daemon.with_link_class(LinkClass::of_link(link));
     }
     let now = fleet.run(50, 0, |_| Report::default());
     let strong = strong.map(address);
@@ -367,10 +368,10 @@
 
 #[gtest]
 fn links_within_a_factor_of_two_or_so_count_alike() {
-    let of = |mbits| Strength::of_link(LinkRate(mbits));
+    let of = |mbits| LinkClass::of_link(LinkRate(mbits));
     expect_that!(of(150.0), eq(of(200.0)));
     expect_that!(of(200.0), gt(of(10.0)));
-    expect_that!(of(0.0), eq(Strength::default()));
+    expect_that!(of(0.0), eq(LinkClass::default()));
     expect_that!("200.0Mbit/s".parse::<LinkRate>(), ok(eq(&LinkRate(200.0))));
     expect_that!("fast".parse::<LinkRate>(), err(anything()));
 }
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -8,7 +8,7 @@
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::notices::Notice;
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::view::{NoPlace, View};
+use medlarrill_core::routing::view::{ChooseError, View};
 
 use super::support::{self, endpoint, pool, route};
 
@@ -41,7 +41,7 @@
 /// A view of one endpoint.
 fn one(endpoint: &Endpoint) -> View {
     let mut view = view();
-    view.list(endpoint.clone(), Millis::ZERO);
+    view.upsert(endpoint.clone(), Millis::ZERO);
     view
 }
 
@@ -51,7 +51,7 @@
             view.end(&choice.endpoint.id);
             true
         }
-        Err(NoPlace::Nothing) => false,
+        Err(ChooseError::Nothing) => false,
         Err(other) => panic!("{other}"),
     }
 }
@@ -65,11 +65,11 @@
     let e = endpoint("e-0");
     let mut view = one(&e);
     let now = Millis(1000);
-    expect_that!(view.note(&e.id, LEAVING, now, at(now)), eq(true));
-    expect_that!(view.note(&e.id, LEAVING, now, at(now)), eq(false));
+    expect_that!(view.apply_notice(&e.id, LEAVING, now, at(now)), eq(true));
+    expect_that!(view.apply_notice(&e.id, LEAVING, now, at(now)), eq(false));
     expect_that!(is_used(&mut view, now), eq(false));
     let changed = Endpoint { slots: 9, ..e };
-    view.list(changed, Millis(2000));
+    view.upsert(changed, Millis(2000));
     expect_that!(is_used(&mut view, Millis(2000)), eq(false));
 }
 
@@ -77,10 +77,10 @@
 fn an_entry_that_lapsed_and_returned_does_not_undo_it() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.remove(&e.id.endpoint);
-    view.tidy_notices(Millis(60_000));
-    view.list(e, Millis(60_000));
+    view.prune_notices(Millis(60_000));
+    view.upsert(e, Millis(60_000));
     expect_that!(is_used(&mut view, Millis(60_000)), eq(false));
 }
 
@@ -88,11 +88,11 @@
 fn what_an_endpoint_said_that_is_gone_for_long_is_forgotten() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.remove(&e.id.endpoint);
     let later = Millis::from_secs(700);
-    view.tidy_notices(later);
-    view.list(e, later);
+    view.prune_notices(later);
+    view.upsert(e, later);
     expect_that!(is_used(&mut view, later), eq(true));
 }
 
@@ -100,8 +100,8 @@
 fn what_an_endpoint_says_that_is_not_listed_counts_when_it_is() {
     let e = endpoint("e-0");
     let mut view = view();
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
-    view.list(e, Millis(2000));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.upsert(e, Millis(2000));
     expect_that!(is_used(&mut view, Millis(2000)), eq(false));
 }
 
@@ -109,8 +109,8 @@
 fn a_later_start_is_used() {
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
-    view.note(&born("e-0", EPOCH).id, LEAVING, now, at(now));
-    view.list(born("e-0", at(Millis(6000))), Millis(7000));
+    view.apply_notice(&born("e-0", EPOCH).id, LEAVING, now, at(now));
+    view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
 
@@ -118,10 +118,10 @@
 fn the_word_is_the_later_starts_if_that_had_begun_when_it_was_heard() {
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
-    view.note(&born("e-0", EPOCH).id, LEAVING, now, at(now));
-    view.list(born("e-0", at(Millis(4000))), Millis(7000));
+    view.apply_notice(&born("e-0", EPOCH).id, LEAVING, now, at(now));
+    view.upsert(born("e-0", at(Millis(4000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(false));
-    view.list(born("e-0", at(Millis(8000))), Millis(9000));
+    view.upsert(born("e-0", at(Millis(8000))), Millis(9000));
     expect_that!(is_used(&mut view, Millis(9000)), eq(true));
 }
 
@@ -129,8 +129,8 @@
 fn an_answer_under_way_while_a_later_start_is_listed_speaks_for_that_one() {
     let before = born("e-0", EPOCH);
     let mut view = one(&before);
-    view.list(born("e-0", at(Millis(4000))), Millis(4500));
-    view.note(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
+    view.upsert(born("e-0", at(Millis(4000))), Millis(4500));
+    view.apply_notice(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(false));
 }
 
@@ -138,10 +138,10 @@
 fn a_pause_asked_of_the_start_before_does_not_end_that_the_later_one_leaves() {
     let (before, later) = (born("e-0", EPOCH), born("e-0", at(Millis(4000))));
     let mut view = one(&before);
-    view.list(later.clone(), Millis(4500));
-    view.note(&later.id, LEAVING, Millis(5000), at(Millis(5000)));
-    view.note(&before.id, pause(500), Millis(5100), at(Millis(5100)));
-    view.list(Endpoint { slots: 9, ..later }, Millis(5200));
+    view.upsert(later.clone(), Millis(4500));
+    view.apply_notice(&later.id, LEAVING, Millis(5000), at(Millis(5000)));
+    view.apply_notice(&before.id, pause(500), Millis(5100), at(Millis(5100)));
+    view.upsert(Endpoint { slots: 9, ..later }, Millis(5200));
     expect_that!(is_used(&mut view, Millis(9000)), eq(false));
 }
 
@@ -149,8 +149,8 @@
 fn an_answer_heard_before_the_listed_start_does_not_speak_for_it() {
     let before = born("e-0", EPOCH);
     let mut view = one(&before);
-    view.list(born("e-0", at(Millis(9000))), Millis(4500));
-    view.note(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
+    view.upsert(born("e-0", at(Millis(9000))), Millis(4500));
+    view.apply_notice(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(true));
 }
 
@@ -166,10 +166,13 @@
     let e = endpoint("e-0");
     let mut view = one(&e);
     let now = Millis(1000);
-    expect_that!(view.note(&e.id, pause(3000), now, at(now)), eq(true));
-    expect_that!(view.pauses(now), eq(1));
+    expect_that!(
+        view.apply_notice(&e.id, pause(3000), now, at(now)),
+        eq(true)
+    );
+    expect_that!(view.paused_count(now), eq(1));
     expect_that!(is_used(&mut view, Millis(3999)), eq(false));
-    expect_that!(view.pauses(Millis(4000)), eq(0));
+    expect_that!(view.paused_count(Millis(4000)), eq(0));
     expect_that!(is_used(&mut view, Millis(4000)), eq(true));
 }
 
@@ -177,10 +180,10 @@
 fn of_pauses_that_overlap_the_last_to_end_counts() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, pause(3000), Millis(1000), at(Millis(1000)));
-    view.note(&e.id, pause(500), Millis(1200), at(Millis(1200)));
+    view.apply_notice(&e.id, pause(3000), Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, pause(500), Millis(1200), at(Millis(1200)));
     expect_that!(is_used(&mut view, Millis(3999)), eq(false));
-    view.note(&e.id, pause(3000), Millis(2000), at(Millis(2000)));
+    view.apply_notice(&e.id, pause(3000), Millis(2000), at(Millis(2000)));
     expect_that!(is_used(&mut view, Millis(4999)), eq(false));
     expect_that!(is_used(&mut view, Millis(5000)), eq(true));
 }
@@ -189,9 +192,9 @@
 fn a_pause_does_not_end_that_an_endpoint_leaves() {
     let e = endpoint("e-0");
     let mut view = one(&e);
-    view.note(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
-    view.note(&e.id, pause(500), Millis(1100), at(Millis(1100)));
-    view.list(Endpoint { slots: 9, ..e }, Millis(1200));
+    view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
+    view.apply_notice(&e.id, pause(500), Millis(1100), at(Millis(1100)));
+    view.upsert(Endpoint { slots: 9, ..e }, Millis(1200));
     expect_that!(is_used(&mut view, Millis(9000)), eq(false));
 }
 
@@ -199,8 +202,8 @@
 fn a_later_start_has_no_part_in_a_pause() {
     let mut view = one(&born("e-0", EPOCH));
     let now = Millis(5000);
-    view.note(&born("e-0", EPOCH).id, pause(60_000), now, at(now));
-    view.list(born("e-0", at(Millis(6000))), Millis(7000));
+    view.apply_notice(&born("e-0", EPOCH).id, pause(60_000), now, at(now));
+    view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
 
@@ -209,7 +212,7 @@
     let e = endpoint("e-0");
     let mut view = one(&e);
     let now = Millis(1000);
-    view.note(&e.id, pause(u64::MAX), now, at(now));
+    view.apply_notice(&e.id, pause(u64::MAX), now, at(now));
     expect_that!(is_used(&mut view, now + Millis::from_secs(599)), eq(false));
     expect_that!(is_used(&mut view, now + Millis::from_secs(600)), eq(true));
 }
@@ -218,18 +221,18 @@
 fn an_endpoint_that_wants_a_pause_gets_no_trial() {
     let (bad, good) = (endpoint("e-0"), endpoint("e-1"));
     let mut view = one(&bad);
-    view.list(good.clone(), Millis::ZERO);
-    view.note(&bad.id, pause(60_000), Millis::ZERO, EPOCH);
+    view.upsert(good.clone(), Millis::ZERO);
+    view.apply_notice(&bad.id, pause(60_000), Millis::ZERO, EPOCH);
     for step in 1..500 {
         let now = Millis(step * 100);
-        view.good(&good.id, now);
-        view.bad(&bad.id, Fault::Failed, now);
+        view.record_success(&good.id, now);
+        view.record_failure(&bad.id, Fault::Failed, now);
         let choice = view.choose(&pool(), None, &plan(), now).expect("e-1");
         expect_that!(choice.endpoint.id, eq(&good.id));
         view.end(&good.id);
     }
     // Where the other one can't be reached, it is no last resort either.
-    view.bad(&good.id, Fault::NotSent, Millis(50_000));
+    view.record_failure(&good.id, Fault::NotSent, Millis(50_000));
     let choice = view.choose(&pool(), None, &plan(), Millis(50_001));
     expect_that!(choice.expect("e-1").endpoint.id, eq(&good.id));
 }
@@ -270,16 +273,16 @@
 fn a_pool_is_closed_until_the_first_of_its_pauses_ends() {
     let (first, second) = (endpoint("e-0"), endpoint("e-1"));
     let mut view = one(&first);
-    view.list(second.clone(), Millis::ZERO);
+    view.upsert(second.clone(), Millis::ZERO);
     let now = Millis(1000);
-    view.note(&first.id, pause(3000), now, at(now));
+    view.apply_notice(&first.id, pause(3000), now, at(now));
     expect_that!(view.closed_for(&pool(), now), none());
-    view.note(&second.id, pause(2000), now, at(now));
+    view.apply_notice(&second.id, pause(2000), now, at(now));
     expect_that!(view.closed_for(&pool(), now), some(eq(Millis(2000))));
-    view.note(&second.id, LEAVING, now, at(now));
+    view.apply_notice(&second.id, LEAVING, now, at(now));
     expect_that!(view.closed_for(&pool(), now), some(eq(Millis(3000))));
     expect_that!(view.closed_for(&pool(), Millis(4000)), none());
-    view.note(&first.id, LEAVING, now, at(now));
+    view.apply_notice(&first.id, LEAVING, now, at(now));
     expect_that!(
         view.closed_for(&pool(), Millis(4000)),
         some(eq(Millis(1000)))
@@ -291,7 +294,7 @@
     let e = endpoint("e-0");
     let mut view = view();
     expect_that!(view.closed_for(&pool(), Millis::ZERO), some(anything()));
-    view.list(e.clone(), Millis::ZERO);
+    view.upsert(e.clone(), Millis::ZERO);
     expect_that!(view.closed_for(&pool(), Millis::ZERO), none());
     view.drain(e.data_centre, Millis::ZERO);
     expect_that!(view.closed_for(&pool(), Millis::ZERO), some(anything()));
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::routing::config::{Repeat, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::view::{NoPlace, View};
+use medlarrill_core::routing::view::{ChooseError, View};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -104,7 +104,7 @@
         let daemon = |number: usize| {
             let mut view = view(data_centre(number), number as u64);
             (0..works.len()).for_each(|at| {
-                view.list(listed(at), Millis(0));
+                view.upsert(listed(at), Millis(0));
             });
             view
         };
@@ -150,7 +150,7 @@
         for (_, run) in ended {
             let view = &mut self.daemons[run.daemon];
             view.end(&id);
-            view.good(&id, Millis(now));
+            view.record_success(&id, Millis(now));
             match now - run.asked <= TARGET.0 {
                 true => {
                     if now >= WARM_UP {
@@ -195,7 +195,7 @@
         let view = &mut self.daemons[daemon];
         let choice = match view.choose(&pool(), None, &plan, Millis(now)) {
             Ok(choice) => choice,
-            Err(NoPlace::Overloaded(overload)) if asked == now && self.back.is_some() => {
+            Err(ChooseError::Overloaded(overload)) if asked == now && self.back.is_some() => {
                 let at = now + overload.wait.0;
                 let back = Back { at, asked, caller };
                 return self.back.get_or_insert_default().push(back);
--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -144,7 +144,7 @@
         let daemon = |number: usize| {
             let mut view = view("near", number as u64);
             (0..ENGINES).for_each(|at| {
-                view.list(endpoint(&name(at)), Millis(0));
+                view.upsert(endpoint(&name(at)), Millis(0));
             });
             view
         };
@@ -177,7 +177,7 @@
         for (_, daemon) in engine.running.extract_if(.., over) {
             let view = &mut self.daemons[daemon];
             view.end(&engine.id);
-            view.good(&engine.id, Millis(now));
+            view.record_success(&engine.id, Millis(now));
         }
     }
 
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -265,10 +265,10 @@
 fn fleet_of(daemons: usize) -> View {
     let mut view = view("near", 7);
     for name in ["a", "b", "c"] {
-        view.list(endpoint(name), Millis(0));
+        view.upsert(endpoint(name), Millis(0));
     }
-    view.configure([(pool(), slow(RATE))].into());
-    view.deal(address(0), "near", listed(daemons));
+    view.configure_slow_starts([(pool(), slow(RATE))].into());
+    view.set_daemons(address(0), "near", listed(daemons));
     view
 }
 
@@ -295,7 +295,7 @@
 fn a_starting_endpoint_is_given_long_prefixes_and_the_rest_goes_elsewhere() {
     let mut view = fleet_of(1);
     let key = key_of_a();
-    view.spare(&id("a"), SPAN, START);
+    view.begin_slow_start(&id("a"), SPAN, START);
     let long = prefix(key);
     let short = SharedPrefix {
         tokens: Tokens(200),
@@ -320,7 +320,7 @@
 fn where_all_are_starting_a_request_that_none_can_bear_is_refused_at_once() {
     let mut view = fleet_of(1);
     for name in ["a", "b", "c"] {
-        view.spare(&id(name), SPAN, START);
+        view.begin_slow_start(&id(name), SPAN, START);
     }
     let given = (0..60).filter(|key| pick(&mut view, Some(&prefix(*key)), START).is_ok());
     expect_that!(given.count(), eq(3 * 8));
@@ -337,9 +337,9 @@
     for fault in [Fault::Lost, Fault::Cut, Fault::NotSent] {
         let mut view = fleet_of(500);
         let key = key_of_a();
-        view.bad(&id("a"), fault, START);
-        view.review_spared(START);
-        expect_that!(view.spared(), eq(1));
+        view.record_failure(&id("a"), fault, START);
+        view.review_slow_starts(START);
+        expect_that!(view.slow_start_count(), eq(1));
         // This daemon has no share of `a`.
         for passed in [500, 1500, 2900] {
             let choice = pick(&mut view, Some(&prefix(key)), START + Millis(passed));
@@ -352,13 +352,13 @@
 fn a_daemon_that_hears_of_nobody_takes_all_endpoints_as_starting() {
     let mut view = fleet_of(500);
     let key = key_of_a();
-    view.hear(1, START);
+    view.set_live(1, START);
     let soon = pick(&mut view, Some(&prefix(key)), START + Millis(1000));
     expect_that!(soon.expect("a place").endpoint.id, eq(&id("a")));
-    view.hear(1, START + Millis(2000));
+    view.set_live(1, START + Millis(2000));
     let later = pick(&mut view, Some(&prefix(key)), START + Millis(4000));
     expect_that!(later.is_ok(), eq(false));
-    view.hear(400, START + Millis(4100));
+    view.set_live(400, START + Millis(4100));
     let heard = pick(&mut view, Some(&prefix(key)), START + Millis(4200));
     expect_that!(heard.expect("a place").endpoint.id, eq(&id("a")));
 }
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -11,7 +11,7 @@
 use medlarrill_core::routing::choose::Candidate;
 use medlarrill_core::routing::config::{Priority, Repeat, Route, Share};
 use medlarrill_core::routing::endpoint::{Born, Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{Entry, Heard, Others, Report};
+use medlarrill_core::routing::exchange::{PeerCounts, PeerUpdate, Report, ReportEntry};
 use medlarrill_core::routing::fleet::Fleet;
 use medlarrill_core::routing::health::Standing;
 use medlarrill_core::routing::request::SharedPrefix;
@@ -166,14 +166,14 @@
         self.reports.resize_with(daemons.len(), Report::default);
         for (number, daemon) in daemons.iter_mut().enumerate() {
             if (now + number as u64 * 4).is_multiple_of(self.tick) {
-                self.reports[number] = daemon.own_report(false);
+                self.reports[number] = daemon.take_report(false);
             }
         }
         if !now.is_multiple_of(self.tick) {
             return;
         }
-        let mut sums: HashMap<u32, Others> = HashMap::new();
-        for Entry {
+        let mut sums: HashMap<u32, PeerCounts> = HashMap::new();
+        for ReportEntry {
             endpoint,
             in_flight,
             good,
@@ -194,11 +194,11 @@
                 sum.good -= own.good;
                 sum.bad -= own.bad;
             }
-            let heard = Heard {
+            let heard = PeerUpdate {
                 endpoints: heard,
-                ..Heard::default()
+                ..PeerUpdate::default()
             };
-            daemon.others(heard, count, Millis(now));
+            daemon.update_peers(heard, count, Millis(now));
         }
         // Outcomes are told once.
         for entry in self.reports.iter_mut().flat_map(|r| &mut r.entries) {
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -7,10 +7,10 @@
 use medlarrill_core::routing::choose::Choice;
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::exchange::{Heard, Others, short_id};
+use medlarrill_core::routing::exchange::{PeerCounts, PeerUpdate, short_id};
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::view::{Listed, View};
+use medlarrill_core::routing::view::{ListingChange, View};
 
 use super::support::{born, endpoint, id, pool, prefix, route, view};
 
@@ -46,7 +46,7 @@
 fn settled() -> View {
     let mut view = view("near", 7);
     for name in ["a", "b", "c"] {
-        view.list(instance(born(name, 500)), Millis(0));
+        view.upsert(instance(born(name, 500)), Millis(0));
     }
     view
 }
@@ -64,15 +64,15 @@
     let old = born("a", 500);
     view.report(&old, busy(30), START);
     for _ in 0..10 {
-        view.bad(&old, Fault::Lost, START);
+        view.record_failure(&old, Fault::Lost, START);
     }
     view.review(START);
     let key = key_of_a();
     expect_that!(pick(&mut view, key, START).endpoint.id, not(eq(&old)));
 
     let new = born("a", 900);
-    let listed = view.list(instance(new.clone()), START);
-    expect_that!(listed, eq(&Listed::Restarted(old.clone())));
+    let listed = view.upsert(instance(new.clone()), START);
+    expect_that!(listed, eq(&ListingChange::Restarted(old.clone())));
     let picked = pick(&mut view, key, START);
     expect_that!(picked.endpoint.id, eq(&new));
     expect_that!(picked.load, eq(0.0));
@@ -87,27 +87,27 @@
     let old = pick(&mut view, key, START).endpoint.id.clone();
     expect_that!(old, eq(&born("a", 500)));
     let new = born("a", 900);
-    view.list(instance(new.clone()), START);
+    view.upsert(instance(new.clone()), START);
     pick(&mut view, key, START);
     // The request at the old instance ends, and fails; other daemons speak of it still.
     view.end(&old);
     for _ in 0..10 {
-        view.bad(&old, Fault::Lost, START);
+        view.record_failure(&old, Fault::Lost, START);
     }
-    let told = Others {
+    let told = PeerCounts {
         in_flight: 40,
         good: 0,
         bad: 20,
     };
-    let heard = Heard {
+    let heard = PeerUpdate {
         endpoints: HashMap::from([(short_id(&old), told)]),
-        ..Heard::default()
+        ..PeerUpdate::default()
     };
-    view.others(heard, 4, START);
+    view.update_peers(heard, 4, START);
     let picked = pick(&mut view, key, START);
     expect_that!(picked.endpoint.id, eq(&new));
     expect_that!(picked.load, eq(1.0), "its own request, no more");
-    let reported = view.own_report(false).entries;
+    let reported = view.take_report(false).entries;
     let of_old = reported
         .iter()
         .filter(|entry| entry.endpoint == short_id(&old));
@@ -120,7 +120,7 @@
     let key = key_of_a();
     view.remove(&id("a").endpoint);
     let meanwhile = pick(&mut view, key, START).endpoint.id.clone();
-    view.list(instance(born("a", 900)), START);
+    view.upsert(instance(born("a", 900)), START);
     let back = pick(&mut view, key, START);
     expect_that!(back.endpoint.id, eq(&born("a", 900)));
     let source = back.source.expect("a source");
@@ -130,36 +130,36 @@
 #[gtest]
 fn an_entry_without_a_birth_is_dropped_once_endpoints_tell_theirs() {
     let mut view = view("near", 7);
-    view.list(endpoint("a"), Millis(0));
+    view.upsert(endpoint("a"), Millis(0));
     expect_that!(view.endpoints(), eq(1));
-    view.list(instance(born("b", 500)), Millis(10));
+    view.upsert(instance(born("b", 500)), Millis(10));
     expect_that!(view.endpoints(), eq(1));
     expect_that!(
-        view.list(endpoint("a"), Millis(20)),
-        eq(&Listed::Ignored(Entry::Foreign))
+        view.upsert(endpoint("a"), Millis(20)),
+        eq(&ListingChange::Ignored(Entry::Foreign))
     );
-    view.list(instance(born("a", 700)), Millis(30));
+    view.upsert(instance(born("a", 700)), Millis(30));
     expect_that!(view.endpoints(), eq(2));
 }
 
 #[gtest]
 fn a_late_write_of_the_instance_before_changes_nothing() {
     let mut view = settled();
-    view.list(instance(born("a", 900)), START);
-    let late = view.list(instance(born("a", 500)), START + Millis(3000));
-    expect_that!(late, eq(&Listed::Ignored(Entry::Late)));
-    let again = view.list(instance(born("a", 900)), START + Millis(3500));
-    expect_that!(again, eq(&Listed::Same));
+    view.upsert(instance(born("a", 900)), START);
+    let late = view.upsert(instance(born("a", 500)), START + Millis(3000));
+    expect_that!(late, eq(&ListingChange::Ignored(Entry::Late)));
+    let again = view.upsert(instance(born("a", 900)), START + Millis(3500));
+    expect_that!(again, eq(&ListingChange::Same));
 }
 
 /// Brings what one daemon tells to another, as a hub does.
 fn tell(from: &mut View, to: &mut View, now: Millis) {
-    let report = from.own_report(false);
-    let heard = Heard {
+    let report = from.take_report(false);
+    let heard = PeerUpdate {
         moved: report.moved,
-        ..Heard::default()
+        ..PeerUpdate::default()
     };
-    to.others(heard, 2, now);
+    to.update_peers(heard, 2, now);
 }
 
 #[gtest]
@@ -187,13 +187,13 @@
     let mut view = settled();
     let key = key_of_a();
     pick(&mut view, key, START);
-    expect_that!(view.own_report(false).moved.len(), eq(0));
+    expect_that!(view.take_report(false).moved.len(), eq(0));
     view.remove(&id("a").endpoint);
-    view.list(instance(born("a", 900)), START);
+    view.upsert(instance(born("a", 900)), START);
     for _ in 0..5 {
         pick(&mut view, key, START);
     }
-    expect_that!(view.own_report(false).moved.len(), eq(1));
+    expect_that!(view.take_report(false).moved.len(), eq(1));
 }
 
 #[gtest]
@@ -202,7 +202,7 @@
     let key = key_of_a();
     view.report(&born("a", 500), busy(40), START);
     let passed = pick(&mut view, key, START).endpoint.id.clone();
-    view.take_back(&prefix(key), &passed);
+    view.retract_prefix(&prefix(key), &passed);
     let back = pick(&mut view, key, START + Millis(9000));
     expect_that!(back.endpoint.id, eq(&born("a", 500)));
     expect_that!(back.source, none());
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -8,7 +8,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Centre, Entry, Exchange, Heard, Message, Outgoing, Report, TICK,
+    DataCentreHash, Exchange, Message, Outgoing, PeerUpdate, Report, ReportEntry, TICK,
 };
 use medlarrill_core::routing::quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
@@ -29,7 +29,7 @@
     flights: Vec<u32>,
     /// Outcomes since the last report, at the probed endpoint.
     pub bad: u32,
-    heard: Heard,
+    heard: PeerUpdate,
     /// Failed attempts heard of.
     pub heard_bad: u32,
     /// When it wakes, where it is frozen; its clock stands still till then.
@@ -138,9 +138,9 @@
             if let Some(heard) = daemon.exchange.receive(address(from), message, now) {
                 daemon.hear(heard);
             }
-            let learnt = daemon.exchange.learnt();
-            daemon.quarantine.learn(&learnt, now);
-            let answers = daemon.exchange.answers(now);
+            let learnt = daemon.exchange.take_evidence();
+            daemon.quarantine.merge(&learnt, now);
+            let answers = daemon.exchange.replies(now);
             self.send(to, answers);
         }
     }
@@ -158,13 +158,15 @@
             return;
         }
         let now = Millis(self.now - daemon.behind);
-        if daemon.exchange.is_hub()
-            && let Some(heard) = daemon.exchange.gathered(now)
+        if daemon.exchange.has_reports()
+            && let Some(heard) = daemon.exchange.hub_update(now)
         {
             daemon.hear(heard);
         }
         let report = daemon.report();
-        daemon.exchange.hold(daemon.quarantine.snapshot(now));
+        daemon
+            .exchange
+            .set_evidence(daemon.quarantine.snapshot(now));
         let out = daemon.exchange.tick(report, now);
         daemon.due = self.now + TICK.0;
         self.send(number, out);
@@ -268,14 +270,14 @@
         let exchange = Exchange::new(address(number), seeds);
         Self {
             exchange: exchange
-                .with_centre(Centre(centre as u32 + 1))
+                .with_data_centre(DataCentreHash(centre as u32 + 1))
                 .with_epoch(number as u32),
             quarantine: Quarantine::default(),
             centre,
             due,
             flights: Vec::new(),
             bad: 0,
-            heard: Heard::default(),
+            heard: PeerUpdate::default(),
             heard_bad: 0,
             frozen: None,
             behind: 0,
@@ -289,16 +291,16 @@
         for flight in &self.flights {
             *counts.entry(*flight).or_default() += 1;
         }
-        let entry = |(endpoint, in_flight)| Entry {
+        let entry = |(endpoint, in_flight)| ReportEntry {
             endpoint,
             in_flight,
             good: 0,
             bad: 0,
         };
-        let mut entries: Vec<Entry> = counts.into_iter().map(entry).collect();
+        let mut entries: Vec<ReportEntry> = counts.into_iter().map(entry).collect();
         let bad = std::mem::take(&mut self.bad);
         if bad > 0 {
-            entries.push(Entry {
+            entries.push(ReportEntry {
                 endpoint: PROBE,
                 in_flight: 0,
                 good: 0,
@@ -311,7 +313,7 @@
         }
     }
 
-    fn hear(&mut self, heard: Heard) {
+    fn hear(&mut self, heard: PeerUpdate) {
         self.heard_bad += heard
             .endpoints
             .values()
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -6,22 +6,23 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::events::Splitter;
 use medlarrill_core::routing::exchange::{
-    Answers, Board, Copy, Delta, Entry, Exchange, Message, Moved, Report, Sent,
+    Delta, Exchange, Message, OutcomeCounts, PrefixCount, PrefixMove, Report, ReportEntry,
+    SumsCopy, VersionedSums,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 fn report() -> impl Strategy<Value = Report> {
     let entry = (any::<u32>(), any::<u32>(), any::<u32>(), any::<u32>());
-    let entry = entry.prop_map(|(endpoint, in_flight, good, bad)| Entry {
+    let entry = entry.prop_map(|(endpoint, in_flight, good, bad)| ReportEntry {
         endpoint,
         in_flight,
         good,
         bad,
     });
     let pair = || (any::<u32>(), any::<u32>());
-    let sent = pair().prop_map(|(prefix, count)| Sent { prefix, count });
-    let moved = pair().prop_map(|(prefix, endpoint)| Moved { prefix, endpoint });
+    let sent = pair().prop_map(|(prefix, count)| PrefixCount { prefix, count });
+    let moved = pair().prop_map(|(prefix, endpoint)| PrefixMove { prefix, endpoint });
     let parts = (
         vec(entry, 0..8),
         any::<bool>(),
@@ -32,7 +33,7 @@
         entries,
         cut_off,
         sent,
-        strength: 3,
+        link_class: 3,
         moved,
         ..Report::default()
     })
@@ -74,7 +75,7 @@
             let mut daemon = Exchange::new(me, Vec::new());
             for now in [1000, 1100] {
                 daemon.receive(from, message.clone(), Millis(now));
-                daemon.gathered(Millis(now));
+                daemon.hub_update(Millis(now));
                 daemon.tick(Report::default(), Millis(now));
             }
         }
@@ -84,7 +85,7 @@
     /// no answer twice and none that it could have heard never.
     #[test]
     fn a_copy_that_hears_again_holds_what_the_board_does(ticks in vec(tick(), 1..40)) {
-        let (mut board, mut copy) = (Board::new(1), Copy::default());
+        let (mut board, mut copy) = (VersionedSums::new(1), SumsCopy::default());
         let mut now = Millis(1000);
         let mut loads = HashMap::new();
         let (mut given, mut counted) = (0, 0);
@@ -95,26 +96,26 @@
             // Long enough for any difference to be told.
             now += Millis(2100);
             if tick.restarts {
-                copy = Copy::default();
+                copy = SumsCopy::default();
             }
             loads.extend(tick.loads);
             let (endpoint, good) = tick.good;
             if !tick.restarts {
-                board.count(endpoint, Answers { good, bad: 0 });
+                board.count(endpoint, OutcomeCounts { good, bad: 0 });
                 given += good;
             }
-            board.mark(&loads, now);
-            let delta = board.since(copy.reached());
+            board.publish(&loads, now);
+            let delta = board.delta_since(copy.reached());
             if !tick.lost {
                 if copy.reached().is_none() {
                     // A listener that knows nothing takes what was given before as known.
                     counted = given;
                 }
-                let news = copy.take(&delta).expect("follows");
+                let news = copy.apply(&delta).expect("follows");
                 counted += news.iter().map(|(_, answers)| answers.good).sum::<u32>();
             }
             if let Some(old) = earlier.filter(|_| tick.doubled && !tick.restarts) {
-                prop_assert!(tick.lost || copy.take(&old).is_none());
+                prop_assert!(tick.lost || copy.apply(&old).is_none());
             }
             earlier = Some(delta).filter(|_| !tick.lost);
         }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -6,7 +6,7 @@
 use derive_more::Debug;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::exchange::{
-    Centre, Exchange, Following, Message, Outgoing, Strength, TICK,
+    DataCentreHash, Exchange, Following, LinkClass, Message, Outgoing, TICK,
 };
 use medlarrill_net::now::now;
 use tokio::net::UdpSocket;
@@ -97,7 +97,7 @@
         state.following = exchange.following(cut_off, at);
         state.hubs = exchange.hubs(at);
         state.live_daemons = match state.following.is_hub {
-            true => exchange.known(at).into(),
+            true => exchange.live_daemons(at).into(),
             false => Arc::default(),
         };
     }
@@ -112,8 +112,8 @@
     let settings = &shared.settings;
     let exchange = Exchange::new(settings.listen.peers, settings.peer_seeds());
     let mut exchange = exchange
-        .with_strength(Strength::of_link(settings.link))
-        .with_centre(Centre::from(&settings.data_centre))
+        .with_link_class(LinkClass::of_link(settings.link))
+        .with_data_centre(DataCentreHash::from(&settings.data_centre))
         .with_epoch(rand::random());
     let mut buffer = vec![0; MAX_DATAGRAM];
     let mut live = 0;
@@ -125,8 +125,8 @@
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
                     receive(&mut exchange, &shared, from, &buffer[..length]);
-                    send(&socket, exchange.answers(now())).await;
-                    if live == 1 && exchange.live(now()) > 1 {
+                    send(&socket, exchange.replies(now())).await;
+                    if live == 1 && exchange.live_count(now()) > 1 {
                         live = update(&exchange, &shared, &roster, live);
                     }
                 }
@@ -150,8 +150,8 @@
 fn update(exchange: &Exchange, shared: &Shared, roster: &Roster, live: usize) -> usize {
     let before = roster.snapshot();
     roster.update(exchange, shared.copies.is_cut_off(), now());
-    log_role(&before, &roster.snapshot(), exchange.live(now()));
-    shared.placement.set_live(exchange.live(now()), now());
+    log_role(&before, &roster.snapshot(), exchange.live_count(now()));
+    shared.placement.set_live(exchange.live_count(now()), now());
     log_live(exchange, live)
 }
 
@@ -168,21 +168,23 @@
     if let Some(reports) = exchange.receive(from, message, at) {
         shared
             .placement
-            .update_peers(reports, exchange.live(at), at);
+            .update_peers(reports, exchange.live_count(at), at);
     }
-    shared.placement.merge_evidence(&exchange.learnt(), at);
+    shared
+        .placement
+        .merge_evidence(&exchange.take_evidence(), at);
 }
 
 async fn tick(exchange: &mut Exchange, shared: &Shared, socket: &UdpSocket) {
     let at = now();
-    if exchange.is_hub()
-        && let Some(reports) = exchange.gathered(at)
+    if exchange.has_reports()
+        && let Some(reports) = exchange.hub_update(at)
     {
         shared
             .placement
-            .update_peers(reports, exchange.live(at), at);
+            .update_peers(reports, exchange.live_count(at), at);
     }
-    exchange.hold(shared.placement.evidence(at));
+    exchange.set_evidence(shared.placement.evidence(at));
     let own = shared.placement.take_report(shared.copies.is_cut_off());
     send(socket, exchange.tick(own, at)).await;
 }
@@ -206,7 +208,7 @@
 /// Logs a change in the number of live daemons; returns the number.
 fn log_live(exchange: &Exchange, before: usize) -> usize {
     let at = now();
-    let live = exchange.live(at);
+    let live = exchange.live_count(at);
     if live != before {
         let hubs = exchange.hubs(at);
         log::info!(target: "peers", live, before, hubs:? = hubs; "peers: daemons that live");
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -16,10 +16,14 @@
 use medlarrill_core::routing::load::Report;
 use medlarrill_core::routing::notices::Notice;
 use medlarrill_core::routing::plan::Plan;
-use medlarrill_core::routing::quarantine::{Change, Evidence, Keeper, Kept, Snapshot, Step};
+use medlarrill_core::routing::quarantine::{
+    Change, Evidence, PlatformSync, Snapshot, Step, StoredRequest,
+};
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::SlowStart;
-use medlarrill_core::routing::view::{Drain, Listed, Result, Spared, Verdict, View};
+use medlarrill_core::routing::view::{
+    Drain, HealthChange, ListingChange, Result, SlowStartChanges, View,
+};
 use medlarrill_net::now::now;
 
 /// Routing state behind a lock that is held for a few instructions, never across an `await`.
@@ -51,12 +55,12 @@
 
     /// Draws a random number from 0 to 1.
     pub fn random(&self) -> f64 {
-        self.lock().draw()
+        self.lock().random()
     }
 
     /// Adds or updates an endpoint's entry; returns what changed.
-    pub fn upsert(&self, endpoint: Endpoint, now: Millis) -> Listed {
-        self.lock().list(endpoint, now)
+    pub fn upsert(&self, endpoint: Endpoint, now: Millis) -> ListingChange {
+        self.lock().upsert(endpoint, now)
     }
 
     /// Removes an endpoint's entry; returns whether there was one.
@@ -125,7 +129,7 @@
 
     /// Removes the record that an endpoint was sent a prefix, which it hasn't processed.
     pub fn retract_prefix(&self, prefix: &SharedPrefix, id: &InstanceId) {
-        self.lock().take_back(prefix, id);
+        self.lock().retract_prefix(prefix, id);
     }
 
     /// Takes the load that an endpoint reported.
@@ -136,7 +140,7 @@
     /// Applies what an endpoint announced of itself in the response to a request that was sent at
     /// `sent_at`, since the Unix epoch.
     pub fn apply_notice(&self, id: &InstanceId, notice: Notice, sent_at: Millis, request: &str) {
-        if notice.is_empty() || !self.lock().note(id, notice, now(), sent_at) {
+        if notice.is_empty() || !self.lock().apply_notice(id, notice, now(), sent_at) {
             return;
         }
         log::info!(
@@ -153,29 +157,29 @@
 
     /// Number of endpoints that currently ask for no requests.
     pub fn paused_count(&self, now: Millis) -> usize {
-        self.lock().pauses(now)
+        self.lock().paused_count(now)
     }
 
     /// Records a successful attempt.
     pub fn record_success(&self, id: &InstanceId, now: Millis) {
-        self.lock().good(id, now);
+        self.lock().record_success(id, now);
     }
 
     /// Records a failed attempt.
     pub fn record_failure(&self, id: &InstanceId, fault: Fault, now: Millis) {
-        self.lock().bad(id, fault, now);
+        self.lock().record_failure(id, fault, now);
     }
 
     /// Records that an endpoint was lost with a request, which counts against the request.
     pub fn record_loss(&self, plan: &Plan, id: &InstanceId, now: Millis) {
-        let changes = self.lock().lost(plan, id, now);
+        let changes = self.lock().record_loss(plan, id, now);
         self.log_quarantine(&changes);
     }
 
     /// Records that a request was answered completely, which counts for the request.
     pub fn record_served(&self, plan: &Plan, now: Millis) {
         if let Some(fingerprint) = plan.fingerprint() {
-            let changes = self.lock().quarantine().served(fingerprint, now);
+            let changes = self.lock().quarantine().record_served(fingerprint, now);
             self.log_quarantine(&changes);
         }
     }
@@ -183,7 +187,7 @@
     /// Merges other daemons' quarantine evidence.
     pub fn merge_evidence(&self, evidence: &[Evidence], now: Millis) {
         if !evidence.is_empty() {
-            let changes = self.lock().quarantine().learn(evidence, now);
+            let changes = self.lock().quarantine().merge(evidence, now);
             self.log_quarantine(&changes);
         }
     }
@@ -194,8 +198,8 @@
     }
 
     /// The next step that brings the quarantine in the platform's store up to date.
-    pub fn next_sync_step(&self, sync_state: &Keeper, is_hub: bool) -> Option<Step> {
-        sync_state.next(self.lock().quarantine(), is_hub)
+    pub fn next_sync_step(&self, sync_state: &PlatformSync, is_hub: bool) -> Option<Step> {
+        sync_state.next_step(self.lock().quarantine(), is_hub)
     }
 
     /// A quarantined request as it is stored on the platform.
@@ -204,8 +208,10 @@
         fingerprint: Fingerprint,
         now: Millis,
         wall: Millis,
-    ) -> Option<Kept> {
-        self.lock().quarantine().kept(fingerprint, now, wall)
+    ) -> Option<StoredRequest> {
+        self.lock()
+            .quarantine()
+            .stored_request(fingerprint, now, wall)
     }
 
     /// Number of quarantined requests.
@@ -222,7 +228,7 @@
                 is_own,
                 ..
             } = change;
-            match change.begins {
+            match change.is_quarantined {
                 true => log::warn!(
                     target: "quarantine", fingerprint:%, lost, is_own;
                     "quarantine: begins, endpoints that ran the request were lost"
@@ -234,18 +240,18 @@
 
     /// Returns the report for other daemons: requests in flight, and outcomes since the last call.
     pub fn take_report(&self, cut_off: bool) -> exchange::Report {
-        self.lock().own_report(cut_off)
+        self.lock().take_report(cut_off)
     }
 
     /// Expires old evidence and notices, and logs endpoints whose health or slow start changed.
     pub fn review(&self, now: Millis) {
-        let expired = self.lock().quarantine().forget(now);
+        let expired = self.lock().quarantine().expire(now);
         self.log_quarantine(&expired);
-        self.lock().tidy_notices(now);
-        let slow_starts = self.lock().review_spared(now);
+        self.lock().prune_notices(now);
+        let slow_starts = self.lock().review_slow_starts(now);
         log_slow_starts(&slow_starts);
         let changes = self.lock().review(now);
-        for Verdict {
+        for HealthChange {
             endpoint,
             standing,
             failures,
@@ -285,7 +291,7 @@
 
     /// Ends the drain of a data centre.
     pub fn undrain(&self, data_centre: &DataCentreId, revision: u64, now: Millis) {
-        if self.lock().restore(data_centre, now) {
+        if self.lock().undrain(data_centre, now) {
             let name = data_centre.as_str();
             log::info!(
                 target: "placement", data_centre = name, revision;
@@ -296,22 +302,22 @@
 
     /// Number of drained data centres.
     pub fn drained_count(&self) -> usize {
-        self.lock().drains()
+        self.lock().drained_count()
     }
 
     /// Sets the slow start of each pool that has one.
     pub fn configure_slow_starts(&self, pools: HashMap<PoolId, SlowStart>) {
-        self.lock().configure(pools);
+        self.lock().configure_slow_starts(pools);
     }
 
     /// Number of endpoints in slow start.
     pub fn slow_start_count(&self) -> usize {
-        self.lock().spared()
+        self.lock().slow_start_count()
     }
 
     /// Keeps an endpoint in slow start for the remaining time that it or its entry announced.
     pub fn begin_slow_start(&self, id: &InstanceId, left: Millis, now: Millis) {
-        self.lock().spare(id, left, now);
+        self.lock().begin_slow_start(id, left, now);
     }
 
     /// Records that this daemon is the only one of its fleet.
@@ -321,7 +327,7 @@
 
     /// Sets the daemons in one part (one data centre's object) of the platform's list.
     pub fn set_daemons(&self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
-        self.lock().deal(me, part, daemons);
+        self.lock().set_daemons(me, part, daemons);
     }
 
     /// Returns those of `daemons` that aren't on the platform's list.
@@ -331,23 +337,23 @@
 
     /// Sets the number of live daemons, including this one.
     pub fn set_live(&self, live: usize, now: Millis) {
-        self.lock().hear(live, now);
+        self.lock().set_live(live, now);
     }
 
     /// Applies the sums of the other daemons' reports on endpoints.
-    pub fn update_peers(&self, reports: exchange::Heard, daemons: usize, now: Millis) {
-        self.lock().others(reports, daemons, now);
+    pub fn update_peers(&self, reports: exchange::PeerUpdate, daemons: usize, now: Millis) {
+        self.lock().update_peers(reports, daemons, now);
     }
 }
 
 /// Logs endpoints whose slow start begins or ends, in one line: when a data centre comes back,
 /// there are many.
-fn log_slow_starts(changes: &Spared) {
+fn log_slow_starts(changes: &SlowStartChanges) {
     let names = |ids: &[InstanceId]| {
         let names: Vec<String> = ids.iter().map(InstanceId::to_string).collect();
         names.join(", ")
     };
-    let (begins, ends) = (names(&changes.begins), names(&changes.ends));
+    let (begins, ends) = (names(&changes.started), names(&changes.ended));
     if !begins.is_empty() || !ends.is_empty() {
         log::info!(target: "placement", begins, ends; "placement: endpoints in slow start");
     }
--- a/crates/router/src/store/direct.rs
+++ b/crates/router/src/store/direct.rs
@@ -164,7 +164,7 @@
         if self.store.first_start && !roster.is_seed() {
             return passed < FIRST_START_WAIT;
         }
-        let longest = match roster.following.is_served {
+        let longest = match roster.following.is_indirect {
             true => HUB_WAIT,
             false => SEED_WAIT,
         };
