--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -37,7 +37,7 @@
 /// A request to be placed.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
-pub struct PlaceAsk<'a> {
+pub struct PlacementRequest<'a> {
     /// The chat, if it has one.
     pub chat: Option<ChatHash>,
     /// The chat's places, from the directory.
@@ -50,7 +50,7 @@
     pub own_only: bool,
 }
 
-impl PlaceAsk<'_> {
+impl PlacementRequest<'_> {
     fn allows(&self, view: &EndpointView) -> bool {
         !self.tried.contains(&view.id) && (!self.own_only || view.is_own())
     }
@@ -91,7 +91,7 @@
 /// least by more than the prompt.
 pub fn place(
     pool: &PoolView,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementRequest<'_>,
     now: Millis,
     rng: &mut impl Rng,
 ) -> Result<Placement> {
@@ -116,7 +116,7 @@
 }
 
 /// Whether a home could give a request to another endpoint: any with room, or after the last hop one of its own.
-pub fn may_pass(pool: &PoolView, ask: &PlaceAsk<'_>, here: &EndpointId, now: Millis) -> bool {
+pub fn may_pass(pool: &PoolView, ask: &PlacementRequest<'_>, here: &EndpointId, now: Millis) -> bool {
     let sight = Sight::new(pool, now);
     let other = |view: &EndpointView| {
         view.id != *here && view.takes_work() && ask.allows(view) && sight.open(view)
@@ -188,7 +188,7 @@
     }
 }
 
-fn sent_to(sight: &Sight<'_>, ask: &PlaceAsk<'_>, view: &EndpointView) -> Placement {
+fn sent_to(sight: &Sight<'_>, ask: &PlacementRequest<'_>, view: &EndpointView) -> Placement {
     let why = match ask.places {
         [] => Why::New,
         _ => Why::Spilled,
@@ -205,7 +205,7 @@
 /// The place that has most of the prompt cached, among those that `suits` finds fit.
 fn return_to(
     sight: &Sight<'_>,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementRequest<'_>,
     suits: &dyn Fn(&EndpointView) -> bool,
 ) -> Option<Placement> {
     let mut best = None;
@@ -236,7 +236,7 @@
 }
 
 /// The chat's first-ranked endpoint, if it is under the mean.
-fn first_light<'a>(sight: &Sight<'a>, ask: &PlaceAsk<'_>) -> Option<&'a EndpointView> {
+fn first_light<'a>(sight: &Sight<'a>, ask: &PlacementRequest<'_>) -> Option<&'a EndpointView> {
     let first = sight.pool.get(sight.pool.first_ranked(ask.chat?)?)?;
     let light = sight.load(first) <= sight.mean;
     (light && first.takes_work() && ask.allows(first) && sight.open(first)).then_some(first)
@@ -245,7 +245,7 @@
 /// One of the few least loaded of the nearest that have room.
 fn least_open<'a>(
     sight: &Sight<'a>,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementRequest<'_>,
     rng: &mut impl Rng,
 ) -> Option<&'a EndpointView> {
     for distance in [Distance::Centre, Distance::Region, Distance::Far] {
@@ -263,7 +263,7 @@
 /// One of the few least busy of all; those of unknown state only if there are no others.
 fn least_busy<'a>(
     sight: &Sight<'a>,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementRequest<'_>,
     rng: &mut impl Rng,
 ) -> Option<&'a EndpointView> {
     for state in [EndpointState::Ready, EndpointState::Unknown] {
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::ids::{ChatHash, DaemonId, EndpointId};
 use medlarrill_core::placement::{
     CacheHint, ChatPlaces, Daemon, Directory, Distance, EndpointLoad, EndpointState, Fleet, Group,
-    Node, Occupancy, Place, PlaceAsk, PoolSum, PoolView, Why, chat_hash, expected_cached, key_of,
+    Node, Occupancy, Place, PlacementRequest, PoolSum, PoolView, Why, chat_hash, expected_cached, key_of,
     may_pass, place,
 };
 use medlarrill_core::reason::Reason;
@@ -65,8 +65,8 @@
     pool
 }
 
-fn ask<'a>(places: &'a [Place], tried: &'a [EndpointId]) -> PlaceAsk<'a> {
-    PlaceAsk {
+fn ask<'a>(places: &'a [Place], tried: &'a [EndpointId]) -> PlacementRequest<'a> {
+    PlacementRequest {
         chat: Some(ChatHash(1)),
         places,
         prompt: Tokens(1000),
@@ -272,11 +272,11 @@
 #[gtest]
 fn after_the_last_hop_a_home_passes_on_only_to_its_own() {
     let here = endpoint(0);
-    let last = PlaceAsk {
+    let last = PlacementRequest {
         own_only: true,
         ..ask(&[], &[])
     };
-    let may = |pool: &PoolView, ask: &PlaceAsk<'_>| may_pass(pool, ask, &here, NOW);
+    let may = |pool: &PoolView, ask: &PlacementRequest<'_>| may_pass(pool, ask, &here, NOW);
     expect_that!(may(&pool(&[150, 60]), &last), eq(true));
     expect_that!(may(&pool(&[150, 950, 60, 60]), &last), eq(true));
     let mut remote = pool(&[150]);
@@ -352,7 +352,7 @@
     let mut pool = pool(&[100, 90]);
     pool.set_endpoint(&endpoint(2), Distance::Centre);
     pool.set_state(&endpoint(2), EndpointState::Ready);
-    let last = PlaceAsk {
+    let last = PlacementRequest {
         own_only: true,
         ..ask(&[], &[])
     };
@@ -374,7 +374,7 @@
     expect_that!(placement.endpoint, eq(&endpoint(2)));
     pool.set_state(&endpoint(0), EndpointState::Unknown);
     let own = [served(0, 900, NOW)];
-    let last = PlaceAsk {
+    let last = PlacementRequest {
         own_only: true,
         ..ask(&own, &[])
     };
--- a/crates/daemon/src/home/placing.rs
+++ b/crates/daemon/src/home/placing.rs
@@ -4,7 +4,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChatHash, DaemonId, EndpointId};
-use medlarrill_core::placement::{HOP_LIMIT, Place, PlaceAsk, place};
+use medlarrill_core::placement::{HOP_LIMIT, Place, PlacementRequest, place};
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::Tokens;
 use medlarrill_core::wire::{Body, Forward, Placed};
@@ -50,7 +50,7 @@
         let chat = held.chat();
         let places = chat.map(|chat| self.directory.places(chat));
         let tried = held.tried();
-        let ask = PlaceAsk {
+        let ask = PlacementRequest {
             chat,
             places: places.as_deref().unwrap_or_default(),
             prompt: held.prompt(),
--- a/crates/lab/src/policy/fleet/request.rs
+++ b/crates/lab/src/policy/fleet/request.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChatHash, EndpointId};
 use medlarrill_core::placement::{
-    HOP_LIMIT, Place, PlaceAsk, Placement, estimated_work, may_pass, place, prompt_work,
+    HOP_LIMIT, Place, PlacementRequest, Placement, estimated_work, may_pass, place, prompt_work,
     worth_waiting,
 };
 use medlarrill_core::reason::Reason;
@@ -267,8 +267,8 @@
     job.tried.iter().map(|n| names[*n].clone()).collect()
 }
 
-fn ask<'a>(job: &Job, places: &'a [Place], tried: &'a [EndpointId]) -> PlaceAsk<'a> {
-    PlaceAsk {
+fn ask<'a>(job: &Job, places: &'a [Place], tried: &'a [EndpointId]) -> PlacementRequest<'a> {
+    PlacementRequest {
         chat: Some(ChatHash(job.request.chat)),
         places,
         prompt: Tokens(job.request.prompt.into()),
