--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -25,7 +25,8 @@
 mod rendezvous;
 
 pub use decide::{
-    HOP_LIMIT, PlacementRequest, Placement, Result, Why, expected_cached, may_pass, place, worth_waiting,
+    HOP_LIMIT, Placement, PlacementReason, PlacementRequest, Result, expected_cached, may_pass,
+    place, worth_waiting,
 };
 pub use directory::{CacheHint, ChatPlaces, Directory, MAX_PLACES, Place};
 pub use fleet::{Daemon, Fleet};
--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -59,7 +59,7 @@
 /// Why an endpoint was chosen.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug)]
-pub enum Why {
+pub enum PlacementReason {
     /// It served the chat last.
     Returned,
     /// It served the chat before that.
@@ -77,7 +77,7 @@
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Why it was chosen.
-    pub why: Why,
+    pub reason: PlacementReason,
     /// Prompt tokens expected to be cached there.
     pub cached: Tokens,
 }
@@ -116,7 +116,12 @@
 }
 
 /// Whether a home could give a request to another endpoint: any with room, or after the last hop one of its own.
-pub fn may_pass(pool: &PoolView, ask: &PlacementRequest<'_>, here: &EndpointId, now: Millis) -> bool {
+pub fn may_pass(
+    pool: &PoolView,
+    ask: &PlacementRequest<'_>,
+    here: &EndpointId,
+    now: Millis,
+) -> bool {
     let sight = Sight::new(pool, now);
     let other = |view: &EndpointView| {
         view.id != *here && view.takes_work() && ask.allows(view) && sight.open(view)
@@ -189,15 +194,15 @@
 }
 
 fn sent_to(sight: &Sight<'_>, ask: &PlacementRequest<'_>, view: &EndpointView) -> Placement {
-    let why = match ask.places {
-        [] => Why::New,
-        _ => Why::Spilled,
+    let reason = match ask.places {
+        [] => PlacementReason::New,
+        _ => PlacementReason::Spilled,
     };
     let known = ask.places.iter().find(|place| place.endpoint == view.id);
     let cached = known.map_or(0.0, |place| sight.cached(place, ask.prompt));
     Placement {
         endpoint: view.id.clone(),
-        why,
+        reason,
         cached: Tokens(cached as u64),
     }
 }
@@ -222,13 +227,13 @@
             continue;
         }
         most = cached;
-        let why = match number {
-            0 => Why::Returned,
-            _ => Why::SecondPlace,
+        let reason = match number {
+            0 => PlacementReason::Returned,
+            _ => PlacementReason::SecondPlace,
         };
         best = Some(Placement {
             endpoint: place.endpoint.clone(),
-            why,
+            reason,
             cached: Tokens(cached as u64),
         });
     }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -12,8 +12,8 @@
 use medlarrill_core::ids::{ChatHash, DaemonId, EndpointId};
 use medlarrill_core::placement::{
     CacheHint, ChatPlaces, Daemon, Directory, Distance, EndpointLoad, EndpointState, Fleet, Group,
-    Node, Occupancy, Place, PlacementRequest, PoolSum, PoolView, Why, chat_hash, expected_cached, key_of,
-    may_pass, place,
+    Node, Occupancy, Place, PlacementReason, PlacementRequest, PoolSum, PoolView, chat_hash,
+    expected_cached, key_of, may_pass, place,
 };
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::Tokens;
@@ -222,21 +222,21 @@
     let places = [served(0, 900, NOW), served(1, 500, NOW)];
     let chosen = |loads: &[u64]| {
         let placement = place(&pool(loads), &ask(&places, &[]), NOW, &mut rng()).unwrap();
-        (placement.endpoint, placement.why)
+        (placement.endpoint, placement.reason)
     };
     expect_that!(
         chosen(&[110, 100, 100, 100]),
-        eq(&(endpoint(0), Why::Returned))
+        eq(&(endpoint(0), PlacementReason::Returned))
     );
     expect_that!(
         chosen(&[200, 100, 100, 100]),
-        eq(&(endpoint(1), Why::SecondPlace))
+        eq(&(endpoint(1), PlacementReason::SecondPlace))
     );
     expect_that!(
         chosen(&[300, 300, 10, 500, 10]),
         any![
-            eq(&(endpoint(2), Why::Spilled)),
-            eq(&(endpoint(4), Why::Spilled))
+            eq(&(endpoint(2), PlacementReason::Spilled)),
+            eq(&(endpoint(4), PlacementReason::Spilled))
         ]
     );
 }
@@ -341,10 +341,16 @@
         }
         let places = [served(0, 900, NOW)];
         let placement = place(&pool, &ask(&places, &[]), NOW, &mut rng()).unwrap();
-        placement.why
+        placement.reason
     };
-    expect_that!(chosen(&[1050, 1000, 1000, 1000]), eq(Why::Returned));
-    expect_that!(chosen(&[2500, 1000, 1000, 1000]), eq(Why::Spilled));
+    expect_that!(
+        chosen(&[1050, 1000, 1000, 1000]),
+        eq(PlacementReason::Returned)
+    );
+    expect_that!(
+        chosen(&[2500, 1000, 1000, 1000]),
+        eq(PlacementReason::Spilled)
+    );
 }
 
 #[gtest]
--- a/crates/lab/src/policy/fleet/daemon.rs
+++ b/crates/lab/src/policy/fleet/daemon.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::config::{Pool, PoolKind};
 use medlarrill_core::ids::{ChatHash, DaemonId, DataCentreId, EndpointId, RegionId};
 use medlarrill_core::placement::{
-    Daemon, Directory, Distance, EndpointState, Fleet, Occupancy, Place, PoolView, Why,
+    Daemon, Directory, Distance, EndpointState, Fleet, Occupancy, Place, PlacementReason, PoolView,
 };
 use medlarrill_core::units::Tokens;
 use rand::{RngExt, SeedableRng};
@@ -61,12 +61,12 @@
     id.as_str()[1..].parse().expect("names end in their number")
 }
 
-pub(super) fn name_of(why: Why) -> &'static str {
+pub(super) fn name_of(why: PlacementReason) -> &'static str {
     match why {
-        Why::Returned => "returned",
-        Why::SecondPlace => "second-place",
-        Why::Spilled => "spilled",
-        Why::New => "new",
+        PlacementReason::Returned => "returned",
+        PlacementReason::SecondPlace => "second-place",
+        PlacementReason::Spilled => "spilled",
+        PlacementReason::New => "new",
     }
 }
 
--- a/crates/lab/src/policy/fleet/request.rs
+++ b/crates/lab/src/policy/fleet/request.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChatHash, EndpointId};
 use medlarrill_core::placement::{
-    HOP_LIMIT, Place, PlacementRequest, Placement, estimated_work, may_pass, place, prompt_work,
+    HOP_LIMIT, Place, Placement, PlacementRequest, estimated_work, may_pass, place, prompt_work,
     worth_waiting,
 };
 use medlarrill_core::reason::Reason;
@@ -90,7 +90,7 @@
         };
         job.cached = chosen.cached.0;
         job.directory = number;
-        plant.measure.placed(job, daemon::name_of(chosen.why));
+        plant.measure.placed(job, daemon::name_of(chosen.reason));
         let uncached = Tokens(u64::from(job.request.prompt) - chosen.cached.0);
         let work = estimated_work(uncached, Tokens(plant.size.output as u64));
         let (chat, prefix) = (job.request.chat, u64::from(job.request.prompt));
