--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -25,8 +25,8 @@
 mod rendezvous;
 
 pub use decide::{
-    HOP_LIMIT, Placement, PlacementReason, PlacementRequest, Result, expected_cached, may_pass,
-    place, worth_waiting,
+    HOP_LIMIT, Placement, PlacementReason, PlacementRequest, Result, can_forward, expected_cached,
+    place, should_wait,
 };
 pub use directory::{CacheHint, ChatPlaces, Directory, MAX_PLACES, Place};
 pub use fleet::{Daemon, Fleet};
--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -116,7 +116,7 @@
 }
 
 /// Whether a home could give a request to another endpoint: any with room, or after the last hop one of its own.
-pub fn may_pass(
+pub fn can_forward(
     pool: &PoolView,
     ask: &PlacementRequest<'_>,
     here: &EndpointId,
@@ -132,7 +132,7 @@
 /// Whether a request had better wait for a cached prefix than go to an endpoint without it.
 ///
 /// `behind` is the work that must go before the request runs here.
-pub fn worth_waiting(behind: Tokens, cached: Tokens) -> bool {
+pub fn should_wait(behind: Tokens, cached: Tokens) -> bool {
     behind <= prompt_work(cached)
 }
 
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -12,8 +12,8 @@
 use medlarrill_core::ids::{ChatHash, DaemonId, EndpointId};
 use medlarrill_core::placement::{
     CacheHint, ChatPlaces, Daemon, Directory, Distance, EndpointLoad, EndpointState, Fleet, Group,
-    Node, Occupancy, Place, PlacementReason, PlacementRequest, PoolSum, PoolView, chat_hash,
-    expected_cached, key_of, may_pass, place,
+    Node, Occupancy, Place, PlacementReason, PlacementRequest, PoolSum, PoolView, can_forward,
+    chat_hash, expected_cached, key_of, place,
 };
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::Tokens;
@@ -276,7 +276,7 @@
         own_only: true,
         ..ask(&[], &[])
     };
-    let may = |pool: &PoolView, ask: &PlacementRequest<'_>| may_pass(pool, ask, &here, NOW);
+    let may = |pool: &PoolView, ask: &PlacementRequest<'_>| can_forward(pool, ask, &here, NOW);
     expect_that!(may(&pool(&[150, 60]), &last), eq(true));
     expect_that!(may(&pool(&[150, 950, 60, 60]), &last), eq(true));
     let mut remote = pool(&[150]);
--- a/crates/lab/src/policy/fleet/request.rs
+++ b/crates/lab/src/policy/fleet/request.rs
@@ -4,8 +4,8 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChatHash, EndpointId};
 use medlarrill_core::placement::{
-    HOP_LIMIT, Place, Placement, PlacementRequest, estimated_work, may_pass, place, prompt_work,
-    worth_waiting,
+    HOP_LIMIT, Place, Placement, PlacementRequest, can_forward, estimated_work, place, prompt_work,
+    should_wait,
 };
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::Tokens;
@@ -143,9 +143,9 @@
         let tried = tried(plant, job);
         let pool = &self.daemons[number].pool;
         let here = &plant.names.endpoints[endpoint];
-        let other = may_pass(pool, &ask(job, &[], &tried), here, Millis(now));
+        let other = can_forward(pool, &ask(job, &[], &tried), here, Millis(now));
         let behind = self.daemons[number].behind(endpoint, now);
-        let stays = worth_waiting(behind, Tokens(job.cached));
+        let stays = should_wait(behind, Tokens(job.cached));
         let ready = self.daemons[number].takes(endpoint, plant, now);
         let passable = (other || !ready) && job.tried.len() < MAX_TRIED;
         let offer = Offer {
