--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -253,7 +253,11 @@
     ask: &PlacementRequest<'_>,
     rng: &mut impl Rng,
 ) -> Option<&'a EndpointView> {
-    for distance in [Distance::Centre, Distance::Region, Distance::Far] {
+    for distance in [
+        Distance::SameDataCentre,
+        Distance::SameRegion,
+        Distance::OtherRegion,
+    ] {
         let fits = |view: &&EndpointView| {
             view.distance == distance && view.takes_work() && ask.allows(view) && sight.open(view)
         };
--- a/crates/core/src/placement/load.rs
+++ b/crates/core/src/placement/load.rs
@@ -36,11 +36,11 @@
 #[derive(Debug)]
 pub enum Distance {
     /// The same data centre.
-    Centre,
+    SameDataCentre,
     /// The same region.
-    Region,
+    SameRegion,
     /// Another region.
-    Far,
+    OtherRegion,
 }
 
 /// Whether an endpoint takes new work, as far as is known here.
--- a/crates/core/src/placement/load/view.rs
+++ b/crates/core/src/placement/load/view.rs
@@ -193,7 +193,7 @@
     /// All endpoints of the region count, whatever their state, so that its entries agree; those of other regions
     /// only if it has none.
     pub fn first_ranked(&self, chat: ChatHash) -> Option<&EndpointId> {
-        let near = |endpoint: &&EndpointView| endpoint.distance != Distance::Far;
+        let near = |endpoint: &&EndpointView| endpoint.distance != Distance::OtherRegion;
         let region = self.endpoints.iter().filter(near);
         best_of(region, chat).or_else(|| best_of(self.endpoints.iter(), chat))
     }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -58,7 +58,7 @@
 fn pool(loads: &[u64]) -> PoolView {
     let mut pool = PoolView::new(1.25);
     for (n, load) in loads.iter().enumerate() {
-        pool.set_endpoint(&endpoint(n), Distance::Centre);
+        pool.set_endpoint(&endpoint(n), Distance::SameDataCentre);
         pool.set_state(&endpoint(n), EndpointState::Ready);
         pool.set_own(&endpoint(n), counted(*load), NOW);
     }
@@ -280,7 +280,7 @@
     expect_that!(may(&pool(&[150, 60]), &last), eq(true));
     expect_that!(may(&pool(&[150, 950, 60, 60]), &last), eq(true));
     let mut remote = pool(&[150]);
-    remote.set_endpoint(&endpoint(1), Distance::Centre);
+    remote.set_endpoint(&endpoint(1), Distance::SameDataCentre);
     remote.set_state(&endpoint(1), EndpointState::Ready);
     expect_that!(may(&remote, &last), eq(false));
     expect_that!(may(&remote, &ask(&[], &[])), eq(true));
@@ -307,7 +307,7 @@
 fn work_sent_counts_until_the_home_tells_of_it() {
     let mut pool = PoolView::new(1.25);
     let id = endpoint(0);
-    pool.set_endpoint(&id, Distance::Centre);
+    pool.set_endpoint(&id, Distance::SameDataCentre);
     let tell = |pool: &mut PoolView, load, at| {
         let heard = EndpointLoad {
             endpoint: endpoint(0),
@@ -356,7 +356,7 @@
 #[gtest]
 fn after_the_last_hop_only_own_endpoints_are_chosen() {
     let mut pool = pool(&[100, 90]);
-    pool.set_endpoint(&endpoint(2), Distance::Centre);
+    pool.set_endpoint(&endpoint(2), Distance::SameDataCentre);
     pool.set_state(&endpoint(2), EndpointState::Ready);
     let last = PlacementRequest {
         own_only: true,
@@ -372,7 +372,7 @@
 #[gtest]
 fn only_anothers_endpoint_of_unknown_state_is_returned_to_and_only_with_hops_left() {
     let mut pool = pool(&[10, 10]);
-    pool.set_endpoint(&endpoint(2), Distance::Centre);
+    pool.set_endpoint(&endpoint(2), Distance::SameDataCentre);
     pool.set_state(&endpoint(2), EndpointState::Unknown);
     let others = [served(2, 900, NOW)];
     let asked = ask(&others, &[]);
--- a/crates/daemon/src/home/view.rs
+++ b/crates/daemon/src/home/view.rs
@@ -152,11 +152,11 @@
     fn distance(&self, centre: &DataCentreId) -> Distance {
         let settings = &self.context.settings;
         if *centre == settings.data_centre {
-            return Distance::Centre;
+            return Distance::SameDataCentre;
         }
         match self.fleet.regions.get(centre) {
-            Some(region) if *region != settings.region => Distance::Far,
-            _ => Distance::Region,
+            Some(region) if *region != settings.region => Distance::OtherRegion,
+            _ => Distance::SameRegion,
         }
     }
 }
--- a/crates/lab/src/policy/fleet/daemon.rs
+++ b/crates/lab/src/policy/fleet/daemon.rs
@@ -107,9 +107,9 @@
         for (endpoint, name) in plant.names.endpoints.iter().enumerate() {
             let at = centre_of(size, endpoint);
             let distance = match () {
-                () if at == centre => Distance::Centre,
-                () if size.centres[at].region == region => Distance::Region,
-                () => Distance::Far,
+                () if at == centre => Distance::SameDataCentre,
+                () if size.centres[at].region == region => Distance::SameRegion,
+                () => Distance::OtherRegion,
             };
             daemon.pool.set_endpoint(name, distance);
             daemon.pool.set_state(name, EndpointState::Ready);
