--- a/crates/core/src/placement/load/view.rs
+++ b/crates/core/src/placement/load/view.rs
@@ -108,7 +108,7 @@
     }
 
     /// Takes in another home's word on an endpoint; older word than the present is ignored.
-    pub fn hear_load(&mut self, heard: &EndpointLoad, now: Millis) {
+    pub fn update_load(&mut self, heard: &EndpointLoad, now: Millis) {
         let Some(endpoint) = self.get_mut(&heard.endpoint) else {
             return;
         };
@@ -128,17 +128,17 @@
     }
 
     /// Takes in the sum of another daemon of the own data centre; older word than the present is ignored.
-    pub fn hear_sum(&mut self, daemon: &DaemonId, sum: PoolSum) {
+    pub fn update_sum(&mut self, daemon: &DaemonId, sum: PoolSum) {
         hear(&mut self.sums, daemon, sum);
     }
 
     /// Takes in the sum over another data centre; older word than the present is ignored.
-    pub fn hear_centre(&mut self, centre: &DataCentreId, sum: PoolSum) {
+    pub fn update_data_centre_sum(&mut self, centre: &DataCentreId, sum: PoolSum) {
         hear(&mut self.centres, centre, sum);
     }
 
     /// The sum over the own data centre, to tell others; what is stale is left out.
-    pub fn centre_sum(&self, now: Millis) -> PoolSum {
+    pub fn data_centre_sum(&self, now: Millis) -> PoolSum {
         let fresh = |sum: &&PoolSum| now.since(sum.as_of) <= STALE;
         let sums = self.sums.values().map(|heard| &heard.sum).filter(fresh);
         sums.fold(self.own_sum(now), |all, sum| PoolSum {
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -295,7 +295,7 @@
         endpoints: 9,
         as_of: NOW,
     };
-    pool.hear_sum(&other, sum);
+    pool.update_sum(&other, sum);
     expect_that!(pool.mean(NOW).load, near(100.0, 0.1));
     let later = pool.mean(NOW + Millis::from_secs(13)).load;
     expect_that!(later, all![gt(20.0), lt(50.0)]);
@@ -315,7 +315,7 @@
             room: true,
             as_of: at,
         };
-        pool.hear_load(&heard, at);
+        pool.update_load(&heard, at);
     };
     let estimate = |pool: &PoolView| pool.get(&id).unwrap().estimate(0.0, NOW);
     tell(&mut pool, 100, NOW);
--- a/crates/daemon/src/home/gossip.rs
+++ b/crates/daemon/src/home/gossip.rs
@@ -76,7 +76,7 @@
                 endpoints: heard.endpoints,
                 as_of: at,
             };
-            pool.hear_sum(from, sum);
+            pool.update_sum(from, sum);
             for load in heard.least() {
                 let Some(endpoint) = self.names.endpoints.get(&load.endpoint) else {
                     continue;
@@ -87,7 +87,7 @@
                     room: load.room,
                     as_of: at,
                 };
-                pool.hear_load(&load, at);
+                pool.update_load(&load, at);
             }
         }
     }
--- a/crates/lab/src/policy/fleet/gossip.rs
+++ b/crates/lab/src/policy/fleet/gossip.rs
@@ -56,9 +56,9 @@
         for peer in peers {
             self.count(number, peer, bytes);
             let pool = &mut self.daemons[peer].pool;
-            pool.hear_sum(&daemon_id(number), sum);
+            pool.update_sum(&daemon_id(number), sum);
             for load in &least {
-                pool.hear_load(load, at);
+                pool.update_load(load, at);
             }
             for (name, age) in &ages {
                 pool.set_eviction_age(name, *age);
@@ -69,7 +69,7 @@
     fn send_beats(&mut self, number: usize, now: u64) {
         let from = &self.daemons[number];
         let (centre, region) = (from.centre, from.region);
-        let sum = from.pool.centre_sum(Millis(now));
+        let sum = from.pool.data_centre_sum(Millis(now));
         let mut peers: Vec<_> = (0..self.daemons.len())
             .filter(|other| *other != number && from.seen[*other])
             .collect();
@@ -84,7 +84,9 @@
             let bytes = BEAT_BYTES + if told { SUM_BYTES } else { 0 };
             self.count(number, peer, bytes);
             if told {
-                self.daemons[peer].pool.hear_centre(&centre_id(centre), sum);
+                self.daemons[peer]
+                    .pool
+                    .update_data_centre_sum(&centre_id(centre), sum);
             }
         }
     }
