--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -8,7 +8,7 @@
 //! - The directory daemon looks the chat up in its [`Directory`], calls [`place()`], notes the work sent
 //!   ([`PoolView::note_sent`]) and records the place. If the chosen endpoint's home is another daemon, it passes
 //!   the request on.
-//! - The home counts its endpoints' work exactly ([`PoolView::set_own`]) and has the last word with
+//! - The home counts its endpoints' work exactly ([`PoolView::set_own_load`]) and has the last word with
 //!   [`admit_under_bound`]: it admits, passes on while hops are left, or lets the request wait in its queue. It tells
 //!   the directory daemon only when it passed the request on or found its cached prefix gone.
 //!
--- a/crates/core/src/placement/directory.rs
+++ b/crates/core/src/placement/directory.rs
@@ -155,7 +155,7 @@
     }
 
     /// Notes a cache event for a chat's prefix at an endpoint.
-    pub fn note_event(&mut self, chat: ChatHash, endpoint: &EndpointId, hint: CacheHint) {
+    pub fn record_cache_event(&mut self, chat: ChatHash, endpoint: &EndpointId, hint: CacheHint) {
         self.change(chat, endpoint, |place| {
             Some(Place {
                 hint: Some(hint),
@@ -165,12 +165,12 @@
     }
 
     /// Forgets one place of a chat, as when the endpoint found nothing cached.
-    pub fn forget_place(&mut self, chat: ChatHash, endpoint: &EndpointId) {
+    pub fn remove_place(&mut self, chat: ChatHash, endpoint: &EndpointId) {
         self.change(chat, endpoint, |_| None);
     }
 
     /// Forgets all places at an endpoint that is gone.
-    pub fn drop_endpoint(&mut self, endpoint: &EndpointId) {
+    pub fn remove_endpoint(&mut self, endpoint: &EndpointId) {
         let Some(number) = self.names.iter().position(|name| name == endpoint) else {
             return;
         };
--- a/crates/core/src/placement/load/view.rs
+++ b/crates/core/src/placement/load/view.rs
@@ -88,7 +88,7 @@
     }
 
     /// Sets what this daemon counts at an endpoint that it is home of.
-    pub fn set_own(&mut self, id: &EndpointId, counted: Occupancy, now: Millis) {
+    pub fn set_own_load(&mut self, id: &EndpointId, counted: Occupancy, now: Millis) {
         if let Some(endpoint) = self.get_mut(id) {
             endpoint.own = true;
             endpoint.load = counted.load;
@@ -149,7 +149,7 @@
     }
 
     /// Forgets a daemon that is gone.
-    pub fn drop_daemon(&mut self, daemon: &DaemonId) {
+    pub fn remove_daemon(&mut self, daemon: &DaemonId) {
         self.sums.remove(daemon);
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// The `count` least loaded of the own endpoints that take work, to tell others.
-    pub fn own_least(&self, count: usize, now: Millis) -> Vec<EndpointLoad> {
+    pub fn own_least_loaded(&self, count: usize, now: Millis) -> Vec<EndpointLoad> {
         let own = |endpoint: &&EndpointView| endpoint.own && endpoint.takes_work();
         let mut least: Vec<_> = self.endpoints.iter().filter(own).collect();
         least.sort_by_key(|endpoint| (!endpoint.room, endpoint.load + endpoint.waiting));
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -60,7 +60,7 @@
     for (n, load) in loads.iter().enumerate() {
         pool.set_endpoint(&endpoint(n), Distance::SameDataCentre);
         pool.set_state(&endpoint(n), EndpointState::Ready);
-        pool.set_own(&endpoint(n), counted(*load), NOW);
+        pool.set_own_load(&endpoint(n), counted(*load), NOW);
     }
     pool
 }
@@ -160,11 +160,11 @@
     }
     let places = directory.places(chat);
     expect_that!(places, eq(&vec![served(1, 101, NOW), served(2, 102, NOW)]));
-    directory.note_event(chat, &endpoint(2), CacheHint::Evicted);
+    directory.record_cache_event(chat, &endpoint(2), CacheHint::Evicted);
     expect_that!(directory.places(chat)[1].hint, some(eq(CacheHint::Evicted)));
-    directory.forget_place(chat, &endpoint(1));
+    directory.remove_place(chat, &endpoint(1));
     expect_that!(directory.places(chat).len(), eq(1));
-    directory.drop_endpoint(&endpoint(2));
+    directory.remove_endpoint(&endpoint(2));
     expect_that!(directory.is_empty(), eq(true));
 }
 
@@ -299,7 +299,7 @@
     expect_that!(pool.mean(NOW).load, near(100.0, 0.1));
     let later = pool.mean(NOW + Millis::from_secs(13)).load;
     expect_that!(later, all![gt(20.0), lt(50.0)]);
-    pool.drop_daemon(&other);
+    pool.remove_daemon(&other);
     expect_that!(pool.mean(NOW).load, near(100.0, 0.1));
 }
 
@@ -337,7 +337,7 @@
                 room: false,
                 ..counted(*load)
             };
-            pool.set_own(&endpoint(n), full, NOW);
+            pool.set_own_load(&endpoint(n), full, NOW);
         }
         let places = [served(0, 900, NOW)];
         let placement = place(&pool, &ask(&places, &[]), NOW, &mut rng()).unwrap();
--- a/crates/daemon/src/home/gossip.rs
+++ b/crates/daemon/src/home/gossip.rs
@@ -56,7 +56,7 @@
         self.told = now;
         let pools = self.loads.pools.iter().map(|(id, pool)| {
             let sum = pool.own_sum(now);
-            let least = pool.own_least(LEAST, now);
+            let least = pool.own_least_loaded(LEAST, now);
             let least: Vec<EndpointLoad> = least.iter().map(brief).collect();
             PoolLoad::new(name_hash(id.as_str()), sum.load.0, sum.endpoints, &least)
         });
--- a/crates/daemon/src/home/view.rs
+++ b/crates/daemon/src/home/view.rs
@@ -43,7 +43,7 @@
                 .collect();
             for endpoint in gone {
                 view.remove_endpoint(&endpoint);
-                self.directory.drop_endpoint(&endpoint);
+                self.directory.remove_endpoint(&endpoint);
             }
         }
     }
@@ -138,7 +138,7 @@
             return;
         };
         if slot.own {
-            view.set_own(endpoint, slot.occupancy(now), now);
+            view.set_own_load(endpoint, slot.occupancy(now), now);
         }
         let state = match slot.home.state() {
             State::Ready | State::Unheard | State::Moved => EndpointState::Ready,
--- a/crates/lab/src/policy/fleet/daemon.rs
+++ b/crates/lab/src/policy/fleet/daemon.rs
@@ -204,7 +204,7 @@
             room: free && home.queued() == 0,
         };
         self.pool
-            .set_own(&plant.names.endpoints[endpoint], counted, now);
+            .set_own_load(&plant.names.endpoints[endpoint], counted, now);
     }
 
     /// Work that must go before a home can dispatch one more request.
--- a/crates/lab/src/policy/fleet/gossip.rs
+++ b/crates/lab/src/policy/fleet/gossip.rs
@@ -37,7 +37,7 @@
         let at = Millis(now);
         let from = &self.daemons[number];
         let sum = from.pool.own_sum(at);
-        let least = from.pool.own_least(NAMED, at);
+        let least = from.pool.own_least_loaded(NAMED, at);
         let ages: Vec<_> = (0..from.home_of.len())
             .filter(|endpoint| from.home_of[*endpoint] == number)
             .map(|endpoint| &plant.names.endpoints[endpoint])
--- a/crates/lab/src/policy/fleet/members.rs
+++ b/crates/lab/src/policy/fleet/members.rs
@@ -62,7 +62,7 @@
         }
         self.daemons[number].seen[other] = live;
         if !live {
-            self.daemons[number].pool.drop_daemon(&daemon_id(other));
+            self.daemons[number].pool.remove_daemon(&daemon_id(other));
         }
         self.rebuild(plant, number, now);
         self.work(plant, now);
--- a/crates/lab/src/policy/fleet/news.rs
+++ b/crates/lab/src/policy/fleet/news.rs
@@ -111,7 +111,7 @@
         for (chat, owner) in chats.iter().zip(owners) {
             let name = &plant.names.endpoints[endpoint];
             let directory = &mut self.daemons[owner].directory;
-            directory.note_event(ChatHash(*chat), name, CacheHint::Evicted);
+            directory.record_cache_event(ChatHash(*chat), name, CacheHint::Evicted);
         }
     }
 }
