--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -31,7 +31,7 @@
 pub use directory::{CacheHint, ChatPlaces, Directory, MAX_PLACES, Place};
 pub use fleet::{Daemon, Fleet};
 pub use load::{
-    Distance, EndpointLoad, EndpointState, EndpointView, LoadView, Occupancy, PROMPT_PER_OUTPUT,
-    PoolMean, PoolSum, PoolView, estimated_work, prompt_work,
+    Distance, EndpointLoad, EndpointState, EndpointView, LoadView, Occupancy,
+    PROMPT_TOKENS_PER_OUTPUT, PoolMean, PoolSum, PoolView, estimated_work, prompt_work,
 };
 pub use rendezvous::{Group, Node, chat_hash, key_of};
--- a/crates/core/src/placement/load.rs
+++ b/crates/core/src/placement/load.rs
@@ -1,6 +1,6 @@
 //! What a daemon knows of the endpoints' load and of each pool's mean.
 //!
-//! Load is estimated work in flight, in generated tokens; prompt tokens count less, see [`PROMPT_PER_OUTPUT`]. It is exact for the endpoints that the daemon is home of. For others
+//! Load is estimated work in flight, in generated tokens; prompt tokens count less, see [`PROMPT_TOKENS_PER_OUTPUT`]. It is exact for the endpoints that the daemon is home of. For others
 //! it comes late, by gossip, and the daemon adds what it has itself sent there since. The mean is made of the
 //! daemons' sums. A sum that is not renewed fades, which lowers the mean and so tightens the bound.
 
@@ -19,11 +19,11 @@
 /// Prompt tokens that cost an engine as much as one generated token.
 ///
 /// Engines compute prompts many tokens at a step and generate one token of each request at a step.
-pub const PROMPT_PER_OUTPUT: u64 = 12;
+pub const PROMPT_TOKENS_PER_OUTPUT: u64 = 12;
 
 /// The work of computing a prompt, in generated tokens.
 pub fn prompt_work(uncached: Tokens) -> Tokens {
-    Tokens(uncached.0.div_ceil(PROMPT_PER_OUTPUT))
+    Tokens(uncached.0.div_ceil(PROMPT_TOKENS_PER_OUTPUT))
 }
 
 /// The work of a request: what must be computed of the prompt, and what is expected to be generated.
--- a/crates/lab/src/policy/engine.rs
+++ b/crates/lab/src/policy/engine.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use medlarrill_core::placement::PROMPT_PER_OUTPUT;
+use medlarrill_core::placement::PROMPT_TOKENS_PER_OUTPUT;
 
 use super::cache::{Cache, shared_key};
 use super::size::EngineSize;
@@ -15,7 +15,7 @@
 /// Part of the expected output taken to be left once it is exceeded, as a divisor.
 const TAIL: f64 = 8.0;
 /// Prompt tokens that count as one generated token.
-const PROMPT: f64 = PROMPT_PER_OUTPUT as f64;
+const PROMPT: f64 = PROMPT_TOKENS_PER_OUTPUT as f64;
 
 /// A request given to an engine.
 #[derive(Clone, Copy)]
