--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,22 +1,22 @@
 //! Account limits over the whole fleet.
 //!
 //! Each account has a rate and a concurrency. One daemon, found by hash, owns
-//! the account and keeps a [`Ledger`]; every entry keeps [`Accounts`]. Entries
+//! the account and keeps a [`ShareAllocator`]; every entry keeps [`EntryLimiter`]. Entries
 //! report use and demand, the owner grants shares that expire. A request that
 //! doesn't fit its entry's share is held for one round trip while the entry
 //! asks for more; it is refused at once if the owner has just said that there
 //! is none. An entry whose owner is lost moves from its last grant towards
 //! its even part of the limit.
 
-mod accounts;
 mod book;
 mod ease;
+mod entry_limiter;
 mod event;
-mod ledger;
 mod line;
 mod local;
 mod meter;
 mod share;
+mod share_allocator;
 mod split;
 
 use derive_more::Debug;
@@ -27,9 +27,9 @@
 use crate::ids::{AccountId, InstitutionId};
 use crate::wire::Watch;
 
-pub use accounts::Accounts;
+pub use entry_limiter::EntryLimiter;
 pub use event::{Action, Event};
-pub use ledger::{Ledger, LedgerAction, LedgerEvent};
+pub use share_allocator::{AllocatorAction, AllocatorEvent, ShareAllocator};
 
 /// How long a grant holds.
 pub const EXPIRY: Millis = Millis::from_secs(15);
--- a/crates/core/src/limits/accounts.rs
+++ b/crates/core/src/limits/entry_limiter.rs
@@ -29,7 +29,7 @@
 /// All accounts in use at one entry.
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct Accounts {
+pub struct EntryLimiter {
     live: u32,
     locals: BTreeMap<AccountHash, Local>,
     flights: HashMap<AttemptId, AccountHash>,
@@ -44,7 +44,7 @@
     rng: Pcg32,
 }
 
-impl Accounts {
+impl EntryLimiter {
     /// An entry among `live` daemons.
     pub fn new(live: u32, rng: Pcg32, now: Millis) -> Self {
         Self {
--- a/crates/core/src/limits/event.rs
+++ b/crates/core/src/limits/event.rs
@@ -41,7 +41,7 @@
         /// How many there are.
         live: u32,
     },
-    /// Time has passed; wanted by [`Accounts::wake`](super::Accounts::wake).
+    /// Time has passed; wanted by [`Accounts::wake`](super::EntryLimiter::wake).
     Tick,
 }
 
--- a/crates/core/src/limits/ledger.rs
+++ b/crates/core/src/limits/share_allocator.rs
@@ -18,7 +18,7 @@
 /// What an owner is told.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
-pub enum LedgerEvent {
+pub enum AllocatorEvent {
     /// An entry has reported.
     Usage {
         /// Which.
@@ -40,7 +40,7 @@
 /// What an owner asks for.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
-pub struct LedgerAction {
+pub struct AllocatorAction {
     /// The entry.
     pub to: DaemonId,
     /// What to send it.
@@ -58,7 +58,7 @@
 /// The accounts that one daemon owns and that are in use.
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct Ledger {
+pub struct ShareAllocator {
     live: u32,
     /// Until when a book that is opened may lack what a former owner granted.
     learning: Millis,
@@ -66,7 +66,7 @@
     peers: HashMap<DaemonId, Peer>,
 }
 
-impl Ledger {
+impl ShareAllocator {
     /// An owner among `live` daemons.
     pub fn new(live: u32, now: Millis) -> Self {
         Self {
@@ -80,18 +80,20 @@
     /// Takes an event and returns the grants to send; `limits_of` finds an account's limits.
     pub fn handle(
         &mut self,
-        event: LedgerEvent,
+        event: AllocatorEvent,
         now: Millis,
         limits_of: impl Fn(AccountHash) -> Option<Limits>,
-    ) -> Vec<LedgerAction> {
+    ) -> Vec<AllocatorAction> {
         match event {
-            LedgerEvent::Usage { from, usage } => return self.usage(&from, &usage, now, limits_of),
-            LedgerEvent::Members { live } => {
+            AllocatorEvent::Usage { from, usage } => {
+                return self.usage(&from, &usage, now, limits_of);
+            }
+            AllocatorEvent::Members { live } => {
                 self.live = live;
                 self.learning = now + LEARNING;
             }
-            LedgerEvent::Gone(daemon) => self.forget(&daemon),
-            LedgerEvent::Tick => self.expire(now),
+            AllocatorEvent::Gone(daemon) => self.forget(&daemon),
+            AllocatorEvent::Tick => self.expire(now),
         }
         Vec::new()
     }
@@ -117,7 +119,7 @@
         usage: &Usage,
         now: Millis,
         limits_of: impl Fn(AccountHash) -> Option<Limits>,
-    ) -> Vec<LedgerAction> {
+    ) -> Vec<AllocatorAction> {
         let known = self.peers.get(from).copied().unwrap_or_default();
         if usage.number <= known.answers {
             // The entry or the link to it has started anew, and it reports all it holds.
@@ -156,7 +158,7 @@
             .collect()
     }
 
-    fn grant(&mut self, to: DaemonId, rows: &[Row], now: Millis) -> LedgerAction {
+    fn grant(&mut self, to: DaemonId, rows: &[Row], now: Millis) -> AllocatorAction {
         let peer = self.peers.entry(to.clone()).or_default();
         peer.number += 1;
         for row in rows {
@@ -175,7 +177,7 @@
             dry: column(rows.iter().map(|row| row.dry)),
             watch: watched(rows),
         };
-        LedgerAction { to, grant }
+        AllocatorAction { to, grant }
     }
 
     fn forget(&mut self, daemon: &DaemonId) {
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -6,7 +6,9 @@
 use fleet::{Demand, Fleet, Outcome};
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::limits::{AccountHash, Ledger, LedgerAction, LedgerEvent, Limits};
+use medlarrill_core::limits::{
+    AccountHash, AllocatorAction, AllocatorEvent, Limits, ShareAllocator,
+};
 use medlarrill_core::reason::Reason;
 use medlarrill_core::wire::Usage;
 
@@ -187,13 +189,13 @@
 
 /// One entry's report of the one account, to an owner among two daemons.
 fn report(
-    ledger: &mut Ledger,
+    ledger: &mut ShareAllocator,
     from: &str,
     number: u64,
     seen: u64,
     now: u64,
     row: [u32; 3],
-) -> Vec<LedgerAction> {
+) -> Vec<AllocatorAction> {
     let [flights, share, need] = row;
     let usage = Usage {
         number,
@@ -209,21 +211,21 @@
         rate: 100.0,
         concurrency: 10,
     };
-    let event = LedgerEvent::Usage {
+    let event = AllocatorEvent::Usage {
         from: from.parse().expect("a name"),
         usage,
     };
     ledger.handle(event, Millis(now), |_| Some(limits))
 }
 
-fn share_of(actions: &[LedgerAction], to: &str) -> Option<u32> {
+fn share_of(actions: &[AllocatorAction], to: &str) -> Option<u32> {
     let action = actions.iter().find(|action| action.to.as_str() == to);
     action.map(|action| action.grant.shares.first().copied().unwrap_or(0))
 }
 
 #[gtest]
 fn a_share_is_given_on_only_when_its_holder_has_confirmed_its_loss() {
-    let mut ledger = Ledger::new(2, Millis(0));
+    let mut ledger = ShareAllocator::new(2, Millis(0));
     let first = report(&mut ledger, "e1", 1, 0, 5_000, [8, 0, 2]);
     expect_that!(share_of(&first, "e1"), some(eq(10)));
     report(&mut ledger, "e1", 2, 1, 6_000, [2, 10, 0]);
@@ -238,10 +240,10 @@
 
 #[gtest]
 fn a_new_owner_honours_former_grants_and_keeps_something_back_at_first() {
-    let mut ledger = Ledger::new(2, Millis(0));
+    let mut ledger = ShareAllocator::new(2, Millis(0));
     let first = report(&mut ledger, "e1", 1, 0, 100, [0, 0, 10]);
     expect_that!(share_of(&first, "e1"), some(eq(5)));
-    let mut ledger = Ledger::new(2, Millis(0));
+    let mut ledger = ShareAllocator::new(2, Millis(0));
     report(&mut ledger, "e1", 1, 0, 100, [1, 9, 0]);
     let second = report(&mut ledger, "e2", 1, 0, 101, [0, 0, 10]);
     expect_that!(share_of(&second, "e2"), some(eq(1)));
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -6,7 +6,8 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, DaemonId, Incarnation, RequestId};
 use medlarrill_core::limits::{
-    AccountHash, Accounts, Action, Event, Ledger, LedgerAction, LedgerEvent, Limits,
+    AccountHash, Action, AllocatorAction, AllocatorEvent, EntryLimiter, Event, Limits,
+    ShareAllocator,
 };
 use medlarrill_core::reason::Reason;
 use medlarrill_core::wire::{Body, Frame, Grant, Usage};
@@ -74,8 +75,8 @@
 
 struct Node {
     name: DaemonId,
-    entry: Accounts,
-    ledger: Ledger,
+    entry: EntryLimiter,
+    ledger: ShareAllocator,
     woken: u64,
 }
 
@@ -110,8 +111,8 @@
         let live = size as u32;
         let node = |index: usize| Node {
             name: format!("d{index}").parse().expect("a name"),
-            entry: Accounts::new(live, Pcg32::seed_from_u64(seed + index as u64), Millis(0)),
-            ledger: Ledger::new(live, Millis(0)),
+            entry: EntryLimiter::new(live, Pcg32::seed_from_u64(seed + index as u64), Millis(0)),
+            ledger: ShareAllocator::new(live, Millis(0)),
             woken: 0,
         };
         let nodes: Vec<Node> = (0..size).map(node).collect();
@@ -171,8 +172,8 @@
         for other in 0..self.nodes.len() {
             self.tell(other, Event::Members { live }, now);
             let ledger = &mut self.nodes[other].ledger;
-            ledger.handle(LedgerEvent::Members { live }, Millis(now), |_| None);
-            ledger.handle(LedgerEvent::Gone(name.clone()), Millis(now), |_| None);
+            ledger.handle(AllocatorEvent::Members { live }, Millis(now), |_| None);
+            ledger.handle(AllocatorEvent::Gone(name.clone()), Millis(now), |_| None);
         }
     }
 
@@ -339,12 +340,12 @@
             Parcel::Usage(usage) => {
                 let limits = &self.limits;
                 let limits_of = |account| limits.get(&account).copied();
-                let event = LedgerEvent::Usage {
+                let event = AllocatorEvent::Usage {
                     from: from_name,
                     usage,
                 };
                 let actions = self.nodes[to].ledger.handle(event, Millis(now), limits_of);
-                for LedgerAction { to: entry, grant } in actions {
+                for AllocatorAction { to: entry, grant } in actions {
                     let frame = Frame::from(Body::Grant(grant.clone()));
                     let entry = self.names[&entry];
                     self.post(to, entry, frame, Parcel::Grant(grant), now);
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -5,7 +5,9 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, DaemonId};
-use medlarrill_core::limits::{AccountHash, Accounts, Action, Event, Ledger, LedgerEvent, Limits};
+use medlarrill_core::limits::{
+    AccountHash, Action, AllocatorEvent, EntryLimiter, Event, Limits, ShareAllocator,
+};
 use medlarrill_core::retry::{Budget, Settings};
 use medlarrill_core::wire::Body;
 use medlarrill_net::now::now;
@@ -28,8 +30,8 @@
 /// State of the limits task.
 pub struct Task {
     context: Arc<Context>,
-    accounts: Accounts,
-    ledger: Ledger,
+    accounts: EntryLimiter,
+    ledger: ShareAllocator,
     budget: Budget,
     limits: HashMap<AccountHash, Limits>,
     waiting: HashMap<AttemptId, oneshot::Sender<Verdict>>,
@@ -39,8 +41,8 @@
     /// A task that knows no account yet.
     pub fn new(context: Arc<Context>, rng: Pcg32) -> Self {
         Self {
-            accounts: Accounts::new(1, rng, now()),
-            ledger: Ledger::new(1, now()),
+            accounts: EntryLimiter::new(1, rng, now()),
+            ledger: ShareAllocator::new(1, now()),
             budget: Budget::new(Settings {
                 floor: RETRY_FLOOR,
                 ..Settings::default()
@@ -77,14 +79,14 @@
 
     fn tick(&mut self) {
         self.drive(Event::Tick);
-        self.keep(LedgerEvent::Tick);
+        self.keep(AllocatorEvent::Tick);
     }
 
     fn regroup(&mut self, fleet: &mut watch::Receiver<Arc<FleetView>>) {
         let live = fleet.borrow_and_update().placement.len().max(1);
         let live = u32::try_from(live).unwrap_or(u32::MAX);
         self.drive(Event::Members { live });
-        self.keep(LedgerEvent::Members { live });
+        self.keep(AllocatorEvent::Members { live });
     }
 
     fn configure(&mut self, config: &mut watch::Receiver<Arc<ConfigView>>) {
@@ -104,11 +106,11 @@
                 self.waiting.remove(&id);
                 self.drive(Event::Done { id });
             }
-            Message::Usage(from, usage) => self.keep(LedgerEvent::Usage { from, usage }),
+            Message::Usage(from, usage) => self.keep(AllocatorEvent::Usage { from, usage }),
             Message::Grant(from, grant) => self.drive(Event::Grant { from, grant }),
             Message::Lost(daemon) => {
                 self.drive(Event::Lost(daemon.clone()));
-                self.keep(LedgerEvent::Gone(daemon));
+                self.keep(AllocatorEvent::Gone(daemon));
             }
             Message::First(pool) => self.budget.first(&pool, now()),
             Message::Spend(pool, sender) => {
@@ -149,7 +151,7 @@
         }
     }
 
-    fn keep(&mut self, event: LedgerEvent) {
+    fn keep(&mut self, event: AllocatorEvent) {
         let limits = |account: AccountHash| self.limits.get(&account).copied();
         for action in self.ledger.handle(event, now(), limits) {
             self.send(action.to, Body::Grant(action.grant));
