--- a/crates/core/src/limits/entry_limiter.rs
+++ b/crates/core/src/limits/entry_limiter.rs
@@ -68,15 +68,15 @@
     ) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Ask {
+            Event::Acquire {
                 id,
                 account,
                 limits,
             } => self.ask(id, account, limits, now, owner_of, &mut actions),
-            Event::Done { id } => self.done(id, now),
+            Event::Release { id } => self.done(id, now),
             Event::Grant { from, grant } => self.grant(&from, &grant, now, &mut actions),
             Event::Members { live } => self.members(live, owner_of),
-            Event::Lost(owner) => self.lost(&owner, now),
+            Event::OwnerLost(owner) => self.lost(&owner, now),
             Event::Tick => {}
         }
         self.time_out(now, &mut actions);
--- a/crates/core/src/limits/event.rs
+++ b/crates/core/src/limits/event.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// A request asks to go on.
-    Ask {
+    Acquire {
         /// The try.
         id: AttemptId,
         /// Its account.
@@ -23,7 +23,7 @@
         limits: Limits,
     },
     /// An admitted request has ended, or a held one was cancelled.
-    Done {
+    Release {
         /// The try.
         id: AttemptId,
     },
@@ -35,7 +35,7 @@
         grant: Grant,
     },
     /// The link to an owner was lost, or a message to it couldn't be sent.
-    Lost(DaemonId),
+    OwnerLost(DaemonId),
     /// The live daemons have changed.
     Members {
         /// How many there are.
--- a/crates/core/src/limits/share_allocator.rs
+++ b/crates/core/src/limits/share_allocator.rs
@@ -32,7 +32,7 @@
         live: u32,
     },
     /// A daemon is gone, and what it had in flight with it.
-    Gone(DaemonId),
+    DaemonLost(DaemonId),
     /// Time has passed; wanted every few seconds to forget what has expired.
     Tick,
 }
@@ -92,7 +92,7 @@
                 self.live = live;
                 self.learning = now + LEARNING;
             }
-            AllocatorEvent::Gone(daemon) => self.forget(&daemon),
+            AllocatorEvent::DaemonLost(daemon) => self.forget(&daemon),
             AllocatorEvent::Tick => self.expire(now),
         }
         Vec::new()
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -173,7 +173,11 @@
             self.tell(other, Event::Members { live }, now);
             let ledger = &mut self.nodes[other].ledger;
             ledger.handle(AllocatorEvent::Members { live }, Millis(now), |_| None);
-            ledger.handle(AllocatorEvent::Gone(name.clone()), Millis(now), |_| None);
+            ledger.handle(
+                AllocatorEvent::DaemonLost(name.clone()),
+                Millis(now),
+                |_| None,
+            );
         }
     }
 
@@ -207,7 +211,7 @@
                     self.outcomes[demand].flights -= 1;
                     self.tell(
                         node,
-                        Event::Done {
+                        Event::Release {
                             id: attempt(request),
                         },
                         now,
@@ -252,7 +256,7 @@
         } = self.demands[demand].clone();
         self.tell(
             node,
-            Event::Ask {
+            Event::Acquire {
                 id: attempt(self.number),
                 account,
                 limits,
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -104,13 +104,13 @@
             Message::Ask(ask, sender) => self.ask(ask, sender),
             Message::Done(id) => {
                 self.waiting.remove(&id);
-                self.drive(Event::Done { id });
+                self.drive(Event::Release { id });
             }
             Message::Usage(from, usage) => self.keep(AllocatorEvent::Usage { from, usage }),
             Message::Grant(from, grant) => self.drive(Event::Grant { from, grant }),
             Message::Lost(daemon) => {
-                self.drive(Event::Lost(daemon.clone()));
-                self.keep(AllocatorEvent::Gone(daemon));
+                self.drive(Event::OwnerLost(daemon.clone()));
+                self.keep(AllocatorEvent::DaemonLost(daemon));
             }
             Message::First(pool) => self.budget.first(&pool, now()),
             Message::Spend(pool, sender) => {
@@ -123,7 +123,7 @@
 
     fn ask(&mut self, ask: Ask, sender: oneshot::Sender<Verdict>) {
         self.waiting.insert(ask.id, sender);
-        self.drive(Event::Ask {
+        self.drive(Event::Acquire {
             id: ask.id,
             account: ask.account,
             limits: ask.limits,
