--- a/crates/core/src/limits/event.rs
+++ b/crates/core/src/limits/event.rs
@@ -61,7 +61,7 @@
         /// Why.
         reason: Reason,
         /// When to come back.
-        after: Millis,
+        retry_after: Millis,
     },
     /// Send to the owner of these accounts, which may be this daemon itself.
     Send {
--- a/crates/core/src/limits/local.rs
+++ b/crates/core/src/limits/local.rs
@@ -161,8 +161,12 @@
             (Reason::AccountRate, wait)
         };
         let wait = wait.max(AFTER_MIN).max(self.dry.since(now));
-        let after = wait + Millis(rng.random_range(0..=wait.0));
-        Action::Refuse { id, reason, after }
+        let retry_after = wait + Millis(rng.random_range(0..=wait.0));
+        Action::Refuse {
+            id,
+            reason,
+            retry_after,
+        }
     }
 
     /// Whether there is something to report on time.
--- a/crates/core/tests/support/fleet.rs
+++ b/crates/core/tests/support/fleet.rs
@@ -297,7 +297,11 @@
                 let service = self.exp(SERVICE);
                 self.push(now + service, Step::End(node, request));
             }
-            Action::Refuse { id, reason, after } => {
+            Action::Refuse {
+                id,
+                reason,
+                retry_after: after,
+            } => {
                 let (demand, since) = self.open[&(id.request.0 as u64)];
                 let outcome = &mut self.outcomes[demand];
                 *outcome.refused.entry(reason).or_default() += 1;
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -136,7 +136,11 @@
         for action in self.accounts.handle(event, now(), owner) {
             match action {
                 Action::Admit { id } => self.decide(id, Ok(())),
-                Action::Refuse { id, reason, after } => {
+                Action::Refuse {
+                    id,
+                    reason,
+                    retry_after: after,
+                } => {
                     self.decide(id, Err(Refusal { reason, after }));
                 }
                 Action::Send { to, usage } => self.send(to, Body::Usage(usage)),
