--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod freshness;
 pub mod ids;
 pub mod limits;
-pub mod line_limit;
+pub mod log_limiter;
 pub mod membership;
 pub mod operator;
 pub mod outcome;
--- a/crates/core/src/line_limit.rs
+++ b/crates/core/src/log_limiter.rs
@@ -7,7 +7,7 @@
 /// Lines of one kind in a window.
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct LineLimit {
+pub struct LogLimiter {
     most: u32,
     window: Millis,
     since: Millis,
@@ -15,7 +15,7 @@
     left_out: u64,
 }
 
-impl LineLimit {
+impl LogLimiter {
     /// At most so many lines in each window.
     pub const fn new(most: u32, window: Millis) -> Self {
         Self {
@@ -28,7 +28,7 @@
     }
 
     /// Whether a line may be written; with it, how many were left out since the last one.
-    pub fn take(&mut self, now: Millis) -> Option<u64> {
+    pub fn allow(&mut self, now: Millis) -> Option<u64> {
         if now.since(self.since) >= self.window {
             self.since = now;
             self.lines = 0;
--- a/crates/router/src/store/unreadable.rs
+++ b/crates/router/src/store/unreadable.rs
@@ -5,7 +5,7 @@
 
 use derive_more::Debug;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::line_limit::LineLimit;
+use medlarrill_core::log_limiter::LogLimiter;
 use medlarrill_net::now::now;
 use medlarrill_platform::store::DecodeError;
 
@@ -20,7 +20,7 @@
 /// Takes reports of entries that can't be read.
 #[derive(Debug)]
 pub struct Unreadable {
-    lines: Mutex<LineLimit>,
+    lines: Mutex<LogLimiter>,
     metrics: Arc<Metrics>,
 }
 
@@ -28,7 +28,7 @@
     /// Counts into these metrics.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         Self {
-            lines: Mutex::new(LineLimit::new(LINES, WINDOW)),
+            lines: Mutex::new(LogLimiter::new(LINES, WINDOW)),
             metrics,
         }
     }
@@ -37,7 +37,7 @@
     pub fn report(&self, kind: impl Display, name: &str, error: &DecodeError) {
         self.metrics.unreadable.inc();
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(left_out) = lines.take(now()) else {
+        let Some(left_out) = lines.allow(now()) else {
             return;
         };
         log::error!(
