--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,22 +1,22 @@
-//! Where a request goes: rendezvous hashing, the chat directory, the load view and the decision.
+//! Chooses the endpoint of a request: rendezvous hashing, the chat directory, the load view and the choice itself.
 //!
-//! Three daemons take part in one placement, and often they are one and the same.
+//! Up to three daemons take part in one placement; often one daemon has all three roles.
 //!
 //! - The entry hashes institution and chat with [`chat_hash`], takes the chat's first-ranked endpoint of the pool
 //!   ([`PoolView::first_ranked`]) and sends the request to that endpoint's home ([`Fleet::home_of`]). This daemon is the
-//!   chat's directory daemon. Every entry finds it by hash alone.
-//! - The directory daemon looks the chat up in its [`Directory`], calls [`place()`], notes the work sent
-//!   ([`PoolView::note_sent`]) and records the place. If the chosen endpoint's home is another daemon, it passes
-//!   the request on.
-//! - The home counts its endpoints' work exactly ([`PoolView::set_own_load`]) and has the last word with
-//!   [`admit_under_bound`]: it admits, passes on while hops are left, or lets the request wait in its queue. It tells
-//!   the directory daemon only when it passed the request on or found its cached prefix gone.
+//!   chat's directory daemon. Every entry finds it by hashing alone.
+//! - The directory daemon looks the chat up in its [`Directory`], calls [`place()`], adds the work to the endpoint's
+//!   estimated load ([`PoolView::note_sent`]) and records the place. If the chosen endpoint's home is another daemon,
+//!   it forwards the request there.
+//! - The home counts its endpoints' work exactly ([`PoolView::set_own_load`]) and makes the final
+//!   decision: it admits the request, forwards it while hops are left, or queues it. It reports to the directory
+//!   daemon only when it forwarded the request or no longer had the prefix cached.
 //!
-//! A daemon that is not the home by its own view serves all the same once [`HOP_LIMIT`] hops are used.
+//! Once [`HOP_LIMIT`] hops are used, a daemon serves a request even if it does not consider itself the home.
 //!
 //! Loads come from [`PoolView`]: exact for the endpoints that this daemon is home of, from gossip for others (sums
-//! of each daemon, and its few least loaded endpoints). All times are points on the holder's own clock; what is
-//! heard from others is given as the holder's time less its age.
+//! of each daemon, and its few least loaded endpoints). All times are on this daemon's own clock; the time of a
+//! received value is the local time of receipt less the value's age.
 
 mod decide;
 mod directory;
--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -1,4 +1,4 @@
-//! The decision: which endpoint a request goes to, and the home's last word.
+//! Chooses the endpoint of a request, and whether its home should forward or queue it.
 
 use derive_more::Debug;
 use rand::{Rng, RngExt};
@@ -10,43 +10,44 @@
 use crate::reason::Reason;
 use crate::units::Tokens;
 
-/// Result of a placement; the reason is `NoEndpoint` or `PoolFull`.
+/// Result of a placement; the error is `NoEndpoint` when no endpoint may take the request.
 pub type Result<T> = std::result::Result<T, Reason>;
 
-/// Peer links that a request crosses at most.
+/// Largest number of peer links that a request crosses.
 pub const HOP_LIMIT: u32 = 2;
 
-/// Least loaded endpoints among which one is picked.
-const FEW: usize = 2;
+/// Number of least loaded endpoints among which one is picked at random.
+const CANDIDATES: usize = 2;
 
-/// Cached tokens that make a return worthwhile.
-const WORTHWHILE: f64 = 64.0;
+/// Cached tokens that must be exceeded for a chat to return to a place.
+const MIN_CACHED: f64 = 64.0;
 
-/// Work beyond the least that a returning chat bears, as a share of its prompt, where no endpoint has room.
-const SAVED_SHARE: f64 = 1.0;
+/// Largest load above the least loaded endpoint's at which a chat still returns when no endpoint has room, as a
+/// multiple of its prompt's work.
+const MAX_EXCESS: f64 = 1.0;
 
-/// How sharply the chance that a prefix is cached falls around the age of what was evicted last.
-const EVICTION_EDGE: i32 = 12;
+/// Exponent of the curve by which the chance that a prefix is cached falls around the age of the last eviction.
+const EVICTION_STEEPNESS: i32 = 12;
 
-/// Chance that a prefix is cached still when its last event said so.
-const AFTER_STORED: f64 = 0.95;
+/// Chance that a prefix is still cached after a stored event, before its age is taken into account.
+const STORED_CHANCE: f64 = 0.95;
 
-/// What is left of the chance when the last event said that it was evicted; events come with gaps.
-const AFTER_EVICTED: f64 = 0.2;
+/// Factor on the chance by age after an evicted event; not zero, as some events are missing.
+const EVICTED_FACTOR: f64 = 0.2;
 
-/// A request to be placed.
+/// A request to place.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
 pub struct PlacementRequest<'a> {
     /// The chat, if it has one.
     pub chat: Option<ChatHash>,
-    /// The chat's places, from the directory.
+    /// The chat's places from the directory, most recent first.
     pub places: &'a [Place],
-    /// Estimated prompt.
+    /// Estimated length of the prompt.
     pub prompt: Tokens,
-    /// Endpoints already tried.
+    /// Endpoints already tried, which are excluded.
     pub tried: &'a [EndpointId],
-    /// Whether only endpoints of this home may be chosen, as after the last hop.
+    /// Whether only endpoints that this daemon is home of may be chosen, as after the last hop.
     pub own_only: bool,
 }
 
@@ -60,83 +61,88 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug)]
 pub enum PlacementReason {
-    /// It served the chat last.
+    /// The endpoint served the chat last.
     Returned,
-    /// It served the chat before that.
+    /// The endpoint served the chat before that.
     SecondPlace,
-    /// The chat's places are over the bound or take no work.
+    /// The chat's places are over the bound, take no work or have too little cached.
     Spilled,
     /// The chat has no places.
     New,
 }
 
-/// The endpoint chosen.
+/// The chosen endpoint.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Placement {
-    /// The endpoint.
+    /// The endpoint that gets the request.
     pub endpoint: EndpointId,
     /// Why it was chosen.
     pub reason: PlacementReason,
-    /// Prompt tokens expected to be cached there.
+    /// Prompt tokens expected to be cached at the endpoint.
     pub cached: Tokens,
 }
 
 /// Chooses an endpoint for a request.
 ///
-/// A chat returns to the place with the longest prefix likely to be cached. Own endpoints must have room under the
-/// bound; of others the load known here is late, so their home decides. A new chat goes to its first-ranked endpoint
-/// if that is under the mean, which saves a hop. Any other request goes to one of the few least loaded endpoints with
-/// room, the nearest first. If none has room, a returning chat waits at its place, unless the work there exceeds the
-/// least by more than the prompt.
+/// A chat returns to the place with the longest prefix expected to be cached. Own endpoints must have room under the
+/// bound; the load known here of other homes' endpoints is out of date, so their home decides. A new chat goes to its
+/// first-ranked endpoint if that is not loaded above the mean, which saves a hop. Any other request goes to one of the
+/// few least loaded endpoints with room, the nearest first. If none has room, a returning chat waits at its place,
+/// unless the load there exceeds the least loaded endpoint's by more than the work of the prompt.
 pub fn place(
     pool: &PoolView,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Millis,
     rng: &mut impl Rng,
 ) -> Result<Placement> {
-    let sight = Sight::new(pool, now);
-    if let Some(placement) = return_to(&sight, ask, &|view| sight.suits(view)) {
+    let snapshot = PoolSnapshot::new(pool, now);
+    if let Some(placement) = best_cached(&snapshot, request, &|view| snapshot.accepts_return(view))
+    {
         return Ok(placement);
     }
-    if ask.places.is_empty()
-        && ask.tried.is_empty()
-        && let Some(view) = first_light(&sight, ask)
+    if request.places.is_empty()
+        && request.tried.is_empty()
+        && let Some(view) = first_ranked_below_mean(&snapshot, request)
     {
-        return Ok(sent_to(&sight, ask, view));
+        return Ok(placement_at(&snapshot, request, view));
     }
-    if let Some(view) = least_open(&sight, ask, rng) {
-        return Ok(sent_to(&sight, ask, view));
+    if let Some(view) = nearest_with_room(&snapshot, request, rng) {
+        return Ok(placement_at(&snapshot, request, view));
     }
-    let least = least_busy(&sight, ask, rng).ok_or(Reason::NoEndpoint)?;
-    let busy = sight.load(least) + SAVED_SHARE * prompt_work(ask.prompt).0 as f64;
-    let bearable = |view: &EndpointView| sight.load(view) <= busy;
-    let back = return_to(&sight, ask, &bearable);
-    Ok(back.unwrap_or_else(|| sent_to(&sight, ask, least)))
+    let least = least_loaded(&snapshot, request, rng).ok_or(Reason::NoEndpoint)?;
+    let max_load = snapshot.load(least) + MAX_EXCESS * prompt_work(request.prompt).0 as f64;
+    let within_excess = |view: &EndpointView| snapshot.load(view) <= max_load;
+    let cached = best_cached(&snapshot, request, &within_excess);
+    Ok(cached.unwrap_or_else(|| placement_at(&snapshot, request, least)))
 }
 
-/// Whether a home could give a request to another endpoint: any with room, or after the last hop one of its own.
+/// Whether a home may forward a request: always while hops are left, after the last hop if another of its own
+/// endpoints has room.
 pub fn can_forward(
     pool: &PoolView,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     here: &EndpointId,
     now: Millis,
 ) -> bool {
-    let sight = Sight::new(pool, now);
+    let snapshot = PoolSnapshot::new(pool, now);
     let other = |view: &EndpointView| {
-        view.id != *here && view.takes_work() && ask.allows(view) && sight.open(view)
+        view.id != *here
+            && view.takes_work()
+            && request.allows(view)
+            && snapshot.has_room_under_bound(view)
     };
-    !ask.own_only || pool.endpoints().iter().any(other)
+    !request.own_only || pool.endpoints().iter().any(other)
 }
 
-/// Whether a request had better wait for a cached prefix than go to an endpoint without it.
+/// Whether waiting for a cached prefix costs no more work than computing it elsewhere.
 ///
-/// `behind` is the work that must go before the request runs here.
-pub fn should_wait(behind: Tokens, cached: Tokens) -> bool {
-    behind <= prompt_work(cached)
+/// `ahead` is the work that must finish before the request runs here.
+pub fn should_wait(ahead: Tokens, cached: Tokens) -> bool {
+    ahead <= prompt_work(cached)
 }
 
-/// Prompt tokens expected to be cached at a place, given the age of what its endpoint evicted last.
+/// Expected number of prompt tokens cached at a place, given the age of what its endpoint evicted last.
 pub fn expected_cached(
     place: &Place,
     prompt: Tokens,
@@ -144,30 +150,30 @@
     now: Millis,
 ) -> f64 {
     let age = now.since(place.served).as_secs_f64();
-    let by_age = match eviction_age {
+    let age_chance = match eviction_age {
         Some(evicted) if evicted > Millis::ZERO => {
             let ratio = age / evicted.as_secs_f64();
-            1.0 / (1.0 + ratio.powi(EVICTION_EDGE))
+            1.0 / (1.0 + ratio.powi(EVICTION_STEEPNESS))
         }
         Some(_) => 0.0,
         None => 1.0,
     };
     let chance = match place.hint {
-        Some(CacheHint::Stored) => by_age.max(AFTER_STORED * by_age.sqrt()),
-        Some(CacheHint::Evicted) => by_age * AFTER_EVICTED,
-        None => by_age,
+        Some(CacheHint::Stored) => age_chance.max(STORED_CHANCE * age_chance.sqrt()),
+        Some(CacheHint::Evicted) => age_chance * EVICTED_FACTOR,
+        None => age_chance,
     };
     place.prefix.min(prompt).0 as f64 * chance
 }
 
-/// A pool at one moment.
-struct Sight<'a> {
+/// A pool and its mean load at one time.
+struct PoolSnapshot<'a> {
     pool: &'a PoolView,
     mean: f64,
     now: Millis,
 }
 
-impl<'a> Sight<'a> {
+impl<'a> PoolSnapshot<'a> {
     fn new(pool: &'a PoolView, now: Millis) -> Self {
         let mean = pool.mean(now).load;
         Self { pool, mean, now }
@@ -177,13 +183,13 @@
         view.estimate(self.mean, self.now)
     }
 
-    fn open(&self, view: &EndpointView) -> bool {
+    fn has_room_under_bound(&self, view: &EndpointView) -> bool {
         view.has_room() && self.load(view) <= self.pool.bound * self.mean
     }
 
-    /// Whether a returning chat is sent to an endpoint: the home of another's knows better, and has the last word.
-    fn suits(&self, view: &EndpointView) -> bool {
-        !view.is_own() || self.open(view)
+    /// Whether a returning chat may be sent to an endpoint: the home of a remote endpoint decides itself.
+    fn accepts_return(&self, view: &EndpointView) -> bool {
+        !view.is_own() || self.has_room_under_bound(view)
     }
 
     fn cached(&self, place: &Place, prompt: Tokens) -> f64 {
@@ -193,13 +199,20 @@
     }
 }
 
-fn sent_to(sight: &Sight<'_>, ask: &PlacementRequest<'_>, view: &EndpointView) -> Placement {
-    let reason = match ask.places {
+fn placement_at(
+    snapshot: &PoolSnapshot<'_>,
+    request: &PlacementRequest<'_>,
+    view: &EndpointView,
+) -> Placement {
+    let reason = match request.places {
         [] => PlacementReason::New,
         _ => PlacementReason::Spilled,
     };
-    let known = ask.places.iter().find(|place| place.endpoint == view.id);
-    let cached = known.map_or(0.0, |place| sight.cached(place, ask.prompt));
+    let known = request
+        .places
+        .iter()
+        .find(|place| place.endpoint == view.id);
+    let cached = known.map_or(0.0, |place| snapshot.cached(place, request.prompt));
     Placement {
         endpoint: view.id.clone(),
         reason,
@@ -207,27 +220,28 @@
     }
 }
 
-/// The place that has most of the prompt cached, among those that `suits` finds fit.
-fn return_to(
-    sight: &Sight<'_>,
-    ask: &PlacementRequest<'_>,
-    suits: &dyn Fn(&EndpointView) -> bool,
+/// The place that has most of the prompt cached, among those that `accepts_return` allows.
+fn best_cached(
+    snapshot: &PoolSnapshot<'_>,
+    request: &PlacementRequest<'_>,
+    accepts_return: &dyn Fn(&EndpointView) -> bool,
 ) -> Option<Placement> {
     let mut best = None;
-    let mut most = WORTHWHILE;
-    for (number, place) in ask.places.iter().enumerate() {
-        let Some(view) = sight.pool.get(&place.endpoint) else {
+    let mut most_cached = MIN_CACHED;
+    for (index, place) in request.places.iter().enumerate() {
+        let Some(view) = snapshot.pool.get(&place.endpoint) else {
             continue;
         };
-        // Only another's home may know better of an endpoint than the view here, and only while hops are left.
-        let asks_home = view.state == EndpointState::Unknown && !view.is_own() && !ask.own_only;
-        let takes = view.takes_work() || asks_home;
-        let cached = sight.cached(place, ask.prompt);
-        if !takes || !ask.allows(view) || cached <= most || !suits(view) {
+        // The home of a remote endpoint may know its state, and can be asked only while hops are left.
+        let home_decides =
+            view.state == EndpointState::Unknown && !view.is_own() && !request.own_only;
+        let takes_work = view.takes_work() || home_decides;
+        let cached = snapshot.cached(place, request.prompt);
+        if !takes_work || !request.allows(view) || cached <= most_cached || !accepts_return(view) {
             continue;
         }
-        most = cached;
-        let reason = match number {
+        most_cached = cached;
+        let reason = match index {
             0 => PlacementReason::Returned,
             _ => PlacementReason::SecondPlace,
         };
@@ -240,17 +254,26 @@
     best
 }
 
-/// The chat's first-ranked endpoint, if it is under the mean.
-fn first_light<'a>(sight: &Sight<'a>, ask: &PlacementRequest<'_>) -> Option<&'a EndpointView> {
-    let first = sight.pool.get(sight.pool.first_ranked(ask.chat?)?)?;
-    let light = sight.load(first) <= sight.mean;
-    (light && first.takes_work() && ask.allows(first) && sight.open(first)).then_some(first)
+/// The chat's first-ranked endpoint, if it has room and is not loaded above the mean.
+fn first_ranked_below_mean<'a>(
+    snapshot: &PoolSnapshot<'a>,
+    request: &PlacementRequest<'_>,
+) -> Option<&'a EndpointView> {
+    let first = snapshot
+        .pool
+        .get(snapshot.pool.first_ranked(request.chat?)?)?;
+    let below_mean = snapshot.load(first) <= snapshot.mean;
+    (below_mean
+        && first.takes_work()
+        && request.allows(first)
+        && snapshot.has_room_under_bound(first))
+    .then_some(first)
 }
 
-/// One of the few least loaded of the nearest that have room.
-fn least_open<'a>(
-    sight: &Sight<'a>,
-    ask: &PlacementRequest<'_>,
+/// One of the least loaded endpoints of the nearest distance at which any has room.
+fn nearest_with_room<'a>(
+    snapshot: &PoolSnapshot<'a>,
+    request: &PlacementRequest<'_>,
     rng: &mut impl Rng,
 ) -> Option<&'a EndpointView> {
     for distance in [
@@ -258,10 +281,17 @@
         Distance::SameRegion,
         Distance::OtherRegion,
     ] {
-        let fits = |view: &&EndpointView| {
-            view.distance == distance && view.takes_work() && ask.allows(view) && sight.open(view)
+        let eligible = |view: &&EndpointView| {
+            view.distance == distance
+                && view.takes_work()
+                && request.allows(view)
+                && snapshot.has_room_under_bound(view)
         };
-        let found = pick_least(sight, sight.pool.endpoints().iter().filter(fits), rng);
+        let found = pick_least_loaded(
+            snapshot,
+            snapshot.pool.endpoints().iter().filter(eligible),
+            rng,
+        );
         if found.is_some() {
             return found;
         }
@@ -269,15 +299,19 @@
     None
 }
 
-/// One of the few least busy of all; those of unknown state only if there are no others.
-fn least_busy<'a>(
-    sight: &Sight<'a>,
-    ask: &PlacementRequest<'_>,
+/// One of the least loaded of all endpoints; those in an unknown state only if no other is ready.
+fn least_loaded<'a>(
+    snapshot: &PoolSnapshot<'a>,
+    request: &PlacementRequest<'_>,
     rng: &mut impl Rng,
 ) -> Option<&'a EndpointView> {
     for state in [EndpointState::Ready, EndpointState::Unknown] {
-        let fits = |view: &&EndpointView| view.state == state && ask.allows(view);
-        let found = pick_least(sight, sight.pool.endpoints().iter().filter(fits), rng);
+        let eligible = |view: &&EndpointView| view.state == state && request.allows(view);
+        let found = pick_least_loaded(
+            snapshot,
+            snapshot.pool.endpoints().iter().filter(eligible),
+            rng,
+        );
         if found.is_some() {
             return found;
         }
@@ -290,23 +324,23 @@
     view: &'a EndpointView,
 }
 
-fn pick_least<'a>(
-    sight: &Sight<'_>,
+fn pick_least_loaded<'a>(
+    snapshot: &PoolSnapshot<'_>,
     views: impl Iterator<Item = &'a EndpointView>,
     rng: &mut impl Rng,
 ) -> Option<&'a EndpointView> {
-    let mut least: Vec<Candidate<'a>> = Vec::with_capacity(FEW + 1);
+    let mut least: Vec<Candidate<'a>> = Vec::with_capacity(CANDIDATES + 1);
     for view in views {
-        let load = sight.load(view);
-        let at = least.partition_point(|other| other.load <= load);
-        if at < FEW {
-            least.insert(at, Candidate { load, view });
-            least.truncate(FEW);
+        let load = snapshot.load(view);
+        let index = least.partition_point(|other| other.load <= load);
+        if index < CANDIDATES {
+            least.insert(index, Candidate { load, view });
+            least.truncate(CANDIDATES);
         }
     }
     if least.is_empty() {
         return None;
     }
-    let at = rng.random_range(0..least.len());
-    least.get(at).map(|candidate| candidate.view)
+    let index = rng.random_range(0..least.len());
+    least.get(index).map(|candidate| candidate.view)
 }
