--- a/crates/core/src/placement/directory.rs
+++ b/crates/core/src/placement/directory.rs
@@ -1,7 +1,7 @@
-//! The chat directory: where each chat was served last, in a bounded table.
+//! The chat directory: a bounded LRU table of the endpoints that served each chat last.
 //!
-//! Entries lie in one slab, linked from the most to the least recently used, so that the table's memory is fixed by its
-//! capacity and the least recent entry gives way. Endpoint names are kept once and places hold their number.
+//! Entries lie in one slab, linked from the most to the least recently used, so that the table's memory is bounded by
+//! its capacity; a full table evicts the least recent entry. Each endpoint name is kept once; places hold its index.
 
 mod table;
 
@@ -12,19 +12,19 @@
 use crate::ids::{ChatHash, EndpointId};
 use crate::units::Tokens;
 
-/// Places remembered for a chat.
+/// Number of places remembered for each chat.
 pub const MAX_PLACES: usize = 2;
 
-/// Length of the directory's time step; places are remembered no finer.
-const STEP: u64 = 100;
+/// Resolution of the times in the directory, in milliseconds.
+const TIME_STEP: u64 = 100;
 
-/// What the endpoint's cache events said last of a prefix; late, and with gaps.
+/// The last cache event of an endpoint for a prefix. Events come late, and some are missing.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum CacheHint {
-    /// It was stored.
+    /// The prefix was stored.
     Stored,
-    /// It was evicted.
+    /// The prefix was evicted.
     Evicted,
 }
 
@@ -32,60 +32,61 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Place {
-    /// The endpoint.
+    /// The endpoint's name.
     pub endpoint: EndpointId,
-    /// Length of the prefix it has cached, unless evicted since.
+    /// Length of the prefix that it cached, which may have been evicted since.
     pub prefix: Tokens,
-    /// When it served the chat last.
+    /// When the endpoint served the chat last.
     pub served: Millis,
-    /// The last cache event, if one was heard after `served`.
+    /// The last cache event, if one was received after `served`.
     pub hint: Option<CacheHint>,
 }
 
-/// A chat with its places, most recent first; travels in hand-overs.
+/// A chat with its places, as sent to the next directory daemon in a handover.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct ChatPlaces {
-    /// The chat.
+    /// Hash of the institution and the chat's name.
     pub chat: ChatHash,
-    /// Its places.
+    /// Its places, most recent first.
     pub places: Vec<Place>,
 }
 
+/// A [`Place`] in 12 bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
-struct Packed {
-    /// Number of the endpoint plus one, zero if unused; the top two bits hold the hint.
+struct PackedPlace {
+    /// Index of the endpoint's name plus one, zero if unused; the top two bits hold the hint.
     endpoint: u32,
     prefix: u32,
     served: u32,
 }
 
 const HINT_SHIFT: u32 = 30;
-const NUMBER_MASK: u32 = (1 << HINT_SHIFT) - 1;
+const INDEX_MASK: u32 = (1 << HINT_SHIFT) - 1;
 
-impl Packed {
+impl PackedPlace {
     const EMPTY: Self = Self {
         endpoint: 0,
         prefix: 0,
         served: 0,
     };
 
-    fn new(number: usize, place: &Place) -> Self {
+    fn new(index: usize, place: &Place) -> Self {
         let hint = match place.hint {
             None => 0,
             Some(CacheHint::Stored) => 1,
             Some(CacheHint::Evicted) => 2,
         };
-        let number = u32::try_from(number + 1).unwrap_or(NUMBER_MASK) & NUMBER_MASK;
+        let index = u32::try_from(index + 1).unwrap_or(INDEX_MASK) & INDEX_MASK;
         Self {
-            endpoint: number | hint << HINT_SHIFT,
+            endpoint: index | hint << HINT_SHIFT,
             prefix: u32::try_from(place.prefix.0).unwrap_or(u32::MAX),
-            served: u32::try_from(place.served.0 / STEP).unwrap_or(u32::MAX),
+            served: u32::try_from(place.served.0 / TIME_STEP).unwrap_or(u32::MAX),
         }
     }
 
-    fn number(self) -> Option<usize> {
-        (self.endpoint & NUMBER_MASK)
+    fn index(self) -> Option<usize> {
+        (self.endpoint & INDEX_MASK)
             .checked_sub(1)
             .map(|n| n as usize)
     }
@@ -99,7 +100,7 @@
     }
 }
 
-/// The table of one directory daemon.
+/// The chats of one directory daemon.
 #[derive(Debug)]
 pub struct Directory {
     #[debug(skip)]
@@ -116,12 +117,12 @@
         }
     }
 
-    /// Chats held.
+    /// Number of chats in the directory.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no chat is held.
+    /// Whether the directory holds no chat.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -131,7 +132,7 @@
         self.table.state_bytes()
     }
 
-    /// A chat's places, most recent first; empty if the chat is not known.
+    /// A chat's places, most recent first; empty if the directory does not hold the chat.
     pub fn places(&self, chat: ChatHash) -> Vec<Place> {
         let packed = self.table.get(chat).unwrap_or_default();
         packed
@@ -140,21 +141,21 @@
             .collect()
     }
 
-    /// Records that an endpoint serves a chat, which makes the chat the most recent.
+    /// Records that an endpoint serves a chat, and makes the chat the most recently used.
     pub fn record(&mut self, chat: ChatHash, place: &Place) {
-        let number = self.number(&place.endpoint);
-        let new = Packed::new(number, place);
+        let index = self.intern(&place.endpoint);
+        let new = PackedPlace::new(index, place);
         let old = self.table.get(chat).unwrap_or_default();
-        let other = |packed: &Packed| packed.number() != Some(number);
+        let other = |packed: &PackedPlace| packed.index() != Some(index);
         let kept = old.into_iter().filter(other);
-        let mut packed = [Packed::EMPTY; MAX_PLACES];
+        let mut packed = [PackedPlace::EMPTY; MAX_PLACES];
         for (slot, value) in packed.iter_mut().zip([new].into_iter().chain(kept)) {
             *slot = value;
         }
         self.table.put(chat, packed);
     }
 
-    /// Notes a cache event for a chat's prefix at an endpoint.
+    /// Records a cache event for a chat's prefix at an endpoint.
     pub fn record_cache_event(&mut self, chat: ChatHash, endpoint: &EndpointId, hint: CacheHint) {
         self.change(chat, endpoint, |place| {
             Some(Place {
@@ -164,34 +165,34 @@
         });
     }
 
-    /// Forgets one place of a chat, as when the endpoint found nothing cached.
+    /// Removes one place of a chat, as when the endpoint had nothing cached.
     pub fn remove_place(&mut self, chat: ChatHash, endpoint: &EndpointId) {
         self.change(chat, endpoint, |_| None);
     }
 
-    /// Forgets all places at an endpoint that is gone.
+    /// Removes all places at an endpoint that was removed.
     pub fn remove_endpoint(&mut self, endpoint: &EndpointId) {
-        let Some(number) = self.names.iter().position(|name| name == endpoint) else {
+        let Some(index) = self.names.iter().position(|name| name == endpoint) else {
             return;
         };
         self.table.for_each(|packed| {
             for place in packed.iter_mut() {
-                if place.number() == Some(number) {
-                    *place = Packed::EMPTY;
+                if place.index() == Some(index) {
+                    *place = PackedPlace::EMPTY;
                 }
             }
-            packed.sort_by_key(|place| place.number().is_none());
+            packed.sort_by_key(|place| place.index().is_none());
         });
     }
 
-    /// All chats, most recent first: the plan of a hand-over.
+    /// All chats, most recently used first, for the plan of a handover.
     pub fn recent(&self) -> Vec<ChatHash> {
         self.table.recent()
     }
 
-    /// Takes the next chats of a plan out of the table, at most `limit`.
+    /// Removes the next chats of a handover plan from the directory and returns them, at most `limit`.
     ///
-    /// Chats that have gone since are skipped. The hand-over is over when the plan is empty.
+    /// Chats that have left the directory since are skipped. The handover is complete when the plan is empty.
     pub fn export(
         &mut self,
         plan: &mut std::collections::VecDeque<ChatHash>,
@@ -210,12 +211,12 @@
         batch
     }
 
-    /// Takes in chats handed over; what is known here and more recent stays.
+    /// Adds chats that were handed over; each keeps its most recent places.
     pub fn import(&mut self, batch: Vec<ChatPlaces>) {
         for moved in batch {
             let mut places = self.places(moved.chat);
             for place in moved.places {
-                merge(&mut places, place);
+                merge_place(&mut places, place);
             }
             places.sort_by_key(|place| std::cmp::Reverse(place.served));
             places.truncate(MAX_PLACES);
@@ -234,31 +235,31 @@
         let Some(old) = self.table.get(chat) else {
             return;
         };
-        let mut kept = [Packed::EMPTY; MAX_PLACES];
+        let mut kept = [PackedPlace::EMPTY; MAX_PLACES];
         let mut free = kept.iter_mut();
         for packed in old {
             let Some(place) = self.unpack(packed) else {
                 continue;
             };
-            let hit = place.endpoint == *endpoint;
-            let place = if hit { change(place) } else { Some(place) };
-            if let (Some(place), Some(number), Some(slot)) = (place, packed.number(), free.next()) {
-                *slot = Packed::new(number, &place);
+            let matches = place.endpoint == *endpoint;
+            let place = if matches { change(place) } else { Some(place) };
+            if let (Some(place), Some(index), Some(slot)) = (place, packed.index(), free.next()) {
+                *slot = PackedPlace::new(index, &place);
             }
         }
         self.table.set(chat, kept);
     }
 
-    fn unpack(&self, packed: Packed) -> Option<Place> {
+    fn unpack(&self, packed: PackedPlace) -> Option<Place> {
         Some(Place {
-            endpoint: self.names.get(packed.number()?)?.clone(),
+            endpoint: self.names.get(packed.index()?)?.clone(),
             prefix: Tokens(packed.prefix.into()),
-            served: Millis(u64::from(packed.served) * STEP),
+            served: Millis(u64::from(packed.served) * TIME_STEP),
             hint: packed.hint(),
         })
     }
 
-    fn number(&mut self, endpoint: &EndpointId) -> usize {
+    fn intern(&mut self, endpoint: &EndpointId) -> usize {
         let known = self.names.iter().position(|name| name == endpoint);
         known.unwrap_or_else(|| {
             self.names.push(endpoint.clone());
@@ -267,7 +268,7 @@
     }
 }
 
-fn merge(places: &mut Vec<Place>, new: Place) {
+fn merge_place(places: &mut Vec<Place>, new: Place) {
     match places.iter_mut().find(|old| old.endpoint == new.endpoint) {
         Some(old) if old.served < new.served => *old = new,
         Some(_) => {}
--- a/crates/core/src/placement/directory/table.rs
+++ b/crates/core/src/placement/directory/table.rs
@@ -1,22 +1,22 @@
-//! The directory's slab, index and order of use.
+//! The LRU table of the directory: an index into a slab of linked entries.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
-use super::{MAX_PLACES, Packed};
+use super::{MAX_PLACES, PackedPlace};
 use crate::ids::ChatHash;
 
-/// No entry.
-const NONE: u32 = u32::MAX;
+/// The end of the list, in the links of entries.
+const NO_ENTRY: u32 = u32::MAX;
 
-/// No places.
-const UNUSED: [Packed; MAX_PLACES] = [Packed::EMPTY; MAX_PLACES];
+/// The places of a chat that has none; its entry is removed.
+const NO_PLACES: [PackedPlace; MAX_PLACES] = [PackedPlace::EMPTY; MAX_PLACES];
 
-/// Passes a chat's hash through, which is well mixed already.
+/// Returns a chat's hash unchanged, as it is uniformly distributed already.
 #[derive(Default)]
-pub(super) struct Through(u64);
+pub(super) struct IdentityHasher(u64);
 
-impl Hasher for Through {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -34,14 +34,14 @@
 
 struct Entry {
     chat: ChatHash,
-    places: [Packed; MAX_PLACES],
+    places: [PackedPlace; MAX_PLACES],
     newer: u32,
     older: u32,
 }
 
-/// Chats in order of use.
+/// Chats by hash, linked in order of use.
 pub(super) struct Table {
-    index: HashMap<ChatHash, u32, BuildHasherDefault<Through>>,
+    index: HashMap<ChatHash, u32, BuildHasherDefault<IdentityHasher>>,
     slab: Vec<Entry>,
     free: Vec<u32>,
     newest: u32,
@@ -55,9 +55,9 @@
             index: HashMap::default(),
             slab: Vec::new(),
             free: Vec::new(),
-            newest: NONE,
-            oldest: NONE,
-            capacity: capacity.clamp(1, NONE as usize - 1),
+            newest: NO_ENTRY,
+            oldest: NO_ENTRY,
+            capacity: capacity.clamp(1, NO_ENTRY as usize - 1),
         }
     }
 
@@ -65,7 +65,7 @@
         self.index.len()
     }
 
-    /// Capacity in use, by the layout of the standard map: a pair and a control byte for 8 buckets in 7 filled.
+    /// Allocated bytes. The standard map allocates 8 buckets for 7 entries; a bucket holds a pair and a control byte.
     pub(super) fn state_bytes(&self) -> usize {
         let buckets = (self.index.capacity() * 8).div_ceil(7);
         let pair = size_of::<(ChatHash, u32)>() + 1;
@@ -73,26 +73,26 @@
         buckets * pair + slab + self.free.capacity() * size_of::<u32>()
     }
 
-    pub(super) fn get(&self, chat: ChatHash) -> Option<[Packed; MAX_PLACES]> {
-        let at = *self.index.get(&chat)?;
-        Some(self.slab[at as usize].places)
+    pub(super) fn get(&self, chat: ChatHash) -> Option<[PackedPlace; MAX_PLACES]> {
+        let slot = *self.index.get(&chat)?;
+        Some(self.slab[slot as usize].places)
     }
 
-    /// Changes a chat's places without making it more recent; drops it if none are left.
-    pub(super) fn set(&mut self, chat: ChatHash, places: [Packed; MAX_PLACES]) {
-        if places == UNUSED {
+    /// Changes a chat's places without making it more recent; removes the chat if none are left.
+    pub(super) fn set(&mut self, chat: ChatHash, places: [PackedPlace; MAX_PLACES]) {
+        if places == NO_PLACES {
             self.remove(chat);
-        } else if let Some(at) = self.index.get(&chat) {
-            self.slab[*at as usize].places = places;
+        } else if let Some(slot) = self.index.get(&chat) {
+            self.slab[*slot as usize].places = places;
         }
     }
 
-    /// Puts a chat first; the least recent one gives way if the table is full.
-    pub(super) fn put(&mut self, chat: ChatHash, places: [Packed; MAX_PLACES]) {
-        if let Some(at) = self.index.get(&chat).copied() {
-            self.slab[at as usize].places = places;
-            self.unlink(at);
-            self.link(at);
+    /// Makes a chat the most recent; a full table evicts the least recent one.
+    pub(super) fn put(&mut self, chat: ChatHash, places: [PackedPlace; MAX_PLACES]) {
+        if let Some(slot) = self.index.get(&chat).copied() {
+            self.slab[slot as usize].places = places;
+            self.unlink(slot);
+            self.link(slot);
             return;
         }
         if self.len() >= self.capacity {
@@ -102,27 +102,27 @@
         let entry = Entry {
             chat,
             places,
-            newer: NONE,
-            older: NONE,
+            newer: NO_ENTRY,
+            older: NO_ENTRY,
         };
-        let at = self.store(entry);
-        self.index.insert(chat, at);
-        self.link(at);
+        let slot = self.allocate(entry);
+        self.index.insert(chat, slot);
+        self.link(slot);
     }
 
     pub(super) fn remove(&mut self, chat: ChatHash) {
-        if let Some(at) = self.index.remove(&chat) {
-            self.unlink(at);
-            self.free.push(at);
+        if let Some(slot) = self.index.remove(&chat) {
+            self.unlink(slot);
+            self.free.push(slot);
         }
     }
 
-    pub(super) fn for_each(&mut self, change: impl Fn(&mut [Packed; MAX_PLACES])) {
+    pub(super) fn for_each(&mut self, change: impl Fn(&mut [PackedPlace; MAX_PLACES])) {
         let mut emptied = Vec::new();
-        for at in self.index.values() {
-            let entry = &mut self.slab[*at as usize];
+        for slot in self.index.values() {
+            let entry = &mut self.slab[*slot as usize];
             change(&mut entry.places);
-            if entry.places == UNUSED {
+            if entry.places == NO_PLACES {
                 emptied.push(entry.chat);
             }
         }
@@ -133,18 +133,18 @@
 
     pub(super) fn recent(&self) -> Vec<ChatHash> {
         let mut chats = Vec::with_capacity(self.len());
-        let mut at = self.newest;
-        while let Some(entry) = self.slab.get(at as usize) {
+        let mut slot = self.newest;
+        while let Some(entry) = self.slab.get(slot as usize) {
             chats.push(entry.chat);
-            at = entry.older;
+            slot = entry.older;
         }
         chats
     }
 
-    fn store(&mut self, entry: Entry) -> u32 {
-        if let Some(at) = self.free.pop() {
-            self.slab[at as usize] = entry;
-            return at;
+    fn allocate(&mut self, entry: Entry) -> u32 {
+        if let Some(slot) = self.free.pop() {
+            self.slab[slot as usize] = entry;
+            return slot;
         }
         if self.slab.len() == self.slab.capacity() {
             let more = self.slab.len().max(64).min(self.capacity - self.slab.len());
@@ -154,19 +154,19 @@
         self.slab.len() as u32 - 1
     }
 
-    fn link(&mut self, at: u32) {
+    fn link(&mut self, slot: u32) {
         let older = self.newest;
-        self.slab[at as usize].newer = NONE;
-        self.slab[at as usize].older = older;
+        self.slab[slot as usize].newer = NO_ENTRY;
+        self.slab[slot as usize].older = older;
         match self.slab.get_mut(older as usize) {
-            Some(entry) => entry.newer = at,
-            None => self.oldest = at,
+            Some(entry) => entry.newer = slot,
+            None => self.oldest = slot,
         }
-        self.newest = at;
+        self.newest = slot;
     }
 
-    fn unlink(&mut self, at: u32) {
-        let Entry { newer, older, .. } = self.slab[at as usize];
+    fn unlink(&mut self, slot: u32) {
+        let Entry { newer, older, .. } = self.slab[slot as usize];
         match self.slab.get_mut(newer as usize) {
             Some(entry) => entry.older = older,
             None => self.newest = older,
