--- a/crates/core/src/placement/rendezvous.rs
+++ b/crates/core/src/placement/rendezvous.rs
@@ -1,6 +1,7 @@
 //! Weighted rendezvous hashing.
 //!
-//! Each node scores each key on its own, so a node that joins or leaves moves only the keys that it wins or held.
+//! A node's score for a key does not depend on the other nodes, so a node that joins or leaves moves only the keys
+//! that it gains or had.
 
 use std::cmp::Ordering;
 
@@ -9,10 +10,10 @@
 
 use crate::ids::{ChatHash, InstitutionId};
 
-/// Bits of a hash that make the fraction of a score.
+/// Bits of a hash that are used for a score: the precision of an `f64`.
 const FRACTION_BITS: u32 = 53;
 
-/// Parts a name from what follows it; no name holds this byte.
+/// Separates a name from what follows it; no name contains this byte.
 const SEPARATOR: &[u8] = &[0];
 
 /// Hashes an institution and the name of its chat.
@@ -24,7 +25,7 @@
     ChatHash(hash.digest())
 }
 
-/// Hashes a name to a key.
+/// Hashes a name to a key or a node's seed.
 pub fn key_of(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
@@ -33,15 +34,15 @@
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Node<I> {
-    /// Who it is.
+    /// Identifies the node, and breaks ties between equal scores.
     pub id: I,
-    /// Share of keys, against others.
+    /// Share of keys, relative to the weights of the other nodes.
     pub weight: f64,
     seed: u64,
 }
 
 impl<I> Node<I> {
-    /// A node of weight 1 whose scores come from its name.
+    /// A node of weight 1 whose scores are derived from its name.
     pub fn new(id: I, name: &str) -> Self {
         Self {
             id,
@@ -50,36 +51,36 @@
         }
     }
 
-    /// The same with another weight.
+    /// Returns the node with another weight.
     pub fn with_weight(self, weight: f64) -> Self {
         Self { weight, ..self }
     }
 
-    /// Its rank for a key among nodes of weight 1; the highest wins, as by score.
+    /// The node's rank for a key among nodes of weight 1; the highest wins, in the same order as by score.
     pub fn rank(&self, key: u64) -> u64 {
         fraction(key, self.seed)
     }
 
-    /// Its score for a key; the highest wins.
+    /// The node's score for a key; the highest wins.
     pub fn score(&self, key: u64) -> f64 {
         score(key, self.seed, self.weight)
     }
 }
 
-/// Score of a seeded node for a key, above zero.
+/// Score of a node with this seed for a key, above zero.
 pub(super) fn score(key: u64, seed: u64, weight: f64) -> f64 {
-    let whole = (1u64 << FRACTION_BITS) as f64;
-    let fraction = (fraction(key, seed) as f64 + 0.5) / whole;
+    let scale = (1u64 << FRACTION_BITS) as f64;
+    let fraction = (fraction(key, seed) as f64 + 0.5) / scale;
     -weight / fraction.ln()
 }
 
-/// What a seeded node draws for a key, of [`FRACTION_BITS`].
+/// Pseudo-random number of a seed and a key, of [`FRACTION_BITS`] bits.
 fn fraction(key: u64, seed: u64) -> u64 {
     let hash = xxh3_64_with_seed(&key.to_le_bytes(), seed);
     hash >> (u64::BITS - FRACTION_BITS)
 }
 
-/// Nodes that share keys.
+/// Nodes among which keys are distributed.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Group<I> {
@@ -93,7 +94,7 @@
 }
 
 impl<I: Ord> Group<I> {
-    /// A group of these nodes.
+    /// A group of the given nodes.
     pub fn new(nodes: Vec<Node<I>>) -> Self {
         Self { nodes }
     }
@@ -103,24 +104,24 @@
         self.nodes.push(node);
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether there are none.
+    /// Whether the group has no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// The node that wins a key.
+    /// The node with the highest score for a key.
     pub fn first(&self, key: u64) -> Option<&I> {
         let scored = |node| Scored::new(node, key);
         let best = self.nodes.iter().map(scored).max_by(Scored::order);
         best.map(|best| &best.node.id)
     }
 
-    /// The first `count` nodes for a key, best first.
+    /// The `count` nodes with the highest scores for a key, best first.
     pub fn top(&self, key: u64, count: usize) -> Vec<&I> {
         let scored = |node| Scored::new(node, key);
         let mut all: Vec<_> = self.nodes.iter().map(scored).collect();
@@ -146,7 +147,7 @@
         Self { score, node }
     }
 
-    /// By score; the identifier settles a tie, so that all daemons agree.
+    /// Orders by score, then by identifier, so that all daemons agree on ties.
     fn order(&self, other: &Self) -> Ordering {
         let by_score = self.score.total_cmp(&other.score);
         by_score.then_with(|| self.node.id.cmp(&other.node.id))
