--- a/crates/core/src/placement/load.rs
+++ b/crates/core/src/placement/load.rs
@@ -1,8 +1,9 @@
-//! What a daemon knows of the endpoints' load and of each pool's mean.
+//! Load of endpoints and mean load of pools, as one daemon estimates them.
 //!
-//! Load is estimated work in flight, in generated tokens; prompt tokens count less, see [`PROMPT_TOKENS_PER_OUTPUT`]. It is exact for the endpoints that the daemon is home of. For others
-//! it comes late, by gossip, and the daemon adds what it has itself sent there since. The mean is made of the
-//! daemons' sums. A sum that is not renewed fades, which lowers the mean and so tightens the bound.
+//! Load is estimated work in flight, in generated tokens; prompt tokens count less, see [`PROMPT_TOKENS_PER_OUTPUT`].
+//! It is exact for the endpoints that the daemon is home of. For others it comes late, by gossip, and the daemon adds
+//! the work that it has sent there since. The mean is computed from the daemons' sums. The load of a sum that is not
+//! renewed decays, which lowers the mean and so tightens the load bound.
 
 mod view;
 
@@ -18,54 +19,54 @@
 
 /// Prompt tokens that cost an engine as much as one generated token.
 ///
-/// Engines compute prompts many tokens at a step and generate one token of each request at a step.
+/// In one step an engine computes many tokens of a prompt, but generates only one token of each request.
 pub const PROMPT_TOKENS_PER_OUTPUT: u64 = 12;
 
-/// The work of computing a prompt, in generated tokens.
+/// The work of computing uncached prompt tokens, in generated tokens.
 pub fn prompt_work(uncached: Tokens) -> Tokens {
     Tokens(uncached.0.div_ceil(PROMPT_TOKENS_PER_OUTPUT))
 }
 
-/// The work of a request: what must be computed of the prompt, and what is expected to be generated.
+/// The work of a request, in generated tokens: its uncached prompt and the expected output.
 pub fn estimated_work(uncached: Tokens, output: Tokens) -> Tokens {
     prompt_work(uncached) + output
 }
 
-/// How far an endpoint is; nearer ones are preferred for new and spilled work.
+/// Distance of an endpoint from this daemon; nearer ones are preferred unless the chat has a prefix cached.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 pub enum Distance {
-    /// The same data centre.
+    /// In this daemon's data centre.
     SameDataCentre,
-    /// The same region.
+    /// In another data centre of the same region.
     SameRegion,
-    /// Another region.
+    /// In another region.
     OtherRegion,
 }
 
-/// Whether an endpoint takes new work, as far as is known here.
+/// Whether an endpoint takes new work, as far as this daemon knows.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug)]
 pub enum EndpointState {
-    /// It does.
+    /// The endpoint takes new work.
     Ready,
-    /// It is leaving.
+    /// The endpoint is leaving and takes no new work.
     Leaving,
-    /// An operator has asked it to take none.
+    /// An operator drains the endpoint, so it takes no new work.
     Drained,
-    /// Nothing fresh is known; its home may know more.
+    /// The state is not known or out of date; the endpoint's home may know it.
     Unknown,
 }
 
-/// What a home counts at one of its endpoints.
+/// Exact load of an endpoint, as counted by its home.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Occupancy {
-    /// Work in flight.
+    /// Work in flight, in generated tokens.
     pub load: Tokens,
-    /// Work that waits at the home.
+    /// Work queued at the home, in generated tokens.
     pub waiting: Tokens,
-    /// Whether one more request would run at once.
+    /// Whether one more request would run without queueing.
     pub room: bool,
 }
 
@@ -73,53 +74,53 @@
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct PoolSum {
-    /// Work in flight.
+    /// Work in flight, in generated tokens.
     pub load: Tokens,
-    /// Endpoints.
+    /// Number of endpoints in the sum.
     pub endpoints: u32,
-    /// When it was true.
+    /// When the sum was taken, on this daemon's clock.
     pub as_of: Millis,
 }
 
-/// The mean load of a pool's endpoints that take work, as a daemon knows it.
+/// The mean load of a pool's endpoints that take work, as one daemon estimates it.
 #[derive(Clone, Copy, PartialEq, Default)]
 #[derive(Debug)]
 pub struct PoolMean {
-    /// Work in flight per endpoint, in tokens; stale sums are faded.
+    /// Work in flight per endpoint, in generated tokens; the load of stale sums decays.
     pub load: f64,
-    /// Endpoints that it is taken over.
+    /// Number of endpoints in the mean.
     pub endpoints: u32,
 }
 
-/// One endpoint's load as told to others.
+/// One endpoint's load, as its home reports it to other daemons.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct EndpointLoad {
-    /// The endpoint.
+    /// The endpoint's name.
     pub endpoint: EndpointId,
-    /// Work in flight and waiting.
+    /// Work in flight and queued, in generated tokens.
     pub load: Tokens,
-    /// Whether one more request would run at once.
+    /// Whether one more request would run without queueing.
     pub room: bool,
-    /// When it was true.
+    /// When the load was measured, on this daemon's clock.
     pub as_of: Millis,
 }
 
-/// What is known of one endpoint.
+/// State and load of one endpoint, as far as this daemon knows.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct EndpointView {
-    /// The endpoint.
+    /// The endpoint's name.
     pub id: EndpointId,
-    /// How far it is.
+    /// Distance from this daemon.
     pub distance: Distance,
     /// Whether it takes new work.
     pub state: EndpointState,
-    /// Age of what its cache evicted last, if it has evicted any.
+    /// Age of the prefix that its cache evicted last, if it has evicted any.
     pub eviction_age: Option<Millis>,
-    /// Share of new chats, against others.
+    /// Share of new chats, relative to the weights of the other endpoints.
     weight: f64,
-    /// Of its rendezvous score.
+    /// Seed of its rendezvous score.
     seed: u64,
     /// Whether this daemon is its home.
     own: bool,
@@ -127,17 +128,17 @@
     waiting: Tokens,
     room: bool,
     as_of: Option<Millis>,
-    /// Sent by this daemon since `mark`, and in the span before.
+    /// Work sent by this daemon since `sent_since`, and in the period before that.
     sent: Tokens,
     sent_before: Tokens,
-    mark: Millis,
+    sent_since: Millis,
 }
 
-/// All pools.
+/// Loads of all pools, as one daemon estimates them.
 #[derive(Clone, PartialEq, Default)]
 #[derive(Debug)]
 pub struct LoadView {
-    /// By name.
+    /// Pools by name.
     pub pools: BTreeMap<PoolId, PoolView>,
 }
 
@@ -147,12 +148,12 @@
         Self::default()
     }
 
-    /// One pool.
+    /// The pool of this name.
     pub fn pool(&self, pool: &PoolId) -> Option<&PoolView> {
         self.pools.get(pool)
     }
 
-    /// One pool, to change.
+    /// Mutable access to the pool of this name.
     pub fn pool_mut(&mut self, pool: &PoolId) -> Option<&mut PoolView> {
         self.pools.get_mut(pool)
     }
--- a/crates/core/src/placement/load/view.rs
+++ b/crates/core/src/placement/load/view.rs
@@ -1,4 +1,4 @@
-//! One pool as a daemon knows it.
+//! The endpoints and mean load of one pool, as one daemon estimates them.
 
 use std::collections::BTreeMap;
 
@@ -10,66 +10,68 @@
 use crate::placement::rendezvous::{key_of, score};
 use crate::units::Tokens;
 
-/// Age from which what was heard is stale.
-const STALE: Millis = Millis::from_secs(3);
+/// Age above which received loads and sums are stale.
+const STALE_AGE: Millis = Millis::from_secs(3);
 
-/// Time in which a stale sum fades to half.
-const FADE: Millis = Millis::from_secs(5);
+/// Half-life of a stale sum's load.
+const HALF_LIFE: Millis = Millis::from_secs(5);
 
-/// Age at which a sum no longer counts at all.
-const FORGET: Millis = Millis::from_secs(60);
+/// Age from which a sum is ignored.
+const MAX_AGE: Millis = Millis::from_secs(60);
 
-/// Endpoints, sums and bound of one pool.
+/// Endpoints, received sums and load bound of one pool.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct PoolView {
-    /// Largest load as a multiple of the mean.
+    /// Load bound of an endpoint, as a multiple of the mean.
     pub bound: f64,
-    /// Sorted by name.
+    /// Endpoints, sorted by name.
     endpoints: Vec<EndpointView>,
-    sums: BTreeMap<DaemonId, Heard>,
-    centres: BTreeMap<DataCentreId, Heard>,
+    daemon_sums: BTreeMap<DaemonId, ReceivedSum>,
+    data_centre_sums: BTreeMap<DataCentreId, ReceivedSum>,
 }
 
-/// A sum as heard.
+/// The last sum received from a daemon or for a data centre.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
-struct Heard {
+struct ReceivedSum {
     sum: PoolSum,
-    /// The sum heard before, scaled to as many endpoints.
-    before: f64,
+    /// Load of the sum received before, scaled to the same number of endpoints.
+    previous_load: f64,
 }
 
-impl Heard {
-    /// The lower of the last two: sums are late, and a mean taken too high lets endpoints go over the bound.
-    fn low(&self) -> f64 {
-        self.before.min(self.sum.load.0 as f64)
+impl ReceivedSum {
+    /// The lower of the last two loads: sums arrive late, and too high a mean lets endpoints exceed the bound.
+    fn lower_load(&self) -> f64 {
+        self.previous_load.min(self.sum.load.0 as f64)
     }
 }
 
 impl PoolView {
-    /// A pool without endpoints, and the multiple of its mean that is its bound.
+    /// A pool without endpoints; `bound` is a multiple of the mean.
     pub fn new(bound: f64) -> Self {
         Self {
             bound,
             endpoints: Vec::new(),
-            sums: BTreeMap::new(),
-            centres: BTreeMap::new(),
+            daemon_sums: BTreeMap::new(),
+            data_centre_sums: BTreeMap::new(),
         }
     }
 
     /// Adds an endpoint or changes its distance; its state is unknown at first.
     pub fn set_endpoint(&mut self, id: &EndpointId, distance: Distance) {
         match self.find(id) {
-            Ok(at) => self.endpoints[at].distance = distance,
-            Err(at) => self.endpoints.insert(at, EndpointView::new(id, distance)),
+            Ok(index) => self.endpoints[index].distance = distance,
+            Err(index) => self
+                .endpoints
+                .insert(index, EndpointView::new(id, distance)),
         }
     }
 
     /// Removes an endpoint.
     pub fn remove_endpoint(&mut self, id: &EndpointId) {
-        if let Ok(at) = self.find(id) {
-            self.endpoints.remove(at);
+        if let Ok(index) = self.find(id) {
+            self.endpoints.remove(index);
         }
     }
 
@@ -80,14 +82,14 @@
         }
     }
 
-    /// Sets the age of what an endpoint's cache evicted last.
+    /// Sets the age of the prefix that an endpoint's cache evicted last.
     pub fn set_eviction_age(&mut self, id: &EndpointId, age: Option<Millis>) {
         if let Some(endpoint) = self.get_mut(id) {
             endpoint.eviction_age = age;
         }
     }
 
-    /// Sets what this daemon counts at an endpoint that it is home of.
+    /// Sets the load that this daemon counts at an endpoint, and marks the endpoint as its own.
     pub fn set_own_load(&mut self, id: &EndpointId, counted: Occupancy, now: Millis) {
         if let Some(endpoint) = self.get_mut(id) {
             endpoint.own = true;
@@ -100,47 +102,51 @@
         }
     }
 
-    /// This daemon is no longer the endpoint's home; the load stays as last heard.
+    /// Marks an endpoint as no longer this daemon's own; the last load is kept.
     pub fn release_own(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.get_mut(id) {
             endpoint.own = false;
         }
     }
 
-    /// Takes in another home's word on an endpoint; older word than the present is ignored.
-    pub fn update_load(&mut self, heard: &EndpointLoad, now: Millis) {
-        let Some(endpoint) = self.get_mut(&heard.endpoint) else {
+    /// Updates the load of an endpoint from its home's report; a report older than the last one is ignored.
+    pub fn update_load(&mut self, load: &EndpointLoad, now: Millis) {
+        let Some(endpoint) = self.get_mut(&load.endpoint) else {
             return;
         };
-        let newer = endpoint.as_of.is_none_or(|known| known < heard.as_of);
+        let newer = endpoint.as_of.is_none_or(|known| known < load.as_of);
         if endpoint.own || !newer {
             return;
         }
-        endpoint.load = heard.load;
+        endpoint.load = load.load;
         endpoint.waiting = Tokens(0);
-        endpoint.room = heard.room;
-        endpoint.as_of = Some(heard.as_of);
-        if heard.as_of >= endpoint.mark {
+        endpoint.room = load.room;
+        endpoint.as_of = Some(load.as_of);
+        if load.as_of >= endpoint.sent_since {
             endpoint.sent_before = endpoint.sent;
             endpoint.sent = Tokens(0);
-            endpoint.mark = now;
+            endpoint.sent_since = now;
         }
     }
 
-    /// Takes in the sum of another daemon of the own data centre; older word than the present is ignored.
+    /// Updates the sum of another daemon of this data centre; a sum older than the last one is ignored.
     pub fn update_sum(&mut self, daemon: &DaemonId, sum: PoolSum) {
-        hear(&mut self.sums, daemon, sum);
+        replace_older(&mut self.daemon_sums, daemon, sum);
     }
 
-    /// Takes in the sum over another data centre; older word than the present is ignored.
-    pub fn update_data_centre_sum(&mut self, centre: &DataCentreId, sum: PoolSum) {
-        hear(&mut self.centres, centre, sum);
+    /// Updates the sum over another data centre; a sum older than the last one is ignored.
+    pub fn update_data_centre_sum(&mut self, data_centre: &DataCentreId, sum: PoolSum) {
+        replace_older(&mut self.data_centre_sums, data_centre, sum);
     }
 
-    /// The sum over the own data centre, to tell others; what is stale is left out.
+    /// The sum over this data centre, to report to others; stale sums are left out.
     pub fn data_centre_sum(&self, now: Millis) -> PoolSum {
-        let fresh = |sum: &&PoolSum| now.since(sum.as_of) <= STALE;
-        let sums = self.sums.values().map(|heard| &heard.sum).filter(fresh);
+        let fresh = |sum: &&PoolSum| now.since(sum.as_of) <= STALE_AGE;
+        let sums = self
+            .daemon_sums
+            .values()
+            .map(|received| &received.sum)
+            .filter(fresh);
         sums.fold(self.own_sum(now), |all, sum| PoolSum {
             load: all.load + sum.load,
             endpoints: all.endpoints + sum.endpoints,
@@ -148,19 +154,19 @@
         })
     }
 
-    /// Forgets a daemon that is gone.
+    /// Removes the sum of a daemon.
     pub fn remove_daemon(&mut self, daemon: &DaemonId) {
-        self.sums.remove(daemon);
+        self.daemon_sums.remove(daemon);
     }
 
-    /// Notes work sent to an endpoint of another home, until that home's word includes it.
+    /// Adds work sent to an endpoint of another home, until that home's report includes it.
     pub fn note_sent(&mut self, id: &EndpointId, work: Tokens) {
         if let Some(endpoint) = self.get_mut(id) {
             endpoint.sent += work;
         }
     }
 
-    /// Notes that work sent to an endpoint of another home has ended there.
+    /// Subtracts work sent to an endpoint of another home that has ended.
     pub fn note_done(&mut self, id: &EndpointId, work: Tokens) {
         let Some(endpoint) = self.get_mut(id).filter(|endpoint| !endpoint.own) else {
             return;
@@ -182,23 +188,23 @@
         &self.endpoints
     }
 
-    /// One endpoint.
+    /// The endpoint of this name.
     pub fn get(&self, id: &EndpointId) -> Option<&EndpointView> {
-        let at = self.find(id).ok()?;
-        self.endpoints.get(at)
+        let index = self.find(id).ok()?;
+        self.endpoints.get(index)
     }
 
     /// The endpoint that a chat ranks first; its home keeps the chat's directory entry.
     ///
-    /// All endpoints of the region count, whatever their state, so that its entries agree; those of other regions
-    /// only if it has none.
+    /// All endpoints of this region are ranked, whatever their state, so that entries of the region agree; endpoints of
+    /// other regions only if this region has none.
     pub fn first_ranked(&self, chat: ChatHash) -> Option<&EndpointId> {
         let near = |endpoint: &&EndpointView| endpoint.distance != Distance::OtherRegion;
         let region = self.endpoints.iter().filter(near);
-        best_of(region, chat).or_else(|| best_of(self.endpoints.iter(), chat))
+        highest_scored(region, chat).or_else(|| highest_scored(self.endpoints.iter(), chat))
     }
 
-    /// Endpoints in the order in which a chat ranks them.
+    /// All endpoints, ordered by their score for a chat, highest first.
     pub fn rank(&self, chat: ChatHash) -> Vec<&EndpointId> {
         let mut all: Vec<_> = self.endpoints.iter().collect();
         all.sort_by(|a, b| b.score(chat).total_cmp(&a.score(chat)));
@@ -222,31 +228,35 @@
             })
     }
 
-    /// The `count` least loaded of the own endpoints that take work, to tell others.
+    /// The `count` least loaded of the own endpoints that take work, to report to others.
     pub fn own_least_loaded(&self, count: usize, now: Millis) -> Vec<EndpointLoad> {
         let own = |endpoint: &&EndpointView| endpoint.own && endpoint.takes_work();
         let mut least: Vec<_> = self.endpoints.iter().filter(own).collect();
         least.sort_by_key(|endpoint| (!endpoint.room, endpoint.load + endpoint.waiting));
         least.truncate(count);
-        let told = |endpoint: &EndpointView| EndpointLoad {
+        let reported = |endpoint: &EndpointView| EndpointLoad {
             endpoint: endpoint.id.clone(),
             load: endpoint.load + endpoint.waiting,
             room: endpoint.room,
             as_of: now,
         };
-        least.into_iter().map(told).collect()
+        least.into_iter().map(reported).collect()
     }
 
-    /// The mean load of the pool's endpoints, with stale sums faded.
+    /// The mean load of the pool's endpoints; the load of stale sums decays.
     pub fn mean(&self, now: Millis) -> PoolMean {
         let own = self.own_sum(now);
         let mut load = own.load.0 as f64;
         let mut endpoints = own.endpoints;
-        for heard in self.sums.values().chain(self.centres.values()) {
-            let age = now.since(heard.sum.as_of);
-            if age < FORGET {
-                load += heard.low() * fading(age);
-                endpoints += heard.sum.endpoints;
+        for received in self
+            .daemon_sums
+            .values()
+            .chain(self.data_centre_sums.values())
+        {
+            let age = now.since(received.sum.as_of);
+            if age < MAX_AGE {
+                load += received.lower_load() * decay(age);
+                endpoints += received.sum.endpoints;
             }
         }
         PoolMean {
@@ -261,12 +271,12 @@
     }
 
     fn get_mut(&mut self, id: &EndpointId) -> Option<&mut EndpointView> {
-        let at = self.find(id).ok()?;
-        self.endpoints.get_mut(at)
+        let index = self.find(id).ok()?;
+        self.endpoints.get_mut(index)
     }
 }
 
-fn best_of<'a>(
+fn highest_scored<'a>(
     endpoints: impl Iterator<Item = &'a EndpointView>,
     chat: ChatHash,
 ) -> Option<&'a EndpointId> {
@@ -275,23 +285,26 @@
     best.map(|(_, endpoint)| &endpoint.id)
 }
 
-fn hear<K: Ord + Clone>(sums: &mut BTreeMap<K, Heard>, from: &K, sum: PoolSum) {
+fn replace_older<K: Ord + Clone>(sums: &mut BTreeMap<K, ReceivedSum>, from: &K, sum: PoolSum) {
     let load = sum.load.0 as f64;
     let Some(known) = sums.get_mut(from) else {
-        let heard = Heard { sum, before: load };
-        sums.insert(from.clone(), heard);
+        let received = ReceivedSum {
+            sum,
+            previous_load: load,
+        };
+        sums.insert(from.clone(), received);
         return;
     };
     if known.sum.as_of < sum.as_of {
         let each = known.sum.load.0 as f64 / f64::from(known.sum.endpoints.max(1));
-        known.before = each * f64::from(sum.endpoints);
+        known.previous_load = each * f64::from(sum.endpoints);
         known.sum = sum;
     }
 }
 
-/// What is left of a sum of this age, from 1 down to 0.
-fn fading(age: Millis) -> f64 {
-    age.since(STALE).fading(FADE)
+/// Remaining part of the load of a sum of this age, from 1 down to 0.
+fn decay(age: Millis) -> f64 {
+    age.since(STALE_AGE).fading(HALF_LIFE)
 }
 
 impl EndpointView {
@@ -310,7 +323,7 @@
             as_of: None,
             sent: Tokens(0),
             sent_before: Tokens(0),
-            mark: Millis::ZERO,
+            sent_since: Millis::ZERO,
         }
     }
 
@@ -318,26 +331,27 @@
         score(chat.0, self.seed, self.weight)
     }
 
-    /// Whether this daemon is its home.
+    /// Whether this daemon is the endpoint's home.
     pub fn is_own(&self) -> bool {
         self.own
     }
 
-    /// Whether it takes work for certain.
+    /// Whether the endpoint is known to take work.
     pub fn takes_work(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Whether one more request would run at once, as far as is known.
+    /// Whether one more request would run without queueing, as far as is known.
     pub fn has_room(&self) -> bool {
         self.room
     }
 
-    /// Its work in flight and waiting in tokens, given the pool's mean; the mean stands in where nothing fresh is known.
+    /// Estimated work in flight and queued, in generated tokens. Where the known load is stale, the larger of the
+    /// pool's mean and half of that load is used.
     pub fn estimate(&self, mean: f64, now: Millis) -> f64 {
         let sent = (self.sent + self.sent_before).0 as f64;
         let load = (self.load + self.waiting).0 as f64;
-        let fresh = |as_of: Millis| now.since(as_of) <= STALE;
+        let fresh = |as_of: Millis| now.since(as_of) <= STALE_AGE;
         if self.own {
             load
         } else if self.as_of.is_some_and(fresh) {
