--- a/crates/core/src/log_limiter.rs
+++ b/crates/core/src/log_limiter.rs
@@ -1,43 +1,43 @@
-//! Bounds how many log lines of one kind are written.
+//! Limits the rate of log lines of one kind.
 
 use derive_more::Debug;
 
 use crate::clock::Millis;
 
-/// Lines of one kind in a window.
+/// Limit on the log lines of one kind in each window of time.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct LogLimiter {
-    most: u32,
+    max_lines: u32,
     window: Millis,
-    since: Millis,
+    window_start: Millis,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl LogLimiter {
-    /// At most so many lines in each window.
-    pub const fn new(most: u32, window: Millis) -> Self {
+    /// Allows at most `max_lines` lines in each window.
+    pub const fn new(max_lines: u32, window: Millis) -> Self {
         Self {
-            most,
+            max_lines,
             window,
-            since: Millis::ZERO,
+            window_start: Millis::ZERO,
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         }
     }
 
-    /// Whether a line may be written; with it, how many were left out since the last one.
+    /// Returns the number of lines suppressed since the last one if a line may be written, else `None`.
     pub fn allow(&mut self, now: Millis) -> Option<u64> {
-        if now.since(self.since) >= self.window {
-            self.since = now;
+        if now.since(self.window_start) >= self.window {
+            self.window_start = now;
             self.lines = 0;
         }
-        if self.lines >= self.most {
-            self.left_out += 1;
+        if self.lines >= self.max_lines {
+            self.suppressed += 1;
             return None;
         }
         self.lines += 1;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
