--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,23 +1,23 @@
-//! Account limits over the whole fleet.
+//! Rate and concurrency limits of accounts over all daemons.
 //!
-//! Each account has a rate and a concurrency. One daemon, found by hash, owns
-//! the account and keeps a [`ShareAllocator`]; every entry keeps [`EntryLimiter`]. Entries
-//! report use and demand, the owner grants shares that expire. A request that
-//! doesn't fit its entry's share is held for one round trip while the entry
-//! asks for more; it is refused at once if the owner has just said that there
-//! is none. An entry whose owner is lost moves from its last grant towards
-//! its even part of the limit.
+//! Each account is owned by one daemon, found by hash, which divides the
+//! account's limits in its [`ShareAllocator`]; every entry has an
+//! [`EntryLimiter`]. Entries report use and demand; the owner grants shares
+//! that expire. A request that doesn't fit its entry's share is held for one
+//! round trip while the entry asks for more; it is refused at once if the
+//! owner has just reported that there is no more. An entry that has lost the
+//! owner moves from its last grant towards an equal share of the limit.
 
-mod book;
-mod ease;
+mod entry_account;
 mod entry_limiter;
+mod entry_usage;
 mod event;
-mod line;
-mod local;
+mod fair_split;
 mod meter;
+mod owned_account;
 mod share;
 mod share_allocator;
-mod split;
+mod utilisation;
 
 use derive_more::Debug;
 use xxhash_rust::xxh3::xxh3_64;
@@ -31,18 +31,18 @@
 pub use event::{Action, Event};
 pub use share_allocator::{AllocatorAction, AllocatorEvent, ShareAllocator};
 
-/// How long a grant holds.
-pub const EXPIRY: Millis = Millis::from_secs(15);
-/// How often an entry reports an account whose use hasn't changed.
+/// Time for which a grant is valid.
+pub const GRANT_EXPIRY: Millis = Millis::from_secs(15);
+/// Interval at which an entry reports an account whose use hasn't changed.
 pub const RENEWAL: Millis = Millis::from_secs(10);
-/// By how much longer a grant holds, and how much more rarely it is renewed, while little is used.
-const EASY_TIMES: u64 = 6;
-/// Daemons up to which the sum of shares is always kept to the limit, which costs little then.
-const STRICT_LIVE: u32 = 32;
-/// Hundredths, the unit of rates in messages.
+/// Factor on the validity and on the renewal interval of a grant while utilisation is low.
+const LOW_USE_FACTOR: u64 = 6;
+/// Number of daemons up to which the sum of shares is always kept within the limit, as that costs few messages there.
+const STRICT_FLEET_SIZE: u32 = 32;
+/// Units of a rate in messages per request a second: rates are in hundredths.
 const RATE_UNIT: f64 = 100.0;
 
-/// What an account may use over the whole fleet.
+/// Limits of an account over all daemons.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
 pub struct Limits {
@@ -61,42 +61,42 @@
     }
 }
 
-/// Hash that names an account in messages.
+/// Hash that identifies an account in messages.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 #[debug("{_0:016x}")]
 pub struct AccountHash(pub u64);
 
 impl AccountHash {
-    /// Hashes an account's full name.
+    /// Hashes the names of the institution and the account.
     pub fn of(institution: &InstitutionId, account: &AccountId) -> Self {
         let name = format!("{institution}/{account}");
         Self(xxh3_64(name.as_bytes()))
     }
 }
 
-/// A rate as it is written in messages.
-fn to_wire(rate: f64) -> u32 {
+/// Converts requests a second to the unit of messages.
+fn rate_to_wire(rate: f64) -> u32 {
     (rate * RATE_UNIT) as u32
 }
 
-/// A rate as it was written in a message.
-fn from_wire(rate: u32) -> f64 {
+/// Converts the unit of messages to requests a second.
+fn rate_from_wire(rate: u32) -> f64 {
     f64::from(rate) / RATE_UNIT
 }
 
-/// One cell of a column that may have been left out.
+/// The cell of a row in a column, zero if the column was left out.
 fn cell(column: &[u32], row: usize) -> u32 {
     column.get(row).copied().unwrap_or(0)
 }
 
-/// How closely one account is watched.
-fn watch(column: &[i32], row: usize) -> Watch {
+/// How closely the account of a row is watched, `Usual` if the column was left out.
+fn watch_cell(column: &[i32], row: usize) -> Watch {
     let cell = column.get(row).copied().unwrap_or(0);
     Watch::try_from(cell).unwrap_or(Watch::Usual)
 }
 
-/// A column, left out if it holds only zeros.
+/// Collects a column, left out if it contains only zeros.
 fn column(cells: impl Iterator<Item = u32>) -> Vec<u32> {
     let cells: Vec<u32> = cells.collect();
     if cells.iter().all(|cell| *cell == 0) {
--- a/crates/core/src/limits/entry_limiter.rs
+++ b/crates/core/src/limits/entry_limiter.rs
@@ -1,4 +1,4 @@
-//! The entry's side: admits requests within its shares and asks for more.
+//! The entry's part of account limits: admits requests within its shares and asks owners for more.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -9,16 +9,16 @@
 use crate::ids::{AttemptId, DaemonId};
 use crate::wire::{Grant, Usage};
 
+use super::entry_account::EntryAccount;
 use super::event::{Action, Event};
-use super::local::Local;
-use super::{AccountHash, Limits, STRICT_LIVE, cell, column, from_wire, watch};
+use super::{AccountHash, Limits, STRICT_FLEET_SIZE, cell, column, rate_from_wire, watch_cell};
 
-/// Longest time for which a request is held for the owner's answer.
-const HOLD: Millis = Millis(200);
-/// How often changed use is reported.
-const REPORT: Millis = Millis::from_secs(1);
+/// Longest time for which a request is held until the owner answers.
+const MAX_HOLD: Millis = Millis(200);
+/// Interval of the regular reports of changed use.
+const REPORT_INTERVAL: Millis = Millis::from_secs(1);
 
-/// Messages to and from one owner.
+/// Message numbers of one owner: the last usage sent and the last grant received.
 #[derive(Clone, Copy, Default)]
 #[derive(Debug)]
 struct Peer {
@@ -26,40 +26,40 @@
     seen: u64,
 }
 
-/// All accounts in use at one entry.
+/// Limits of all accounts in use at one entry.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct EntryLimiter {
     live: u32,
-    locals: BTreeMap<AccountHash, Local>,
-    flights: HashMap<AttemptId, AccountHash>,
+    accounts: BTreeMap<AccountHash, EntryAccount>,
+    admitted: HashMap<AttemptId, AccountHash>,
     peers: HashMap<DaemonId, Peer>,
     /// Accounts to report at once.
     urgent: BTreeSet<AccountHash>,
     /// Accounts with held requests.
-    holding: BTreeSet<AccountHash>,
-    /// When to report next.
-    report: Millis,
+    with_held: BTreeSet<AccountHash>,
+    /// When the next regular report is due.
+    next_report: Millis,
     #[debug(skip)]
     rng: Pcg32,
 }
 
 impl EntryLimiter {
-    /// An entry among `live` daemons.
+    /// A limiter without accounts, at an entry of a fleet of `live` daemons.
     pub fn new(live: u32, rng: Pcg32, now: Millis) -> Self {
         Self {
             live,
-            locals: BTreeMap::new(),
-            flights: HashMap::new(),
+            accounts: BTreeMap::new(),
+            admitted: HashMap::new(),
             peers: HashMap::new(),
             urgent: BTreeSet::new(),
-            holding: BTreeSet::new(),
-            report: now + REPORT,
+            with_held: BTreeSet::new(),
+            next_report: now + REPORT_INTERVAL,
             rng,
         }
     }
 
-    /// Takes an event and returns what is to be done; `owner_of` finds an account's owner.
+    /// Handles an event and returns the resulting actions; `owner_of` returns the owner of an account.
     pub fn handle(
         &mut self,
         event: Event,
@@ -72,45 +72,47 @@
                 id,
                 account,
                 limits,
-            } => self.ask(id, account, limits, now, owner_of, &mut actions),
-            Event::Release { id } => self.done(id, now),
-            Event::Grant { from, grant } => self.grant(&from, &grant, now, &mut actions),
-            Event::Members { live } => self.members(live, owner_of),
-            Event::OwnerLost(owner) => self.lost(&owner, now),
+            } => self.acquire(id, account, limits, now, owner_of, &mut actions),
+            Event::Release { id } => self.release(id, now),
+            Event::Grant { from, grant } => self.apply_grant(&from, &grant, now, &mut actions),
+            Event::Members { live } => self.update_members(live, owner_of),
+            Event::OwnerLost(owner) => self.mark_owner_lost(&owner, now),
             Event::Tick => {}
         }
-        self.time_out(now, &mut actions);
-        self.send(now, &mut actions);
+        self.time_out_held(now, &mut actions);
+        self.send_reports(now, &mut actions);
         actions
     }
 
-    /// When [`Event::Tick`] is wanted, if no other event comes before.
+    /// When [`Event::Tick`] is due, unless another event comes before.
     pub fn wake(&self) -> Option<Millis> {
-        if self.locals.is_empty() {
+        if self.accounts.is_empty() {
             return None;
         }
-        let holding = self.holding.iter();
-        let held = holding.filter_map(|account| self.locals.get(account)?.held.front());
-        let first = held.map(|held| held.since + HOLD).min();
-        Some(first.map_or(self.report, |first| first.min(self.report)))
+        let with_held = self.with_held.iter();
+        let held = with_held.filter_map(|account| self.accounts.get(account)?.held.front());
+        let first = held.map(|held| held.since + MAX_HOLD).min();
+        Some(first.map_or(self.next_report, |first| first.min(self.next_report)))
     }
 
-    /// Accounts in use here.
+    /// Number of accounts in use at this entry.
     pub fn len(&self) -> usize {
-        self.locals.len()
+        self.accounts.len()
     }
 
-    /// Whether no account is in use here.
+    /// Whether no account is in use at this entry.
     pub fn is_empty(&self) -> bool {
-        self.locals.is_empty()
+        self.accounts.is_empty()
     }
 
-    /// Requests in flight, of one account.
+    /// Number of requests of an account in flight from this entry.
     pub fn in_flight(&self, account: AccountHash) -> u32 {
-        self.locals.get(&account).map_or(0, |local| local.flights)
+        self.accounts
+            .get(&account)
+            .map_or(0, |state| state.in_flight)
     }
 
-    fn ask(
+    fn acquire(
         &mut self,
         id: AttemptId,
         account: AccountHash,
@@ -119,104 +121,110 @@
         owner_of: impl Fn(AccountHash) -> Option<DaemonId>,
         actions: &mut Vec<Action>,
     ) {
-        let local = self
-            .locals
+        let state = self
+            .accounts
             .entry(account)
-            .or_insert_with(|| Local::new(limits, owner_of(account), now));
-        local.limits = limits;
-        local.used = now;
-        local.offered.count(1, now);
-        if local.owner.is_none() {
-            local.share.lose(now);
+            .or_insert_with(|| EntryAccount::new(limits, owner_of(account), now));
+        state.limits = limits;
+        state.last_used = now;
+        state.offered_rate.count(1, now);
+        if state.owner.is_none() {
+            state.share.mark_lost(now);
         }
-        local.share.advance(limits, self.live, now);
-        if local.held.is_empty() && local.fits(self.live, now) {
-            if self.live > STRICT_LIVE {
-                local.draw(now, &mut self.rng);
+        state.share.update(limits, self.live, now);
+        if state.held.is_empty() && state.fits(self.live, now) {
+            if self.live > STRICT_FLEET_SIZE {
+                state.maybe_sample(now, &mut self.rng);
             }
-            local.admit();
-            self.flights.insert(id, account);
+            state.admit();
+            self.admitted.insert(id, account);
             actions.push(Action::Admit { id });
             return;
         }
-        let hopeless = local.owner.is_none() || now < local.dry;
-        if hopeless || local.is_crowded() {
-            let action = local.refuse(id, self.live, now, &mut self.rng);
+        let is_exhausted = state.owner.is_none() || now < state.exhausted_until;
+        if is_exhausted || state.is_hold_full() {
+            let action = state.refuse(id, self.live, now, &mut self.rng);
             actions.push(action);
             return;
         }
-        // One question at a time; what comes meanwhile goes into the next.
-        if local.held.iter().all(|held| held.asked.is_none()) {
+        // One request for more at a time; requests that arrive until its grant are asked for in the next.
+        if state.held.iter().all(|held| held.asked.is_none()) {
             self.urgent.insert(account);
         }
-        local.hold(id, now);
-        self.holding.insert(account);
+        state.hold(id, now);
+        self.with_held.insert(account);
     }
 
-    fn done(&mut self, id: AttemptId, now: Millis) {
-        if let Some(account) = self.flights.remove(&id) {
-            if let Some(local) = self.locals.get_mut(&account) {
-                local.flights = local.flights.saturating_sub(1);
-                local.used = now;
-                if local.is_close() {
+    fn release(&mut self, id: AttemptId, now: Millis) {
+        if let Some(account) = self.admitted.remove(&id) {
+            if let Some(state) = self.accounts.get_mut(&account) {
+                state.in_flight = state.in_flight.saturating_sub(1);
+                state.last_used = now;
+                if state.reports_each_end() {
                     self.urgent.insert(account);
                 }
             }
             return;
         }
-        for account in &self.holding {
-            if let Some(local) = self.locals.get_mut(account) {
-                local.held.retain(|held| held.id != id);
+        for account in &self.with_held {
+            if let Some(state) = self.accounts.get_mut(account) {
+                state.held.retain(|held| held.id != id);
             }
         }
     }
 
-    fn grant(&mut self, from: &DaemonId, grant: &Grant, now: Millis, actions: &mut Vec<Action>) {
+    fn apply_grant(
+        &mut self,
+        from: &DaemonId,
+        grant: &Grant,
+        now: Millis,
+        actions: &mut Vec<Action>,
+    ) {
         let peer = self.peers.entry(from.clone()).or_default();
         peer.seen = grant.number;
         for (row, account) in grant.accounts.iter().enumerate() {
             let account = AccountHash(*account);
-            let Some(local) = self.locals.get_mut(&account) else {
+            let Some(state) = self.accounts.get_mut(&account) else {
                 continue;
             };
-            if local.owner.as_ref() != Some(from) {
+            if state.owner.as_ref() != Some(from) {
                 continue;
             }
-            local.share.advance(local.limits, self.live, now);
+            state.share.update(state.limits, self.live, now);
             let concurrency = cell(&grant.shares, row);
-            // The owner can only give the difference to others once it knows.
-            let rate = from_wire(cell(&grant.rates, row));
-            if concurrency < local.share.concurrency || rate < local.share.rate {
+            // The owner can grant the difference to others only when it knows that this entry has given it up.
+            let rate = rate_from_wire(cell(&grant.rates, row));
+            if concurrency < state.share.concurrency || rate < state.share.rate {
                 self.urgent.insert(account);
             }
             let tokens = cell(&grant.tokens, row);
-            local.watch = watch(&grant.watch, row);
-            let until = now + local.longer(Millis(grant.expiry.into()));
-            local.share.grant(concurrency, rate, tokens, until);
-            local.dry = now + Millis(cell(&grant.dry, row).into());
-            self.settle(account, grant.answers, now, actions);
+            state.watch = watch_cell(&grant.watch, row);
+            let until = now + state.extended(Millis(grant.expiry.into()));
+            state.share.grant(concurrency, rate, tokens, until);
+            state.exhausted_until = now + Millis(cell(&grant.dry, row).into());
+            self.resolve_held(account, grant.answers, now, actions);
         }
     }
 
-    /// Admits what fits of the held requests and refuses the rest of those that were answered.
-    fn settle(
+    /// Admits the held requests that fit, and refuses those of the rest that the owner has answered.
+    fn resolve_held(
         &mut self,
         account: AccountHash,
         answers: u64,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        let Some(local) = self.locals.get_mut(&account) else {
+        let Some(state) = self.accounts.get_mut(&account) else {
             return;
         };
-        while let Some(held) = local.held.front() {
+        while let Some(held) = state.held.front() {
             let (id, asked) = (held.id, held.asked);
-            if local.fits(self.live, now) {
-                local.admit();
-                self.flights.insert(id, account);
+            if state.fits(self.live, now) {
+                state.admit();
+                self.admitted.insert(id, account);
                 actions.push(Action::Admit { id });
             } else if asked.is_some_and(|asked| asked <= answers) {
-                let action = local.refuse(id, self.live, now, &mut self.rng);
+                let action = state.refuse(id, self.live, now, &mut self.rng);
                 actions.push(action);
             } else {
                 if asked.is_none() {
@@ -224,102 +232,105 @@
                 }
                 return;
             }
-            local.held.pop_front();
+            state.held.pop_front();
         }
-        self.holding.remove(&account);
+        self.with_held.remove(&account);
     }
 
-    fn members(&mut self, live: u32, owner_of: impl Fn(AccountHash) -> Option<DaemonId>) {
+    fn update_members(&mut self, live: u32, owner_of: impl Fn(AccountHash) -> Option<DaemonId>) {
         self.live = live;
-        for (account, local) in &mut self.locals {
+        for (account, state) in &mut self.accounts {
             let owner = owner_of(*account);
-            if owner == local.owner {
+            if owner == state.owner {
                 continue;
             }
-            local.owner = owner;
+            state.owner = owner;
             self.urgent.insert(*account);
-            for held in &mut local.held {
+            for held in &mut state.held {
                 held.asked = None;
             }
         }
     }
 
-    fn lost(&mut self, owner: &DaemonId, now: Millis) {
+    fn mark_owner_lost(&mut self, owner: &DaemonId, now: Millis) {
         self.peers.remove(owner);
-        for local in self.locals.values_mut() {
-            if local.owner.as_ref() != Some(owner) {
+        for state in self.accounts.values_mut() {
+            if state.owner.as_ref() != Some(owner) {
                 continue;
             }
-            local.share.lose(now);
-            local.report_anew();
-            for held in &mut local.held {
+            state.share.mark_lost(now);
+            state.reset_report();
+            for held in &mut state.held {
                 held.asked = None;
             }
         }
     }
 
-    /// Decides about requests whose owner hasn't answered in time.
-    fn time_out(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        for account in self.holding.clone() {
-            let Some(local) = self.locals.get_mut(&account) else {
+    /// Resolves the held requests of owners that haven't answered in time.
+    fn time_out_held(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        for account in self.with_held.clone() {
+            let Some(state) = self.accounts.get_mut(&account) else {
                 continue;
             };
-            let held = local.held.front();
-            if held.is_some_and(|held| now < held.since + HOLD) {
+            let held = state.held.front();
+            if held.is_some_and(|held| now < held.since + MAX_HOLD) {
                 continue;
             }
-            for held in &mut local.held {
+            for held in &mut state.held {
                 held.asked = Some(0);
             }
-            local.share.lose(now);
-            local.share.advance(local.limits, self.live, now);
-            self.settle(account, u64::MAX, now, actions);
+            state.share.mark_lost(now);
+            state.share.update(state.limits, self.live, now);
+            self.resolve_held(account, u64::MAX, now, actions);
         }
     }
 
-    /// Sends what is urgent, and on time all that has changed.
-    fn send(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Reports urgent accounts, and all changed accounts when the regular report is due.
+    fn send_reports(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let mut due = std::mem::take(&mut self.urgent);
-        let regular = now >= self.report;
+        let regular = now >= self.next_report;
         if regular {
-            let changed = self.locals.iter().filter(|(_, local)| local.changed(now));
+            let changed = self
+                .accounts
+                .iter()
+                .filter(|(_, state)| state.needs_report(now));
             due.extend(changed.map(|(account, _)| *account));
         }
         let mut batches: BTreeMap<DaemonId, Vec<AccountHash>> = BTreeMap::new();
         for account in due {
-            let owner = self.locals.get(&account).map(|local| &local.owner);
+            let owner = self.accounts.get(&account).map(|state| &state.owner);
             if let Some(Some(owner)) = owner {
                 batches.entry(owner.clone()).or_default().push(account);
             }
         }
         for (to, accounts) in batches {
-            let usage = self.usage(&to, &accounts, now);
+            let usage = self.build_usage(&to, &accounts, now);
             actions.push(Action::Send { to, usage });
         }
         if regular {
-            self.report = now + REPORT;
-            self.locals.retain(|_, local| !local.is_idle(now));
+            self.next_report = now + REPORT_INTERVAL;
+            self.accounts.retain(|_, state| !state.is_idle(now));
         }
     }
 
-    fn usage(&mut self, to: &DaemonId, accounts: &[AccountHash], now: Millis) -> Usage {
+    fn build_usage(&mut self, to: &DaemonId, accounts: &[AccountHash], now: Millis) -> Usage {
         let peer = self.peers.entry(to.clone()).or_default();
         peer.number += 1;
         let (number, seen) = (peer.number, peer.seen);
         let mut rows = Vec::new();
         for account in accounts {
-            if let Some(local) = self.locals.get_mut(account) {
-                rows.push(local.row(number, now));
+            if let Some(state) = self.accounts.get_mut(account) {
+                rows.push(state.usage_row(number, now));
             }
         }
         Usage {
             number,
             seen,
             accounts: accounts.iter().map(|account| account.0).collect(),
-            flights: column(rows.iter().map(|row| row.flights)),
+            flights: column(rows.iter().map(|row| row.in_flight)),
             rates: column(rows.iter().map(|row| row.rate)),
             shares: column(rows.iter().map(|row| row.share)),
-            needs: column(rows.iter().map(|row| row.need)),
+            needs: column(rows.iter().map(|row| row.held_requests)),
             samples: column(rows.iter().map(|row| row.samples)),
         }
     }
--- a/crates/core/src/limits/event.rs
+++ b/crates/core/src/limits/event.rs
@@ -1,4 +1,4 @@
-//! What an entry's accounts are told and ask for.
+//! Events and actions of the account limits at an entry.
 
 use derive_more::Debug;
 
@@ -9,65 +9,65 @@
 
 use super::{AccountHash, Limits};
 
-/// What an entry is told.
+/// An event at an entry.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Event {
-    /// A request asks to go on.
+    /// A request asks to be admitted.
     Acquire {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
-        /// Its account.
+        /// The account that it counts against.
         account: AccountHash,
         /// The account's limits.
         limits: Limits,
     },
     /// An admitted request has ended, or a held one was cancelled.
     Release {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
     },
     /// An owner has sent a grant.
     Grant {
-        /// Who sent it.
+        /// The owner.
         from: DaemonId,
-        /// What it says.
+        /// The message.
         grant: Grant,
     },
     /// The link to an owner was lost, or a message to it couldn't be sent.
     OwnerLost(DaemonId),
     /// The live daemons have changed.
     Members {
-        /// How many there are.
+        /// The number of live daemons.
         live: u32,
     },
-    /// Time has passed; wanted by [`Accounts::wake`](super::EntryLimiter::wake).
+    /// Time has passed; due at [`EntryLimiter::wake`](super::EntryLimiter::wake).
     Tick,
 }
 
-/// What an entry asks for. Each ask is admitted or refused once, unless it is done before.
+/// An action at an entry. Each [`Event::Acquire`] is admitted or refused once, unless released before.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Action {
-    /// The request may go on.
+    /// The request is admitted.
     Admit {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
     },
-    /// The request was not run.
+    /// The request is refused and was not run.
     Refuse {
-        /// The try.
+        /// The attempt.
         id: AttemptId,
-        /// Why.
+        /// The limit that was exceeded.
         reason: Reason,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Millis,
     },
-    /// Send to the owner of these accounts, which may be this daemon itself.
+    /// Send a usage message to the owner of its accounts, which may be this daemon itself.
     Send {
         /// The owner.
         to: DaemonId,
-        /// What to send.
+        /// The message.
         usage: Usage,
     },
 }
--- a/crates/core/src/limits/meter.rs
+++ b/crates/core/src/limits/meter.rs
@@ -1,42 +1,42 @@
-//! A decayed count of events.
+//! An exponentially decaying event rate.
 
 use derive_more::Debug;
 
 use crate::clock::Millis;
 
-/// Events a second, over a span that fades out.
+/// Events a second, averaged with an exponential decay.
 #[derive(Clone)]
 #[derive(Debug)]
 pub(super) struct Meter {
-    span: Millis,
+    time_constant: Millis,
     rate: f64,
-    at: Millis,
+    updated: Millis,
 }
 
 impl Meter {
-    pub(super) fn new(span: Millis, now: Millis) -> Self {
+    pub(super) fn new(time_constant: Millis, now: Millis) -> Self {
         Self {
-            span,
+            time_constant,
             rate: 0.0,
-            at: now,
+            updated: now,
         }
     }
 
-    /// Counts events.
+    /// Adds events that happened now.
     pub(super) fn count(&mut self, events: u32, now: Millis) {
-        self.rate = self.rate(now) + f64::from(events) / self.span.as_secs_f64();
-        self.at = now;
+        self.rate = self.rate(now) + f64::from(events) / self.time_constant.as_secs_f64();
+        self.updated = now;
     }
 
     /// Events a second.
     pub(super) fn rate(&self, now: Millis) -> f64 {
-        let passed = now.since(self.at).as_secs_f64();
-        self.rate * (-passed / self.span.as_secs_f64()).exp()
+        let elapsed = now.since(self.updated).as_secs_f64();
+        self.rate * (-elapsed / self.time_constant.as_secs_f64()).exp()
     }
 
-    /// Events a second without the last few, which have come just now.
+    /// Events a second without the `last` events, which happened just now.
     pub(super) fn rate_before(&self, last: usize, now: Millis) -> f64 {
-        let last = last as f64 / self.span.as_secs_f64();
-        (self.rate(now) - last).max(0.0)
+        let recent = last as f64 / self.time_constant.as_secs_f64();
+        (self.rate(now) - recent).max(0.0)
     }
 }
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -6,29 +6,29 @@
 
 use super::Limits;
 
-/// Time in which an entry without an owner goes half the way to its even part.
-const RAMP: Millis = Millis::from_secs(2);
-/// Longest time for which unused rate adds up.
+/// Time in which an entry that lost the owner moves half of the way from its grant to its equal share.
+const HALF_LIFE: Millis = Millis::from_secs(2);
+/// Capacity of the token bucket beyond [`BURST_MIN`], in seconds of the rate.
 const BURST_SECS: f64 = 0.5;
-/// Fewest requests that add up.
+/// Least capacity of the token bucket.
 const BURST_MIN: f64 = 2.0;
 
 /// What an entry may use of one account.
 #[derive(Clone)]
 #[derive(Debug)]
 pub(super) struct Share {
-    /// Concurrency as granted last.
+    /// Concurrency of the last grant.
     pub(super) concurrency: u32,
-    /// Requests a second as granted last.
+    /// Rate of the last grant, in requests a second.
     pub(super) rate: f64,
-    /// End of the grant.
-    until: Millis,
-    /// Since when the owner is lost.
-    lost: Option<Millis>,
-    /// Requests that may go now.
+    /// When the grant expires.
+    expires: Millis,
+    /// Since when the owner is lost; `None` while it answers.
+    lost_since: Option<Millis>,
+    /// Tokens; each admits one request.
     tokens: f64,
     /// When tokens were last added.
-    at: Millis,
+    refilled: Millis,
 }
 
 impl Share {
@@ -36,88 +36,88 @@
         Self {
             concurrency: 0,
             rate: 0.0,
-            until: now,
-            lost: None,
+            expires: now,
+            lost_since: None,
             tokens: 0.0,
-            at: now,
+            refilled: now,
         }
     }
 
-    /// Takes a grant.
-    pub(super) fn grant(&mut self, concurrency: u32, rate: f64, tokens: u32, until: Millis) {
+    /// Replaces the grant.
+    pub(super) fn grant(&mut self, concurrency: u32, rate: f64, tokens: u32, expires: Millis) {
         self.concurrency = concurrency;
         self.rate = rate;
-        self.until = until;
-        self.lost = None;
-        let most = burst(rate).max(f64::from(tokens));
-        self.tokens = (self.tokens + f64::from(tokens)).min(most);
+        self.expires = expires;
+        self.lost_since = None;
+        let max_tokens = burst_limit(rate).max(f64::from(tokens));
+        self.tokens = (self.tokens + f64::from(tokens)).min(max_tokens);
     }
 
-    /// Notes that the owner doesn't answer.
-    pub(super) fn lose(&mut self, now: Millis) {
-        if self.lost.is_none() {
-            self.lost = Some(now);
+    /// Marks the owner as lost.
+    pub(super) fn mark_lost(&mut self, now: Millis) {
+        if self.lost_since.is_none() {
+            self.lost_since = Some(now);
             self.tokens = self.tokens.max(1.0);
         }
     }
 
-    /// Notes a grant that ran out, and adds the tokens of the time that has passed.
-    pub(super) fn advance(&mut self, limits: Limits, live: u32, now: Millis) {
-        let granted = self.concurrency > 0 || self.rate > 0.0;
-        if granted && now >= self.until {
-            self.lose(self.until);
+    /// Marks the owner as lost if the grant has expired, and adds tokens for the time elapsed.
+    pub(super) fn update(&mut self, limits: Limits, live: u32, now: Millis) {
+        let has_grant = self.concurrency > 0 || self.rate > 0.0;
+        if has_grant && now >= self.expires {
+            self.mark_lost(self.expires);
         }
-        let rate = self.rate_now(limits, live, now);
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let most = burst(rate).max(self.tokens);
-        self.tokens = (self.tokens + rate * passed).min(most);
+        let rate = self.current_rate(limits, live, now);
+        let elapsed = now.since(self.refilled).as_secs_f64();
+        self.refilled = self.refilled.max(now);
+        let max_tokens = burst_limit(rate).max(self.tokens);
+        self.tokens = (self.tokens + rate * elapsed).min(max_tokens);
     }
 
-    /// Concurrency that holds now.
-    pub(super) fn concurrency_now(&self, limits: Limits, live: u32, now: Millis) -> u32 {
-        if self.lost.is_none() {
+    /// Concurrency that is allowed now.
+    pub(super) fn current_concurrency(&self, limits: Limits, live: u32, now: Millis) -> u32 {
+        if self.lost_since.is_none() {
             return self.concurrency;
         }
-        let even = f64::from(limits.concurrency) / f64::from(live.max(1));
-        let mixed = self.mix(f64::from(self.concurrency), even, now);
-        // An account must be able to work through any entry that has lost its owner.
-        (mixed as u32).max(1).min(limits.concurrency)
+        let equal_share = f64::from(limits.concurrency) / f64::from(live.max(1));
+        let blended = self.blend(f64::from(self.concurrency), equal_share, now);
+        // An account must be able to run requests at any entry that has lost the owner.
+        (blended as u32).max(1).min(limits.concurrency)
     }
 
-    /// Takes a token if there is one.
-    pub(super) fn take(&mut self) {
+    /// Takes a token, without a check that there is one.
+    pub(super) fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Whether a request may go by rate.
+    /// Whether the rate allows a request now.
     pub(super) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Time until there is a token again.
-    pub(super) fn next_token(&self, limits: Limits, live: u32, now: Millis) -> Millis {
-        let rate = self.rate_now(limits, live, now);
+    /// Time until the next token.
+    pub(super) fn time_to_token(&self, limits: Limits, live: u32, now: Millis) -> Millis {
+        let rate = self.current_rate(limits, live, now);
         let missing = (1.0 - self.tokens).max(0.0);
         Millis((missing / rate.max(0.1) * 1000.0).ceil() as u64)
     }
 
-    fn rate_now(&self, limits: Limits, live: u32, now: Millis) -> f64 {
-        if self.lost.is_none() {
+    fn current_rate(&self, limits: Limits, live: u32, now: Millis) -> f64 {
+        if self.lost_since.is_none() {
             return self.rate;
         }
-        self.mix(self.rate, limits.rate / f64::from(live.max(1)), now)
+        self.blend(self.rate, limits.rate / f64::from(live.max(1)), now)
     }
 
-    fn mix(&self, last: f64, even: f64, now: Millis) -> f64 {
-        let Some(lost) = self.lost else {
-            return last;
+    fn blend(&self, granted: f64, equal_share: f64, now: Millis) -> f64 {
+        let Some(lost_since) = self.lost_since else {
+            return granted;
         };
-        let kept = now.since(lost).fading(RAMP);
-        last * kept + even * (1.0 - kept)
+        let weight = now.since(lost_since).fading(HALF_LIFE);
+        granted * weight + equal_share * (1.0 - weight)
     }
 }
 
-fn burst(rate: f64) -> f64 {
+fn burst_limit(rate: f64) -> f64 {
     BURST_MIN + rate * BURST_SECS
 }
--- a/crates/core/src/limits/share_allocator.rs
+++ b/crates/core/src/limits/share_allocator.rs
@@ -1,4 +1,4 @@
-//! The owner's side: divides an account's limits between the entries that use it.
+//! The owner's part of account limits: divides the limits between the entries that use an account.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,46 +8,46 @@
 use crate::ids::DaemonId;
 use crate::wire::{Grant, Usage, Watch};
 
-use super::book::Book;
-use super::line::{Report, Row};
-use super::{AccountHash, EXPIRY, Limits, cell, column};
+use super::entry_usage::{GrantRow, Report};
+use super::owned_account::OwnedAccount;
+use super::{AccountHash, GRANT_EXPIRY, Limits, cell, column};
 
-/// Time in which a new owner learns what entries hold by its predecessor's grants.
-const LEARNING: Millis = Millis::from_secs(2);
+/// Time in which a new owner learns from reports what entries hold by its predecessor's grants.
+const LEARNING_TIME: Millis = Millis::from_secs(2);
 
-/// What an owner is told.
+/// An event at an owner.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum AllocatorEvent {
-    /// An entry has reported.
+    /// An entry has reported its use.
     Usage {
-        /// Which.
+        /// The entry.
         from: DaemonId,
-        /// What it reported.
+        /// Its report.
         usage: Usage,
     },
     /// The live daemons have changed.
     Members {
-        /// How many there are.
+        /// The number of live daemons.
         live: u32,
     },
-    /// A daemon is gone, and what it had in flight with it.
+    /// A daemon is lost, and its requests in flight with it.
     DaemonLost(DaemonId),
-    /// Time has passed; wanted every few seconds to forget what has expired.
+    /// Time has passed; sent every few seconds to remove expired entries.
     Tick,
 }
 
-/// What an owner asks for.
+/// A grant to send to an entry.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct AllocatorAction {
     /// The entry.
     pub to: DaemonId,
-    /// What to send it.
+    /// The message.
     pub grant: Grant,
 }
 
-/// Messages to and from one entry.
+/// Message numbers of one entry: the last grant sent and the last usage received.
 #[derive(Clone, Copy, Default)]
 #[derive(Debug)]
 struct Peer {
@@ -55,29 +55,29 @@
     answers: u64,
 }
 
-/// The accounts that one daemon owns and that are in use.
+/// Divides the limits of the accounts that one daemon owns.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct ShareAllocator {
     live: u32,
-    /// Until when a book that is opened may lack what a former owner granted.
-    learning: Millis,
-    books: HashMap<AccountHash, Book>,
+    /// Until when a new account may lack entries that hold a former owner's grants.
+    learning_until: Millis,
+    accounts: HashMap<AccountHash, OwnedAccount>,
     peers: HashMap<DaemonId, Peer>,
 }
 
 impl ShareAllocator {
-    /// An owner among `live` daemons.
+    /// An allocator without accounts, in a fleet of `live` daemons.
     pub fn new(live: u32, now: Millis) -> Self {
         Self {
             live,
-            learning: now + LEARNING,
-            books: HashMap::new(),
+            learning_until: now + LEARNING_TIME,
+            accounts: HashMap::new(),
             peers: HashMap::new(),
         }
     }
 
-    /// Takes an event and returns the grants to send; `limits_of` finds an account's limits.
+    /// Handles an event and returns the grants to send; `limits_of` returns the limits of an account.
     pub fn handle(
         &mut self,
         event: AllocatorEvent,
@@ -86,118 +86,120 @@
     ) -> Vec<AllocatorAction> {
         match event {
             AllocatorEvent::Usage { from, usage } => {
-                return self.usage(&from, &usage, now, limits_of);
+                return self.handle_usage(&from, &usage, now, limits_of);
             }
             AllocatorEvent::Members { live } => {
                 self.live = live;
-                self.learning = now + LEARNING;
+                self.learning_until = now + LEARNING_TIME;
             }
-            AllocatorEvent::DaemonLost(daemon) => self.forget(&daemon),
+            AllocatorEvent::DaemonLost(daemon) => self.remove_daemon(&daemon),
             AllocatorEvent::Tick => self.expire(now),
         }
         Vec::new()
     }
 
-    /// Accounts in use.
+    /// Number of accounts in use.
     pub fn len(&self) -> usize {
-        self.books.len()
+        self.accounts.len()
     }
 
     /// Whether no account is in use.
     pub fn is_empty(&self) -> bool {
-        self.books.is_empty()
+        self.accounts.is_empty()
     }
 
     /// Concurrency of an account that entries may hold now.
     pub fn outstanding(&self, account: AccountHash) -> u64 {
-        self.books.get(&account).map_or(0, Book::outstanding)
+        self.accounts
+            .get(&account)
+            .map_or(0, OwnedAccount::outstanding)
     }
 
-    fn usage(
+    fn handle_usage(
         &mut self,
         from: &DaemonId,
         usage: &Usage,
         now: Millis,
         limits_of: impl Fn(AccountHash) -> Option<Limits>,
     ) -> Vec<AllocatorAction> {
-        let known = self.peers.get(from).copied().unwrap_or_default();
-        if usage.number <= known.answers {
-            // The entry or the link to it has started anew, and it reports all it holds.
-            self.forget(from);
+        let last = self.peers.get(from).copied().unwrap_or_default();
+        if usage.number <= last.answers {
+            // The entry has restarted or reconnected, and reports all that it holds.
+            self.remove_daemon(from);
         }
         self.peers.entry(from.clone()).or_default().answers = usage.number;
-        let learning = self.learning;
-        let mut rows: BTreeMap<DaemonId, Vec<Row>> = BTreeMap::new();
+        let learning_until = self.learning_until;
+        let mut rows: BTreeMap<DaemonId, Vec<GrantRow>> = BTreeMap::new();
         for (index, account) in usage.accounts.iter().enumerate() {
             let account = AccountHash(*account);
             let Some(limits) = limits_of(account) else {
                 continue;
             };
-            let book = self
-                .books
+            let state = self
+                .accounts
                 .entry(account)
-                .or_insert_with(|| Book::new(limits, learning, now));
-            book.set_limits(limits, self.live, now);
+                .or_insert_with(|| OwnedAccount::new(limits, learning_until, now));
+            state.set_limits(limits, self.live, now);
             let report = Report {
-                seen: usage.seen,
+                seen_grant: usage.seen,
                 share: cell(&usage.shares, index),
-                flights: cell(&usage.flights, index),
-                need: cell(&usage.needs, index),
-                rate: cell(&usage.rates, index),
+                in_flight: cell(&usage.flights, index),
+                held_requests: cell(&usage.needs, index),
+                offered_rate: cell(&usage.rates, index),
                 samples: cell(&usage.samples, index),
             };
-            for (entry, row) in book.answer(account, from, report, now) {
+            for (entry, row) in state.handle_report(account, from, report, now) {
                 rows.entry(entry).or_default().push(row);
             }
-            if book.is_empty() {
-                self.books.remove(&account);
+            if state.is_empty() {
+                self.accounts.remove(&account);
             }
         }
         rows.into_iter()
-            .map(|(to, rows)| self.grant(to, &rows, now))
+            .map(|(to, rows)| self.build_grant(to, &rows, now))
             .collect()
     }
 
-    fn grant(&mut self, to: DaemonId, rows: &[Row], now: Millis) -> AllocatorAction {
+    fn build_grant(&mut self, to: DaemonId, rows: &[GrantRow], now: Millis) -> AllocatorAction {
         let peer = self.peers.entry(to.clone()).or_default();
         peer.number += 1;
         for row in rows {
-            if let Some(book) = self.books.get_mut(&row.account) {
-                book.note_sent(&to, peer.number, row, now);
+            if let Some(state) = self.accounts.get_mut(&row.account) {
+                state.record_grant(&to, peer.number, row, now);
             }
         }
         let grant = Grant {
             number: peer.number,
             answers: peer.answers,
-            expiry: u32::try_from(EXPIRY.0).unwrap_or(u32::MAX),
+            expiry: u32::try_from(GRANT_EXPIRY.0).unwrap_or(u32::MAX),
             accounts: rows.iter().map(|row| row.account.0).collect(),
             shares: column(rows.iter().map(|row| row.share)),
             rates: column(rows.iter().map(|row| row.rate)),
             tokens: column(rows.iter().map(|row| row.tokens)),
-            dry: column(rows.iter().map(|row| row.dry)),
-            watch: watched(rows),
+            dry: column(rows.iter().map(|row| row.backoff)),
+            watch: watch_column(rows),
         };
         AllocatorAction { to, grant }
     }
 
-    fn forget(&mut self, daemon: &DaemonId) {
+    fn remove_daemon(&mut self, daemon: &DaemonId) {
         self.peers.remove(daemon);
-        for book in self.books.values_mut() {
-            book.remove(daemon);
+        for state in self.accounts.values_mut() {
+            state.remove(daemon);
         }
-        self.books.retain(|_, book| !book.is_empty());
+        self.accounts.retain(|_, state| !state.is_empty());
     }
 
     fn expire(&mut self, now: Millis) {
-        for book in self.books.values_mut() {
-            book.expire(now);
+        for state in self.accounts.values_mut() {
+            state.expire(now);
         }
-        self.books.retain(|_, book| !book.is_empty());
+        self.accounts.retain(|_, state| !state.is_empty());
     }
 }
 
-/// The column that says how closely each account is watched, left out if all are as usual.
-fn watched(rows: &[Row]) -> Vec<i32> {
+/// How closely each account is watched, as a column; left out if all are `Usual`.
+fn watch_column(rows: &[GrantRow]) -> Vec<i32> {
     if rows.iter().all(|row| row.watch == Watch::Usual) {
         return Vec::new();
     }
