--- a/crates/core/src/limits/entry_account.rs
+++ b/crates/core/src/limits/entry_account.rs
@@ -26,7 +26,7 @@
 const MIN_RATE_CHANGE: u32 = 100;
 /// Share from which the end of a request waits for the regular report, even if other entries wait for shares.
 const SMALL_SHARE: u32 = 8;
-/// In a large fleet, one of so many requests that are admitted without asking is reported, at random.
+/// In a large fleet, a random one in this many of the requests admitted without asking is reported.
 const SAMPLE_RATIO: u32 = 8;
 /// Time constant of the offered rate.
 const RATE_TIME_CONSTANT: Millis = Millis::from_secs(5);
--- a/crates/core/src/limits/owned_account.rs
+++ b/crates/core/src/limits/owned_account.rs
@@ -25,7 +25,7 @@
 const BURST_MIN: f64 = 2.0;
 /// Seconds of its offered rate for which an entry that asks gets tokens in advance.
 const ADVANCE_SECS: f64 = 2.0;
-/// At most one of so many available tokens is given in advance at once.
+/// Divisor of the available tokens: the quotient is the most that is given in advance at once.
 const ADVANCE_DIVISOR: f64 = 16.0;
 /// Rate granted beyond the offered rate while utilisation is low, in hundredths of a request a second.
 const LOW_USE_RATE: f64 = 100.0;
