--- a/crates/daemon/src/home/gossip.rs
+++ b/crates/daemon/src/home/gossip.rs
@@ -56,7 +56,7 @@
         self.told = now;
         let pools = self.loads.pools.iter().map(|(id, pool)| {
             let sum = pool.own_sum(now);
-            let least = pool.own_least(LEAST, now);
+            let least = pool.own_least_loaded(LEAST, now);
             let least: Vec<EndpointLoad> = least.iter().map(brief).collect();
             PoolLoad::new(name_hash(id.as_str()), sum.load.0, sum.endpoints, &least)
         });
@@ -76,7 +76,7 @@
                 endpoints: heard.endpoints,
                 as_of: at,
             };
-            pool.hear_sum(from, sum);
+            pool.update_sum(from, sum);
             for load in heard.least() {
                 let Some(endpoint) = self.names.endpoints.get(&load.endpoint) else {
                     continue;
@@ -87,7 +87,7 @@
                     room: load.room,
                     as_of: at,
                 };
-                pool.hear_load(&load, at);
+                pool.update_load(&load, at);
             }
         }
     }
--- a/crates/lab/src/policy/fleet/request.rs
+++ b/crates/lab/src/policy/fleet/request.rs
@@ -4,8 +4,8 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChatHash, EndpointId};
 use medlarrill_core::placement::{
-    HOP_LIMIT, Place, PlaceAsk, Placement, estimated_work, may_pass, place, prompt_work,
-    worth_waiting,
+    HOP_LIMIT, Place, Placement, PlacementRequest, can_forward, estimated_work, place, prompt_work,
+    should_wait,
 };
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::Tokens;
@@ -90,7 +90,7 @@
         };
         job.cached = chosen.cached.0;
         job.directory = number;
-        plant.measure.placed(job, daemon::name_of(chosen.why));
+        plant.measure.placed(job, daemon::name_of(chosen.reason));
         let uncached = Tokens(u64::from(job.request.prompt) - chosen.cached.0);
         let work = estimated_work(uncached, Tokens(plant.size.output as u64));
         let (chat, prefix) = (job.request.chat, u64::from(job.request.prompt));
@@ -143,9 +143,9 @@
         let tried = tried(plant, job);
         let pool = &self.daemons[number].pool;
         let here = &plant.names.endpoints[endpoint];
-        let other = may_pass(pool, &ask(job, &[], &tried), here, Millis(now));
+        let other = can_forward(pool, &ask(job, &[], &tried), here, Millis(now));
         let behind = self.daemons[number].behind(endpoint, now);
-        let stays = worth_waiting(behind, Tokens(job.cached));
+        let stays = should_wait(behind, Tokens(job.cached));
         let ready = self.daemons[number].takes(endpoint, plant, now);
         let passable = (other || !ready) && job.tried.len() < MAX_TRIED;
         let offer = Offer {
@@ -271,8 +271,8 @@
     job.tried.iter().map(|n| names[*n].clone()).collect()
 }
 
-fn ask<'a>(job: &Job, places: &'a [Place], tried: &'a [EndpointId]) -> PlaceAsk<'a> {
-    PlaceAsk {
+fn ask<'a>(job: &Job, places: &'a [Place], tried: &'a [EndpointId]) -> PlacementRequest<'a> {
+    PlacementRequest {
         chat: Some(ChatHash(job.request.chat)),
         places,
         prompt: Tokens(job.request.prompt.into()),
