--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -12,7 +12,7 @@
 pub mod answer;
 pub mod attempt;
 pub mod backoff;
-pub mod birth;
+pub mod instance;
 pub mod budget;
 pub mod choose;
 pub mod config;
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -23,7 +23,7 @@
 use crate::ids::{DataCentreId, PoolId};
 use crate::routing::ablation::{Mechanism, is_on};
 use crate::routing::attempt::Fault;
-use crate::routing::birth::Births;
+use crate::routing::instance::Births;
 use crate::routing::budget::{self, Budget};
 use crate::routing::choose::{Candidate, Choice, choose, is_worth_fetching};
 use crate::routing::directory::Directory;
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -5,7 +5,7 @@
 use super::View;
 use crate::clock::Millis;
 use crate::ids::EndpointId;
-use crate::routing::birth::Entry;
+use crate::routing::instance::Entry;
 use crate::routing::endpoint::{Endpoint, InstanceId};
 
 /// What an endpoint's entry changed.
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -2,7 +2,7 @@
 
 mod routing {
     mod backoff;
-    mod birth;
+    mod instance;
     mod bound;
     mod budget;
     mod centres;
--- a/crates/core/tests/routing/birth.rs
+++ b/crates/core/tests/routing/instance.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::birth::{Births, Entry};
+use medlarrill_core::routing::instance::{Births, Entry};
 use medlarrill_core::routing::exchange::short_id;
 
 use super::support::{born, id};
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::birth::Entry;
+use medlarrill_core::routing::instance::Entry;
 use medlarrill_core::routing::choose::Choice;
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/effect.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use medlarrill_core::ids::EndpointId;
-use medlarrill_core::routing::birth::Entry;
+use medlarrill_core::routing::instance::Entry;
 use medlarrill_core::routing::config::Configuration;
 use medlarrill_core::routing::endpoint::{Endpoint, Listing};
 use medlarrill_core::routing::mirror::{Change, Object};
