--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -23,7 +23,7 @@
 pub mod fingerprint;
 pub mod fleet;
 pub mod health;
-pub mod holders;
+pub mod prefix_index;
 pub mod load;
 pub mod mirror;
 pub mod notices;
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -31,7 +31,7 @@
 use crate::routing::exchange;
 use crate::routing::fleet::Fleet;
 use crate::routing::health::{Health, Look, PoolFailures};
-use crate::routing::holders::Holders;
+use crate::routing::prefix_index::Holders;
 use crate::routing::load::{Loads, Report};
 use crate::routing::notices::Notices;
 use crate::routing::overload::{self, Paces, Valve};
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -17,7 +17,7 @@
     mod fingerprint;
     mod fleet;
     mod health;
-    mod holders;
+    mod prefix_index;
     mod keeper;
     mod load;
     mod mirror;
--- a/crates/core/tests/routing/holders.rs
+++ b/crates/core/tests/routing/prefix_index.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::holders::Holders;
+use medlarrill_core::routing::prefix_index::Holders;
 
 #[gtest]
 fn an_endpoint_is_known_to_have_a_prefix_for_a_while() {
