--- a/crates/core/src/routing/instance.rs
+++ b/crates/core/src/routing/instance.rs
@@ -33,13 +33,13 @@
 /// The instances that were heard of last.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Births {
+pub struct InstanceTracker {
     /// Whether any endpoint told when it started.
     told: bool,
     last: HashMap<EndpointId, (Born, Millis)>,
 }
 
-impl Births {
+impl InstanceTracker {
     /// Judges an entry.
     pub fn judge(&mut self, id: &InstanceId, now: Millis) -> Entry {
         let Some(born) = id.born else {
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -23,7 +23,7 @@
 use crate::ids::{DataCentreId, PoolId};
 use crate::routing::ablation::{Mechanism, is_on};
 use crate::routing::attempt::Fault;
-use crate::routing::instance::Births;
+use crate::routing::instance::InstanceTracker;
 use crate::routing::budget::{self, Budget};
 use crate::routing::choose::{Candidate, Choice, choose, is_worth_fetching};
 use crate::routing::directory::Directory;
@@ -53,7 +53,7 @@
 pub struct View {
     near: DataCentreId,
     directory: Directory,
-    births: Births,
+    births: InstanceTracker,
     loads: Loads,
     health: Health,
     /// Endpoints that are avoided, as last logged.
@@ -129,7 +129,7 @@
         Self {
             near,
             directory: Directory::default(),
-            births: Births::default(),
+            births: InstanceTracker::default(),
             loads: Loads::default(),
             health: Health::default(),
             avoided: HashSet::new(),
--- a/crates/core/tests/routing/instance.rs
+++ b/crates/core/tests/routing/instance.rs
@@ -1,13 +1,13 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::instance::{Births, Entry};
+use medlarrill_core::routing::instance::{InstanceTracker, Entry};
 use medlarrill_core::routing::exchange::short_id;
 
 use super::support::{born, id};
 
 #[gtest]
 fn an_earlier_start_is_a_late_write_until_the_later_one_has_fallen_silent() {
-    let mut births = Births::default();
+    let mut births = InstanceTracker::default();
     expect_that!(births.judge(&born("a", 500), Millis(0)), eq(Entry::Current));
     expect_that!(
         births.judge(&born("a", 900), Millis(100)),
@@ -31,7 +31,7 @@
 
 #[gtest]
 fn where_endpoints_say_when_they_started_an_entry_that_does_not_is_foreign() {
-    let mut births = Births::default();
+    let mut births = InstanceTracker::default();
     expect_that!(births.judge(&id("a"), Millis(0)), eq(Entry::Current));
     expect_that!(births.is_told(), eq(false));
     expect_that!(births.judge(&born("b", 500), Millis(0)), eq(Entry::Current));
