--- a/crates/core/src/routing/instance.rs
+++ b/crates/core/src/routing/instance.rs
@@ -21,7 +21,7 @@
 /// What an entry stands for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-pub enum Entry {
+pub enum EntryKind {
     /// The endpoint as it is now.
     Current,
     /// An instance that is gone.
@@ -41,20 +41,20 @@
 
 impl InstanceTracker {
     /// Judges an entry.
-    pub fn judge(&mut self, id: &InstanceId, now: Millis) -> Entry {
+    pub fn judge(&mut self, id: &InstanceId, now: Millis) -> EntryKind {
         let Some(born) = id.born else {
             return match self.told {
-                true => Entry::Foreign,
-                false => Entry::Current,
+                true => EntryKind::Foreign,
+                false => EntryKind::Current,
             };
         };
         self.told = true;
         match self.last.get_mut(&id.endpoint) {
-            Some((last, at)) if born < *last && now.since(*at) < LATE => return Entry::Late,
+            Some((last, at)) if born < *last && now.since(*at) < LATE => return EntryKind::Late,
             Some(known) => *known = (born, now),
             None => self.join(id.endpoint.clone(), born, now),
         }
-        Entry::Current
+        EntryKind::Current
     }
 
     /// Whether endpoints tell when they started.
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -5,7 +5,7 @@
 use super::View;
 use crate::clock::Millis;
 use crate::ids::EndpointId;
-use crate::routing::instance::Entry;
+use crate::routing::instance::EntryKind;
 use crate::routing::endpoint::{Endpoint, InstanceId};
 
 /// What an endpoint's entry changed.
@@ -19,7 +19,7 @@
     /// The endpoint started again: this instance is gone.
     Restarted(InstanceId),
     /// It was of no use.
-    Ignored(Entry),
+    Ignored(EntryKind),
 }
 
 impl View {
@@ -31,9 +31,9 @@
             self.remove_unborn();
         }
         match entry {
-            Entry::Current => {}
-            Entry::Late => return Listed::Ignored(entry),
-            Entry::Foreign => {
+            EntryKind::Current => {}
+            EntryKind::Late => return Listed::Ignored(entry),
+            EntryKind::Foreign => {
                 self.remove(&endpoint.id.endpoint);
                 return Listed::Ignored(entry);
             }
--- a/crates/core/tests/routing/instance.rs
+++ b/crates/core/tests/routing/instance.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::instance::{InstanceTracker, Entry};
+use medlarrill_core::routing::instance::{InstanceTracker, EntryKind};
 use medlarrill_core::routing::exchange::short_id;
 
 use super::support::{born, id};
@@ -8,35 +8,35 @@
 #[gtest]
 fn an_earlier_start_is_a_late_write_until_the_later_one_has_fallen_silent() {
     let mut births = InstanceTracker::default();
-    expect_that!(births.judge(&born("a", 500), Millis(0)), eq(Entry::Current));
+    expect_that!(births.judge(&born("a", 500), Millis(0)), eq(EntryKind::Current));
     expect_that!(
         births.judge(&born("a", 900), Millis(100)),
-        eq(Entry::Current)
+        eq(EntryKind::Current)
     );
-    expect_that!(births.judge(&born("a", 500), Millis(6000)), eq(Entry::Late));
+    expect_that!(births.judge(&born("a", 500), Millis(6000)), eq(EntryKind::Late));
     expect_that!(
         births.judge(&born("a", 900), Millis(7000)),
-        eq(Entry::Current)
+        eq(EntryKind::Current)
     );
     expect_that!(
         births.judge(&born("a", 500), Millis(14_999)),
-        eq(Entry::Late)
+        eq(EntryKind::Late)
     );
     // Nobody spoke for the later start: the endpoint's clock was set back.
     expect_that!(
         births.judge(&born("a", 500), Millis(15_000)),
-        eq(Entry::Current)
+        eq(EntryKind::Current)
     );
 }
 
 #[gtest]
 fn where_endpoints_say_when_they_started_an_entry_that_does_not_is_foreign() {
     let mut births = InstanceTracker::default();
-    expect_that!(births.judge(&id("a"), Millis(0)), eq(Entry::Current));
+    expect_that!(births.judge(&id("a"), Millis(0)), eq(EntryKind::Current));
     expect_that!(births.is_told(), eq(false));
-    expect_that!(births.judge(&born("b", 500), Millis(0)), eq(Entry::Current));
+    expect_that!(births.judge(&born("b", 500), Millis(0)), eq(EntryKind::Current));
     expect_that!(births.is_told(), eq(true));
-    expect_that!(births.judge(&id("a"), Millis(1)), eq(Entry::Foreign));
+    expect_that!(births.judge(&id("a"), Millis(1)), eq(EntryKind::Foreign));
 }
 
 #[gtest]
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::instance::Entry;
+use medlarrill_core::routing::instance::EntryKind;
 use medlarrill_core::routing::choose::Choice;
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
@@ -136,7 +136,7 @@
     expect_that!(view.endpoints(), eq(1));
     expect_that!(
         view.list(endpoint("a"), Millis(20)),
-        eq(&Listed::Ignored(Entry::Foreign))
+        eq(&Listed::Ignored(EntryKind::Foreign))
     );
     view.list(instance(born("a", 700)), Millis(30));
     expect_that!(view.endpoints(), eq(2));
@@ -147,7 +147,7 @@
     let mut view = settled();
     view.list(instance(born("a", 900)), START);
     let late = view.list(instance(born("a", 500)), START + Millis(3000));
-    expect_that!(late, eq(&Listed::Ignored(Entry::Late)));
+    expect_that!(late, eq(&Listed::Ignored(EntryKind::Late)));
     let again = view.list(instance(born("a", 900)), START + Millis(3500));
     expect_that!(again, eq(&Listed::Same));
 }
--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/effect.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use medlarrill_core::ids::EndpointId;
-use medlarrill_core::routing::instance::Entry;
+use medlarrill_core::routing::instance::EntryKind;
 use medlarrill_core::routing::config::Configuration;
 use medlarrill_core::routing::endpoint::{Endpoint, Listing};
 use medlarrill_core::routing::mirror::{Change, Object};
@@ -184,7 +184,7 @@
         if !matches!(listed, Listed::Ignored(_)) {
             self.placement.spare(&endpoint.id, warming, now());
         }
-        if listed == Listed::Ignored(Entry::Foreign) {
+        if listed == Listed::Ignored(EntryKind::Foreign) {
             let error = objects::birth_missing();
             self.unreadable
                 .report(Kind::Endpoints, &object.name, &error);
@@ -215,7 +215,7 @@
     let (id, pool) = (&endpoint.id, endpoint.pool.as_str());
     let (address, leaving) = (endpoint.address, endpoint.leaving);
     match listed {
-        Listed::Same | Listed::Ignored(Entry::Foreign) => {}
+        Listed::Same | Listed::Ignored(EntryKind::Foreign) => {}
         Listed::Changed => log::info!(
             target: "store", endpoint:% = id, pool, address:%, leaving, revision;
             "store: endpoint listed"
