--- a/crates/core/src/routing/instance.rs
+++ b/crates/core/src/routing/instance.rs
@@ -41,7 +41,7 @@
 
 impl InstanceTracker {
     /// Judges an entry.
-    pub fn judge(&mut self, id: &InstanceId, now: Millis) -> EntryKind {
+    pub fn classify(&mut self, id: &InstanceId, now: Millis) -> EntryKind {
         let Some(born) = id.born else {
             return match self.told {
                 true => EntryKind::Foreign,
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -26,7 +26,7 @@
     /// Takes an endpoint's entry; says what it changed.
     pub fn list(&mut self, endpoint: Endpoint, now: Millis) -> Listed {
         let was_told = self.births.is_told();
-        let entry = self.births.judge(&endpoint.id, now);
+        let entry = self.births.classify(&endpoint.id, now);
         if self.births.is_told() && !was_told {
             self.remove_unborn();
         }
--- a/crates/core/tests/routing/instance.rs
+++ b/crates/core/tests/routing/instance.rs
@@ -8,23 +8,23 @@
 #[gtest]
 fn an_earlier_start_is_a_late_write_until_the_later_one_has_fallen_silent() {
     let mut births = InstanceTracker::default();
-    expect_that!(births.judge(&born("a", 500), Millis(0)), eq(EntryKind::Current));
+    expect_that!(births.classify(&born("a", 500), Millis(0)), eq(EntryKind::Current));
     expect_that!(
-        births.judge(&born("a", 900), Millis(100)),
+        births.classify(&born("a", 900), Millis(100)),
         eq(EntryKind::Current)
     );
-    expect_that!(births.judge(&born("a", 500), Millis(6000)), eq(EntryKind::Late));
+    expect_that!(births.classify(&born("a", 500), Millis(6000)), eq(EntryKind::Late));
     expect_that!(
-        births.judge(&born("a", 900), Millis(7000)),
+        births.classify(&born("a", 900), Millis(7000)),
         eq(EntryKind::Current)
     );
     expect_that!(
-        births.judge(&born("a", 500), Millis(14_999)),
+        births.classify(&born("a", 500), Millis(14_999)),
         eq(EntryKind::Late)
     );
     // Nobody spoke for the later start: the endpoint's clock was set back.
     expect_that!(
-        births.judge(&born("a", 500), Millis(15_000)),
+        births.classify(&born("a", 500), Millis(15_000)),
         eq(EntryKind::Current)
     );
 }
@@ -32,11 +32,11 @@
 #[gtest]
 fn where_endpoints_say_when_they_started_an_entry_that_does_not_is_foreign() {
     let mut births = InstanceTracker::default();
-    expect_that!(births.judge(&id("a"), Millis(0)), eq(EntryKind::Current));
+    expect_that!(births.classify(&id("a"), Millis(0)), eq(EntryKind::Current));
     expect_that!(births.is_told(), eq(false));
-    expect_that!(births.judge(&born("b", 500), Millis(0)), eq(EntryKind::Current));
+    expect_that!(births.classify(&born("b", 500), Millis(0)), eq(EntryKind::Current));
     expect_that!(births.is_told(), eq(true));
-    expect_that!(births.judge(&id("a"), Millis(1)), eq(EntryKind::Foreign));
+    expect_that!(births.classify(&id("a"), Millis(1)), eq(EntryKind::Foreign));
 }
 
 #[gtest]
