--- a/crates/core/src/routing/instance.rs
+++ b/crates/core/src/routing/instance.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether endpoints tell when they started.
-    pub const fn is_told(&self) -> bool {
+    pub const fn has_start_times(&self) -> bool {
         self.told
     }
 
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -25,9 +25,9 @@
 impl View {
     /// Takes an endpoint's entry; says what it changed.
     pub fn list(&mut self, endpoint: Endpoint, now: Millis) -> Listed {
-        let was_told = self.births.is_told();
+        let was_told = self.births.has_start_times();
         let entry = self.births.classify(&endpoint.id, now);
-        if self.births.is_told() && !was_told {
+        if self.births.has_start_times() && !was_told {
             self.remove_unborn();
         }
         match entry {
--- a/crates/core/tests/routing/instance.rs
+++ b/crates/core/tests/routing/instance.rs
@@ -33,9 +33,9 @@
 fn where_endpoints_say_when_they_started_an_entry_that_does_not_is_foreign() {
     let mut births = InstanceTracker::default();
     expect_that!(births.classify(&id("a"), Millis(0)), eq(EntryKind::Current));
-    expect_that!(births.is_told(), eq(false));
+    expect_that!(births.has_start_times(), eq(false));
     expect_that!(births.classify(&born("b", 500), Millis(0)), eq(EntryKind::Current));
-    expect_that!(births.is_told(), eq(true));
+    expect_that!(births.has_start_times(), eq(true));
     expect_that!(births.classify(&id("a"), Millis(1)), eq(EntryKind::Foreign));
 }
 
