--- a/crates/core/src/routing/endpoint.rs
+++ b/crates/core/src/routing/endpoint.rs
@@ -11,7 +11,7 @@
 /// When an endpoint's process started: milliseconds since the Unix epoch, by its own clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[derive(Debug, Display, FromStr)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
 /// One start of an endpoint's process. An endpoint that starts again under its id has lost its
 /// cache, its queue and its connections; nothing that is known of one instance counts for another.
@@ -23,12 +23,12 @@
     /// The id in the platform's list.
     pub endpoint: EndpointId,
     /// When it started; none where the endpoint doesn't say.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
 }
 
 impl InstanceId {
     /// An instance of an endpoint.
-    pub const fn new(endpoint: EndpointId, born: Option<Born>) -> Self {
+    pub const fn new(endpoint: EndpointId, born: Option<StartTime>) -> Self {
         Self { endpoint, born }
     }
 }
--- a/crates/core/src/routing/instance.rs
+++ b/crates/core/src/routing/instance.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::Millis;
 use crate::ids::EndpointId;
-use crate::routing::endpoint::{Born, InstanceId};
+use crate::routing::endpoint::{StartTime, InstanceId};
 
 /// Time after the last word of an instance in which an entry of an earlier start is taken for a
 /// late write. Writes were seen to take effect up to 6 s late; endpoints write about each second,
@@ -36,7 +36,7 @@
 pub struct InstanceTracker {
     /// Whether any endpoint told when it started.
     told: bool,
-    last: HashMap<EndpointId, (Born, Millis)>,
+    last: HashMap<EndpointId, (StartTime, Millis)>,
 }
 
 impl InstanceTracker {
@@ -63,7 +63,7 @@
     }
 
     /// Notes an endpoint that wasn't known, and forgets those that were silent for long.
-    fn join(&mut self, endpoint: EndpointId, born: Born, now: Millis) {
+    fn join(&mut self, endpoint: EndpointId, born: StartTime, now: Millis) {
         self.last.retain(|_, (_, at)| now.since(*at) < LATE);
         self.last.insert(endpoint, (born, now));
     }
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::routing::budget;
 use medlarrill_core::routing::choose::Candidate;
 use medlarrill_core::routing::config::{Priority, Repeat, Route, Share};
-use medlarrill_core::routing::endpoint::{Born, Endpoint, InstanceId};
+use medlarrill_core::routing::endpoint::{StartTime, Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{Entry, Heard, Others, Report};
 use medlarrill_core::routing::fleet::Fleet;
 use medlarrill_core::routing::health::Standing;
@@ -26,7 +26,7 @@
 
 /// An endpoint that started at a time.
 pub fn born(name: &str, at: u64) -> InstanceId {
-    InstanceId::new(name.parse().expect("a name"), Some(Born(at)))
+    InstanceId::new(name.parse().expect("a name"), Some(StartTime(at)))
 }
 
 pub fn pool() -> PoolId {
