--- a/crates/core/src/routing/endpoint.rs
+++ b/crates/core/src/routing/endpoint.rs
@@ -18,18 +18,18 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 #[debug("{self}")]
-#[display("{endpoint}{}", born.map_or_else(String::new, |born| format!("@{born}")))]
+#[display("{endpoint}{}", started.map_or_else(String::new, |born| format!("@{born}")))]
 pub struct InstanceId {
     /// The id in the platform's list.
     pub endpoint: EndpointId,
     /// When it started; none where the endpoint doesn't say.
-    pub born: Option<StartTime>,
+    pub started: Option<StartTime>,
 }
 
 impl InstanceId {
     /// An instance of an endpoint.
-    pub const fn new(endpoint: EndpointId, born: Option<StartTime>) -> Self {
-        Self { endpoint, born }
+    pub const fn new(endpoint: EndpointId, started: Option<StartTime>) -> Self {
+        Self { endpoint, started }
     }
 }
 
--- a/crates/core/src/routing/exchange/short.rs
+++ b/crates/core/src/routing/exchange/short.rs
@@ -12,7 +12,7 @@
 /// Short form of an endpoint's instance in messages: what is told of one instance doesn't count
 /// for the next one.
 pub fn short_id(id: &InstanceId) -> u32 {
-    let born = id.born.map_or(0, |born| born.0);
+    let born = id.started.map_or(0, |born| born.0);
     // The upper half of a 64-bit hash; among 4,500 endpoints two share one with odds of 1 in 400.
     short_key(xxh3_64_with_seed(id.endpoint.as_str().as_bytes(), born))
 }
--- a/crates/core/src/routing/instance.rs
+++ b/crates/core/src/routing/instance.rs
@@ -42,7 +42,7 @@
 impl InstanceTracker {
     /// Judges an entry.
     pub fn classify(&mut self, id: &InstanceId, now: Millis) -> EntryKind {
-        let Some(born) = id.born else {
+        let Some(born) = id.started else {
             return match self.told {
                 true => EntryKind::Foreign,
                 false => EntryKind::Current,
--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -69,7 +69,7 @@
         return true;
     }
     let had_begun = |born: u64| born <= handed.0;
-    match (asked.born, listed.born) {
+    match (asked.started, listed.started) {
         (Some(before), Some(born)) => born > before && had_begun(born.0),
         (None, Some(born)) => had_begun(born.0),
         (_, None) => false,
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -67,7 +67,7 @@
 
     /// Drops entries that don't say when their endpoint started, now that endpoints do.
     fn remove_unborn(&mut self) {
-        let unborn = self.directory.all().filter(|known| known.id.born.is_none());
+        let unborn = self.directory.all().filter(|known| known.id.started.is_none());
         let names: Vec<EndpointId> = unborn.map(|known| known.id.endpoint.clone()).collect();
         for name in names {
             self.remove(&name);
