--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -9,7 +9,7 @@
 use medlarrill_core::routing::budget;
 use medlarrill_core::routing::config::{Priority, Repeat, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::load::Report;
+use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::view::View;
@@ -50,7 +50,7 @@
         };
         view.list(endpoint, Millis(0));
         if is_busy {
-            let report = Report {
+            let report = LoadReport {
                 running: (number % 7) as u32,
                 waiting: 0,
                 slots: 64,
--- a/crates/core/src/routing/answer.rs
+++ b/crates/core/src/routing/answer.rs
@@ -5,7 +5,7 @@
 use crate::clock::Millis;
 use crate::ids::EndpointId;
 use crate::routing::attempt::Fault;
-use crate::routing::load::Report;
+use crate::routing::load::LoadReport;
 use crate::routing::notices::Notice;
 
 /// The endpoint isn't the one that the request was meant for.
@@ -30,7 +30,7 @@
     /// Whether it bears the endpoint's signature.
     pub signed: bool,
     /// The endpoint's work.
-    pub load: Option<Report>,
+    pub load: Option<LoadReport>,
     /// For how long it still has to be spared, if it says so.
     pub warming: Option<Millis>,
     /// Whether the endpoint says that it will stop.
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -32,7 +32,7 @@
 /// What an endpoint tells of its work.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -128,7 +128,7 @@
     }
 
     /// Takes what an endpoint tells.
-    pub fn report(&mut self, id: &InstanceId, report: Report, now: Millis) {
+    pub fn report(&mut self, id: &InstanceId, report: LoadReport, now: Millis) {
         let work = self.work.entry(id.clone()).or_default();
         let total = report.running + report.waiting;
         work.others = total.saturating_sub(work.own);
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -32,7 +32,7 @@
 use crate::routing::fleet::Fleet;
 use crate::routing::health::{Health, Look, PoolFailures};
 use crate::routing::prefix_index::Holders;
-use crate::routing::load::{Loads, Report};
+use crate::routing::load::{Loads, LoadReport};
 use crate::routing::notices::Notices;
 use crate::routing::overload::{self, Paces, Valve};
 use crate::routing::plan::Plan;
@@ -248,7 +248,7 @@
     }
 
     /// Takes what an endpoint tells of its work.
-    pub fn report(&mut self, id: &InstanceId, report: Report, now: Millis) {
+    pub fn report(&mut self, id: &InstanceId, report: LoadReport, now: Millis) {
         if self.directory.is_listed(id) {
             self.loads.report(id, report, now);
         }
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -5,7 +5,7 @@
 use medlarrill_core::ids::DataCentreId;
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::Endpoint;
-use medlarrill_core::routing::load::Report;
+use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::slow_start::SlowStart;
 use medlarrill_core::routing::view::View;
@@ -91,7 +91,7 @@
 #[gtest]
 fn what_is_left_is_weighed_against_the_work_at_hand() {
     let mut view = settled();
-    let report = Report {
+    let report = LoadReport {
         running: 8,
         waiting: 4,
         slots: 8,
--- a/crates/core/tests/routing/load.rs
+++ b/crates/core/tests/routing/load.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::load::{Loads, Report};
+use medlarrill_core::routing::load::{Loads, LoadReport};
 
 use super::support::id;
 
@@ -9,7 +9,7 @@
     let mut loads = Loads::default();
     loads.begin(&id("a"));
     loads.begin(&id("a"));
-    let report = Report {
+    let report = LoadReport {
         running: 8,
         waiting: 2,
         slots: 64,
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -8,7 +8,7 @@
 use medlarrill_core::routing::config::Repeat;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{Heard, Others, short_id};
-use medlarrill_core::routing::load::Report;
+use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::view::{Listed, View};
 
@@ -34,8 +34,8 @@
 }
 
 /// What an endpoint tells whose slots are taken, while so many requests wait.
-const fn busy(waiting: u32) -> Report {
-    Report {
+const fn busy(waiting: u32) -> LoadReport {
+    LoadReport {
         running: 8,
         waiting,
         slots: 8,
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -13,7 +13,7 @@
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::exchange;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::load::Report;
+use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::notices::Notice;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::quarantine::{Change, Evidence, Keeper, Kept, Snapshot, Step};
@@ -123,7 +123,7 @@
     }
 
     /// Takes what an endpoint tells of its work.
-    pub fn report(&self, id: &InstanceId, report: Report, now: Millis) {
+    pub fn report(&self, id: &InstanceId, report: LoadReport, now: Millis) {
         self.lock().report(id, report, now);
     }
 
