--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -104,11 +104,11 @@
 /// The work of all endpoints.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Loads {
+pub struct LoadTracker {
     work: HashMap<InstanceId, Work, RandomState>,
 }
 
-impl Loads {
+impl LoadTracker {
     /// Counts a request that is sent.
     pub fn begin(&mut self, id: &InstanceId) {
         let work = self.work.entry(id.clone()).or_default();
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -32,7 +32,7 @@
 use crate::routing::fleet::Fleet;
 use crate::routing::health::{Health, Look, PoolFailures};
 use crate::routing::prefix_index::Holders;
-use crate::routing::load::{Loads, LoadReport};
+use crate::routing::load::{LoadTracker, LoadReport};
 use crate::routing::notices::Notices;
 use crate::routing::overload::{self, Paces, Valve};
 use crate::routing::plan::Plan;
@@ -54,7 +54,7 @@
     near: DataCentreId,
     directory: Directory,
     births: InstanceTracker,
-    loads: Loads,
+    loads: LoadTracker,
     health: Health,
     /// Endpoints that are avoided, as last logged.
     avoided: HashSet<InstanceId>,
@@ -130,7 +130,7 @@
             near,
             directory: Directory::default(),
             births: InstanceTracker::default(),
-            loads: Loads::default(),
+            loads: LoadTracker::default(),
             health: Health::default(),
             avoided: HashSet::new(),
             daemons: 1,
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -15,7 +15,7 @@
     self, Entry, Exchange, Heard, Report, Sent, short_id, short_key,
 };
 use medlarrill_core::routing::health::Standing;
-use medlarrill_core::routing::load::Loads;
+use medlarrill_core::routing::load::LoadTracker;
 use medlarrill_core::routing::slow_start::Allowance;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -38,7 +38,7 @@
 const OWN_TICK: u64 = exchange::TICK.0;
 
 struct Fleet {
-    daemons: Vec<(Exchange, Loads)>,
+    daemons: Vec<(Exchange, LoadTracker)>,
     endpoints: Vec<Arc<Endpoint>>,
     at_endpoint: HashMap<String, f64>,
     rng: Pcg32,
@@ -59,7 +59,7 @@
         let daemon = |number| {
             (
                 Exchange::new(address(number), seeds.clone()),
-                Loads::default(),
+                LoadTracker::default(),
             )
         };
         let endpoint = |number| Arc::new(endpoint(&format!("e{number}")));
@@ -201,7 +201,7 @@
     }
 }
 
-fn take(loads: &mut Loads, endpoints: &[Arc<Endpoint>], heard: &Heard, now: Millis) {
+fn take(loads: &mut LoadTracker, endpoints: &[Arc<Endpoint>], heard: &Heard, now: Millis) {
     for endpoint in endpoints {
         let others = heard.endpoints.get(&short_id(&endpoint.id));
         let in_flight = others.map_or(0, |others| others.in_flight);
--- a/crates/core/tests/routing/load.rs
+++ b/crates/core/tests/routing/load.rs
@@ -1,12 +1,12 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::load::{Loads, LoadReport};
+use medlarrill_core::routing::load::{LoadTracker, LoadReport};
 
 use super::support::id;
 
 #[gtest]
 fn own_requests_are_exact_and_what_others_have_fades() {
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     loads.begin(&id("a"));
     loads.begin(&id("a"));
     let report = LoadReport {
@@ -23,7 +23,7 @@
 
 #[gtest]
 fn what_other_daemons_say_replaces_what_the_endpoint_told() {
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     loads.others(&id("a"), 5, Millis(100));
     expect_that!(loads.total(&id("a"), Millis(100)), near(5.0, 1e-9));
     loads.others(&id("a"), 0, Millis(200));
@@ -32,7 +32,7 @@
 
 #[gtest]
 fn an_endpoint_with_own_requests_is_not_forgotten() {
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     loads.begin(&id("a"));
     loads.forget(&id("a"));
     expect_that!(loads.own(&id("a")), eq(1));
@@ -42,8 +42,8 @@
 }
 
 /// Loads that heard 10 requests of others, and 14 a fifth of a second later.
-fn growing() -> Loads {
-    let mut loads = Loads::default();
+fn growing() -> LoadTracker {
+    let mut loads = LoadTracker::default();
     loads.others(&id("a"), 10, Millis(1000));
     loads.others(&id("a"), 14, Millis(1200));
     loads
