--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 pub struct Estimate {
     /// As they were told.
-    pub told: f64,
+    pub reported: f64,
     /// With those that came since.
     pub grown: f64,
     /// Time since others' work was last heard of, none if never.
@@ -186,7 +186,7 @@
         let fading = age.fading(HALF_LIFE);
         let heard = work.at > Millis::ZERO;
         Estimate {
-            told: own + others * fading,
+            reported: own + others * fading,
             grown: own + (others + work.growth.since(age)) * fading,
             age: heard.then_some(age),
         }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -404,7 +404,7 @@
             // choices, and shun and fill the same endpoints together.
             let load = match shared {
                 Some(_) => estimate.grown,
-                None => estimate.told,
+                None => estimate.reported,
             };
             let others = failures.others(look.failures);
             Candidate {
