--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -96,7 +96,7 @@
     /// As they were told.
     pub reported: f64,
     /// With those that came since.
-    pub grown: f64,
+    pub extrapolated: f64,
     /// Time since others' work was last heard of, none if never.
     pub age: Option<Millis>,
 }
@@ -173,7 +173,7 @@
 
     /// Requests at an endpoint, estimated, with those that came since others' work was told.
     pub fn total(&self, id: &InstanceId, now: Millis) -> f64 {
-        self.look(id, now).grown
+        self.look(id, now).extrapolated
     }
 
     /// What is known of the requests at an endpoint.
@@ -187,7 +187,7 @@
         let heard = work.at > Millis::ZERO;
         Estimate {
             reported: own + others * fading,
-            grown: own + (others + work.growth.since(age)) * fading,
+            extrapolated: own + (others + work.growth.since(age)) * fading,
             age: heard.then_some(age),
         }
     }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -403,7 +403,7 @@
             // Where requests are drawn by load, all daemons would carry on each chance of others'
             // choices, and shun and fill the same endpoints together.
             let load = match shared {
-                Some(_) => estimate.grown,
+                Some(_) => estimate.extrapolated,
                 None => estimate.reported,
             };
             let others = failures.others(look.failures);
--- a/crates/core/tests/routing/load.rs
+++ b/crates/core/tests/routing/load.rs
@@ -57,7 +57,7 @@
     let seen = loads.look(&id("a"), Millis(1200));
     expect_that!(seen.reported, near(14.0, 1e-9));
     let seen = loads.look(&id("a"), Millis(1400));
-    expect_that!(seen.grown / seen.reported, near(20.0 / 14.0, 1e-9));
+    expect_that!(seen.extrapolated / seen.reported, near(20.0 / 14.0, 1e-9));
 }
 
 #[gtest]
@@ -65,7 +65,7 @@
     let loads = growing();
     for at in [1700, 3000, 9000] {
         let seen = loads.look(&id("a"), Millis(at));
-        expect_that!(seen.grown / seen.reported, near(26.0 / 14.0, 1e-9));
+        expect_that!(seen.extrapolated / seen.reported, near(26.0 / 14.0, 1e-9));
     }
 }
 
