--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -168,16 +168,16 @@
 
     /// Time since others' work at an endpoint was last heard of, none if never.
     pub fn age(&self, id: &InstanceId, now: Millis) -> Option<Millis> {
-        self.look(id, now).age
+        self.estimate(id, now).age
     }
 
     /// Requests at an endpoint, estimated, with those that came since others' work was told.
     pub fn total(&self, id: &InstanceId, now: Millis) -> f64 {
-        self.look(id, now).extrapolated
+        self.estimate(id, now).extrapolated
     }
 
     /// What is known of the requests at an endpoint.
-    pub fn look(&self, id: &InstanceId, now: Millis) -> Estimate {
+    pub fn estimate(&self, id: &InstanceId, now: Millis) -> Estimate {
         let Some(work) = self.work.get(id) else {
             return Estimate::default();
         };
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -399,7 +399,7 @@
         let ready = listed.iter().zip(&looks).filter(|(e, _)| !e.leaving);
         let failures: PoolFailures = ready.map(|(_, look)| *look).collect();
         let candidate = |((endpoint, look), allowance): ((&Arc<Endpoint>, &Look), Allowance)| {
-            let estimate = self.loads.look(&endpoint.id, now);
+            let estimate = self.loads.estimate(&endpoint.id, now);
             // Where requests are drawn by load, all daemons would carry on each chance of others'
             // choices, and shun and fill the same endpoints together.
             let load = match shared {
--- a/crates/core/tests/routing/load.rs
+++ b/crates/core/tests/routing/load.rs
@@ -54,9 +54,9 @@
     let loads = growing();
     // Two requests in 100 ms, and what is told is 100 ms old.
     expect_that!(loads.total(&id("a"), Millis(1200)), near(16.0, 1e-9));
-    let seen = loads.look(&id("a"), Millis(1200));
+    let seen = loads.estimate(&id("a"), Millis(1200));
     expect_that!(seen.reported, near(14.0, 1e-9));
-    let seen = loads.look(&id("a"), Millis(1400));
+    let seen = loads.estimate(&id("a"), Millis(1400));
     expect_that!(seen.extrapolated / seen.reported, near(20.0 / 14.0, 1e-9));
 }
 
@@ -64,7 +64,7 @@
 fn work_of_others_is_not_taken_to_grow_for_long() {
     let loads = growing();
     for at in [1700, 3000, 9000] {
-        let seen = loads.look(&id("a"), Millis(at));
+        let seen = loads.estimate(&id("a"), Millis(at));
         expect_that!(seen.extrapolated / seen.reported, near(26.0 / 14.0, 1e-9));
     }
 }
