--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -136,7 +136,7 @@
     }
 
     /// Takes what other daemons have at an endpoint.
-    pub fn others(&mut self, id: &InstanceId, in_flight: u32, now: Millis) {
+    pub fn set_others(&mut self, id: &InstanceId, in_flight: u32, now: Millis) {
         if in_flight == 0 && !self.work.contains_key(id) {
             return;
         }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -332,7 +332,7 @@
             let short = exchange::short_id(&endpoint.id);
             let others = heard.endpoints.get(&short).copied().unwrap_or_default();
             if is_on(Mechanism::ToldLoads) {
-                self.loads.others(&endpoint.id, others.in_flight, now);
+                self.loads.set_others(&endpoint.id, others.in_flight, now);
             }
             let health = &mut self.health;
             health.others(&endpoint.id, others.good, others.bad, now);
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -205,7 +205,7 @@
     for endpoint in endpoints {
         let others = heard.endpoints.get(&short_id(&endpoint.id));
         let in_flight = others.map_or(0, |others| others.in_flight);
-        loads.others(&endpoint.id, in_flight, now);
+        loads.set_others(&endpoint.id, in_flight, now);
     }
 }
 
--- a/crates/core/tests/routing/load.rs
+++ b/crates/core/tests/routing/load.rs
@@ -24,9 +24,9 @@
 #[gtest]
 fn what_other_daemons_say_replaces_what_the_endpoint_told() {
     let mut loads = LoadTracker::default();
-    loads.others(&id("a"), 5, Millis(100));
+    loads.set_others(&id("a"), 5, Millis(100));
     expect_that!(loads.total(&id("a"), Millis(100)), near(5.0, 1e-9));
-    loads.others(&id("a"), 0, Millis(200));
+    loads.set_others(&id("a"), 0, Millis(200));
     expect_that!(loads.total(&id("a"), Millis(200)), near(0.0, 1e-9));
 }
 
@@ -44,8 +44,8 @@
 /// Loads that heard 10 requests of others, and 14 a fifth of a second later.
 fn growing() -> LoadTracker {
     let mut loads = LoadTracker::default();
-    loads.others(&id("a"), 10, Millis(1000));
-    loads.others(&id("a"), 14, Millis(1200));
+    loads.set_others(&id("a"), 10, Millis(1000));
+    loads.set_others(&id("a"), 14, Millis(1200));
     loads
 }
 
@@ -72,8 +72,8 @@
 #[gtest]
 fn work_of_others_that_falls_or_was_not_told_for_long_does_not_grow() {
     let mut loads = growing();
-    loads.others(&id("a"), 12, Millis(1400));
+    loads.set_others(&id("a"), 12, Millis(1400));
     expect_that!(loads.total(&id("a"), Millis(1400)), near(12.0, 1e-9));
-    loads.others(&id("a"), 30, Millis(2300));
+    loads.set_others(&id("a"), 30, Millis(2300));
     expect_that!(loads.total(&id("a"), Millis(2300)), near(30.0, 1e-9));
 }
