--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -32,11 +32,11 @@
 /// Endpoints by prefix, both in their short forms.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Holders {
+pub struct PrefixIndex {
     prefixes: HashMap<u32, Vec<Place>>,
 }
 
-impl Holders {
+impl PrefixIndex {
     /// Notes that an endpoint was sent a prefix; says whether that wasn't known.
     pub fn note(&mut self, prefix: u32, endpoint: u32, now: Millis) -> bool {
         if !self.prefixes.contains_key(&prefix) && self.prefixes.len() >= PREFIXES {
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -31,7 +31,7 @@
 use crate::routing::exchange;
 use crate::routing::fleet::Fleet;
 use crate::routing::health::{Health, Look, PoolFailures};
-use crate::routing::prefix_index::Holders;
+use crate::routing::prefix_index::PrefixIndex;
 use crate::routing::load::{LoadTracker, LoadReport};
 use crate::routing::notices::Notices;
 use crate::routing::overload::{self, Paces, Valve};
@@ -67,7 +67,7 @@
     outcomes: HashMap<InstanceId, Outcomes>,
     /// Requests sent with each shared prefix since the last report.
     sent: HashMap<u32, u32>,
-    holders: Holders,
+    holders: PrefixIndex,
     /// Prefixes that went elsewhere than rank and age say, since the last report.
     moved: Vec<exchange::Moved>,
     /// Shares of hot prefixes in the fleet's traffic.
@@ -139,7 +139,7 @@
             valves: HashMap::new(),
             outcomes: HashMap::new(),
             sent: HashMap::new(),
-            holders: Holders::default(),
+            holders: PrefixIndex::default(),
             moved: Vec::new(),
             hot: HashMap::new(),
             quarantine: Quarantine::default(),
