--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -38,7 +38,7 @@
 
 impl PrefixIndex {
     /// Notes that an endpoint was sent a prefix; says whether that wasn't known.
-    pub fn note(&mut self, prefix: u32, endpoint: u32, now: Millis) -> bool {
+    pub fn record(&mut self, prefix: u32, endpoint: u32, now: Millis) -> bool {
         if !self.prefixes.contains_key(&prefix) && self.prefixes.len() >= PREFIXES {
             self.make_room(now);
         }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -230,7 +230,7 @@
         }
         let prefix = exchange::short_key(prefix.key);
         let endpoint = exchange::short_id(&choice.endpoint.id);
-        let is_new = self.holders.note(prefix, endpoint, now);
+        let is_new = self.holders.record(prefix, endpoint, now);
         if is_new && choice.moved && self.moved.len() < exchange::MOVES {
             self.moved.push(exchange::Moved { prefix, endpoint });
         }
@@ -326,7 +326,7 @@
         self.daemons = daemons;
         self.hot = heard.hot;
         for exchange::Moved { prefix, endpoint } in heard.moved {
-            self.holders.note(prefix, endpoint, now);
+            self.holders.record(prefix, endpoint, now);
         }
         for endpoint in self.directory.all() {
             let short = exchange::short_id(&endpoint.id);
