--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes back that an endpoint was sent a prefix: it hasn't read it.
-    pub fn take_back(&mut self, prefix: u32, endpoint: u32) {
+    pub fn remove(&mut self, prefix: u32, endpoint: u32) {
         if let Some(places) = self.prefixes.get_mut(&prefix) {
             places.retain(|place| place.endpoint != endpoint);
         }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -239,7 +239,7 @@
     /// Notes that an endpoint to which a prefix was sent hasn't read it.
     pub fn take_back(&mut self, prefix: &SharedPrefix, id: &InstanceId) {
         let prefix = exchange::short_key(prefix.key);
-        self.holders.take_back(prefix, exchange::short_id(id));
+        self.holders.remove(prefix, exchange::short_id(id));
     }
 
     /// Counts a request at an endpoint no more.
--- a/crates/core/tests/routing/prefix_index.rs
+++ b/crates/core/tests/routing/prefix_index.rs
@@ -28,7 +28,7 @@
 fn an_endpoint_that_never_read_a_prefix_is_not_taken_to_have_it() {
     let mut holders = PrefixIndex::default();
     holders.record(1, 10, Millis(0));
-    holders.take_back(1, 10);
+    holders.remove(1, 10);
     expect_that!(holders.age(1, 10, Millis(1)), none());
 }
 
