--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -74,11 +74,11 @@
 /// Answers of all endpoints, of the whole fleet.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Paces {
+pub struct ResponseRates {
     counts: HashMap<InstanceId, Count>,
 }
 
-impl Paces {
+impl ResponseRates {
     /// Counts answers that an endpoint gave.
     pub fn answers(&mut self, id: &InstanceId, answers: u32, now: Millis) {
         if answers == 0 {
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -34,7 +34,7 @@
 use crate::routing::prefix_index::PrefixIndex;
 use crate::routing::load::{LoadTracker, LoadReport};
 use crate::routing::notices::Notices;
-use crate::routing::overload::{self, Paces, Valve};
+use crate::routing::overload::{self, ResponseRates, Valve};
 use crate::routing::plan::Plan;
 use crate::routing::quarantine::{Change, Quarantine};
 use crate::routing::request::SharedPrefix;
@@ -61,7 +61,7 @@
     /// Daemons that live.
     daemons: u32,
     budget: Budget,
-    paces: Paces,
+    paces: ResponseRates,
     /// Admission to plain pools.
     valves: HashMap<PoolId, Valve>,
     outcomes: HashMap<InstanceId, Outcomes>,
@@ -135,7 +135,7 @@
             avoided: HashSet::new(),
             daemons: 1,
             budget: Budget::new(repeats, now),
-            paces: Paces::default(),
+            paces: ResponseRates::default(),
             valves: HashMap::new(),
             outcomes: HashMap::new(),
             sent: HashMap::new(),
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::overload::{Paces, Valve, come_back, may_refuse};
+use medlarrill_core::routing::overload::{ResponseRates, Valve, come_back, may_refuse};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -50,7 +50,7 @@
     /// Arrival and end of each run.
     running: Vec<(u64, u64)>,
     history: Vec<Known>,
-    daemons: Vec<(Paces, Valve)>,
+    daemons: Vec<(ResponseRates, Valve)>,
     /// Refused callers, and when they come back.
     refused: Vec<(u64, u64)>,
     got: Got,
@@ -182,7 +182,7 @@
 
 #[gtest]
 fn the_pace_of_an_endpoint_is_believed_after_a_second() {
-    let mut paces = Paces::default();
+    let mut paces = ResponseRates::default();
     for now in 0..30 {
         paces.answers(&id("e"), 10, Millis(now * 100));
         let time = paces.time(&id("e"), 50.0, Millis(now * 100));
