--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -80,7 +80,7 @@
 
 impl ResponseRates {
     /// Counts answers that an endpoint gave.
-    pub fn answers(&mut self, id: &InstanceId, answers: u32, now: Millis) {
+    pub fn record(&mut self, id: &InstanceId, answers: u32, now: Millis) {
         if answers == 0 {
             return;
         }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -260,7 +260,7 @@
             return;
         }
         self.health.good(id, now);
-        self.paces.answers(id, 1, now);
+        self.paces.record(id, 1, now);
         self.outcomes.entry(id.clone()).or_default().good += 1;
     }
 
@@ -275,7 +275,7 @@
             self.presume_started(id, now);
         }
         if fault == Fault::Failed {
-            self.paces.answers(id, 1, now);
+            self.paces.record(id, 1, now);
         }
         if fault.is_failure() {
             self.outcomes.entry(id.clone()).or_default().bad += 1;
@@ -337,7 +337,7 @@
             let health = &mut self.health;
             health.others(&endpoint.id, others.good, others.bad, now);
             let answers = others.good + others.bad;
-            self.paces.answers(&endpoint.id, answers, now);
+            self.paces.record(&endpoint.id, answers, now);
         }
     }
 
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -153,7 +153,7 @@
         for (number, (paces, _)) in self.daemons.iter_mut().enumerate() {
             // Daemons tick at different times.
             if (now + number as u64 * 7).is_multiple_of(TICK) {
-                paces.answers(&id("e"), answers, Millis(now));
+                paces.record(&id("e"), answers, Millis(now));
             }
         }
     }
@@ -184,7 +184,7 @@
 fn the_pace_of_an_endpoint_is_believed_after_a_second() {
     let mut paces = ResponseRates::default();
     for now in 0..30 {
-        paces.answers(&id("e"), 10, Millis(now * 100));
+        paces.record(&id("e"), 10, Millis(now * 100));
         let time = paces.time(&id("e"), 50.0, Millis(now * 100));
         expect_that!(time.is_some(), eq(now >= 10), "{now}");
     }
