--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -95,7 +95,7 @@
 
     /// How long a request takes at an endpoint with a load, in milliseconds; none if its pace
     /// isn't known.
-    pub fn time(&self, id: &InstanceId, load: f64, now: Millis) -> Option<f64> {
+    pub fn response_time(&self, id: &InstanceId, load: f64, now: Millis) -> Option<f64> {
         let count = self.counts.get(id)?;
         let is_learnt = now.since(count.since) >= LEARNT && count.answers(now) >= 1.0;
         is_learnt.then(|| load / count.pace(now))
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -357,7 +357,7 @@
         now: Millis,
     ) -> Option<Overload> {
         let target = plan.queue_target().filter(|_| is_on(Mechanism::Valve))?;
-        let expected = self.paces.time(&choice.endpoint.id, choice.load, now)?;
+        let expected = self.paces.response_time(&choice.endpoint.id, choice.load, now)?;
         let valve = self.valves.entry(pool.clone()).or_default();
         let share = valve.take(expected, target, now);
         let may_refuse = overload::may_refuse(choice.load, choice.endpoint.slots);
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -99,7 +99,7 @@
         };
         let load = self.history[known].load;
         let (paces, valve) = &mut self.daemons[daemon];
-        let Some(time) = paces.time(&id("e"), load, Millis(now)) else {
+        let Some(time) = paces.response_time(&id("e"), load, Millis(now)) else {
             return true;
         };
         let share = valve.take(time, TARGET, Millis(now));
@@ -185,12 +185,12 @@
     let mut paces = ResponseRates::default();
     for now in 0..30 {
         paces.record(&id("e"), 10, Millis(now * 100));
-        let time = paces.time(&id("e"), 50.0, Millis(now * 100));
+        let time = paces.response_time(&id("e"), 50.0, Millis(now * 100));
         expect_that!(time.is_some(), eq(now >= 10), "{now}");
     }
-    let time = paces.time(&id("e"), 50.0, Millis(2900));
+    let time = paces.response_time(&id("e"), 50.0, Millis(2900));
     expect_that!(time, some(near(500.0, 50.0)));
-    expect_that!(paces.time(&id("other"), 50.0, Millis(2900)), none());
+    expect_that!(paces.response_time(&id("other"), 50.0, Millis(2900)), none());
 }
 
 #[gtest]
