--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -7,7 +7,7 @@
 //! in flight, divided by answers a second, both summed over the fleet.
 //!
 //! Each daemon takes a share of its requests and refuses the others at once.
-//! The share moves slowly against the time that requests take ([`Valve`]):
+//! The share moves slowly against the time that requests take ([`AdmissionControl`]):
 //! what daemons know is some hundred milliseconds old, and a sharp bound would
 //! have all of them refuse and take requests by turns.
 
@@ -110,13 +110,13 @@
 /// The share of requests that one daemon takes for one pool.
 #[derive(Clone, Copy, Default)]
 #[derive(Debug)]
-pub struct Valve {
+pub struct AdmissionControl {
     /// Share refused beyond what the excess of the moment asks for.
     refused: f64,
     moved: Millis,
 }
 
-impl Valve {
+impl AdmissionControl {
     /// The share of requests to take, where requests take `time` milliseconds of a target.
     pub fn take(&mut self, time: f64, target: Millis, now: Millis) -> f64 {
         let excess = (time / target.0.max(1) as f64 - GOAL).clamp(-EXCESS_MAX, EXCESS_MAX);
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -34,7 +34,7 @@
 use crate::routing::prefix_index::PrefixIndex;
 use crate::routing::load::{LoadTracker, LoadReport};
 use crate::routing::notices::Notices;
-use crate::routing::overload::{self, ResponseRates, Valve};
+use crate::routing::overload::{self, ResponseRates, AdmissionControl};
 use crate::routing::plan::Plan;
 use crate::routing::quarantine::{Change, Quarantine};
 use crate::routing::request::SharedPrefix;
@@ -63,7 +63,7 @@
     budget: Budget,
     paces: ResponseRates,
     /// Admission to plain pools.
-    valves: HashMap<PoolId, Valve>,
+    valves: HashMap<PoolId, AdmissionControl>,
     outcomes: HashMap<InstanceId, Outcomes>,
     /// Requests sent with each shared prefix since the last report.
     sent: HashMap<u32, u32>,
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::overload::{ResponseRates, Valve, come_back, may_refuse};
+use medlarrill_core::routing::overload::{ResponseRates, AdmissionControl, come_back, may_refuse};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -50,7 +50,7 @@
     /// Arrival and end of each run.
     running: Vec<(u64, u64)>,
     history: Vec<Known>,
-    daemons: Vec<(ResponseRates, Valve)>,
+    daemons: Vec<(ResponseRates, AdmissionControl)>,
     /// Refused callers, and when they come back.
     refused: Vec<(u64, u64)>,
     got: Got,
@@ -195,7 +195,7 @@
 
 #[gtest]
 fn a_share_of_requests_is_taken_however_long_they_take() {
-    let mut valve = Valve::default();
+    let mut valve = AdmissionControl::default();
     let take = |round| valve.take(10_000.0, TARGET, Millis(round * 100));
     let shares: Vec<f64> = (0..200_u64).map(take).collect();
     expect_that!(shares[199], near(0.2, 1e-9));
