--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -118,7 +118,7 @@
 
 impl AdmissionControl {
     /// The share of requests to take, where requests take `time` milliseconds of a target.
-    pub fn take(&mut self, time: f64, target: Millis, now: Millis) -> f64 {
+    pub fn update(&mut self, time: f64, target: Millis, now: Millis) -> f64 {
         let excess = (time / target.0.max(1) as f64 - GOAL).clamp(-EXCESS_MAX, EXCESS_MAX);
         let step = now.since(self.moved).0.min(STEP_MAX.0);
         self.moved = now;
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -359,7 +359,7 @@
         let target = plan.queue_target().filter(|_| is_on(Mechanism::Valve))?;
         let expected = self.paces.response_time(&choice.endpoint.id, choice.load, now)?;
         let valve = self.valves.entry(pool.clone()).or_default();
-        let share = valve.take(expected, target, now);
+        let share = valve.update(expected, target, now);
         let may_refuse = overload::may_refuse(choice.load, choice.endpoint.slots);
         if !may_refuse || self.rng.random::<f64>() < share {
             return None;
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -102,7 +102,7 @@
         let Some(time) = paces.response_time(&id("e"), load, Millis(now)) else {
             return true;
         };
-        let share = valve.take(time, TARGET, Millis(now));
+        let share = valve.update(time, TARGET, Millis(now));
         !may_refuse(load, SLOTS as u32) || self.rng.random::<f64>() < share
     }
 
@@ -196,7 +196,7 @@
 #[gtest]
 fn a_share_of_requests_is_taken_however_long_they_take() {
     let mut valve = AdmissionControl::default();
-    let take = |round| valve.take(10_000.0, TARGET, Millis(round * 100));
+    let take = |round| valve.update(10_000.0, TARGET, Millis(round * 100));
     let shares: Vec<f64> = (0..200_u64).map(take).collect();
     expect_that!(shares[199], near(0.2, 1e-9));
     // Requests that take little are all taken again, but not at once.
@@ -204,7 +204,7 @@
     let mut rounds = 200_u64;
     while share < 1.0 {
         rounds += 1;
-        share = valve.take(0.0, TARGET, Millis(rounds * 100));
+        share = valve.update(0.0, TARGET, Millis(rounds * 100));
     }
     expect_that!(rounds, all!(gt(205), lt(260)));
 }
