--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -135,7 +135,7 @@
 }
 
 /// When a refused caller may come back, for a draw between 0 and 1.
-pub fn come_back(target: Millis, draw: f64) -> Millis {
+pub fn retry_after(target: Millis, draw: f64) -> Millis {
     let (least, most) = COME_BACK;
     Millis((target.0 as f64 * (least + (most - least) * draw)) as u64)
 }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -368,7 +368,7 @@
             choice: choice.clone(),
             expected,
             share,
-            wait: overload::come_back(target, self.rng.random()),
+            wait: overload::retry_after(target, self.rng.random()),
         })
     }
 
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::overload::{ResponseRates, AdmissionControl, come_back, may_refuse};
+use medlarrill_core::routing::overload::{ResponseRates, AdmissionControl, retry_after, may_refuse};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -217,6 +217,6 @@
 
 #[gtest]
 fn a_refused_caller_comes_back_while_it_can_still_be_answered_in_time() {
-    expect_that!(come_back(TARGET, 0.0), eq(Millis(30)));
-    expect_that!(come_back(TARGET, 1.0), eq(Millis(90)));
+    expect_that!(retry_after(TARGET, 0.0), eq(Millis(30)));
+    expect_that!(retry_after(TARGET, 1.0), eq(Millis(90)));
 }
