--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -62,7 +62,7 @@
     }
 
     /// Sets a part of the platform's list, of which `me` is this daemon.
-    pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
+    pub fn set_listed(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.parts.insert(part.to_owned(), daemons);
         // Several parts may name a daemon.
         let all: BTreeSet<SocketAddr> = self.parts.values().flatten().copied().collect();
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -9,7 +9,7 @@
     /// Sets the daemons that a part of the platform's list names; all on the list share the repeats
     /// of the fleet and the rate of endpoints that are spared.
     pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
-        self.fleet.deal(me, part, daemons);
+        self.fleet.set_listed(me, part, daemons);
         self.slow_starts.deal_anew();
         self.budget.set_part(self.fleet.part(1.0));
     }
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -18,7 +18,7 @@
 
 fn fleet(me: u8, count: u8) -> Fleet {
     let mut fleet = Fleet::new(Millis(0));
-    fleet.deal(address(me), "near", listed(count));
+    fleet.set_listed(address(me), "near", listed(count));
     fleet
 }
 
@@ -47,7 +47,7 @@
 #[gtest]
 fn a_daemon_named_by_two_parts_of_the_list_counts_once() {
     let mut fleet = fleet(0, 3);
-    fleet.deal(address(0), "far", vec![address(2), address(3)]);
+    fleet.set_listed(address(0), "far", vec![address(2), address(3)]);
     expect_that!(fleet.size(), eq(4));
 }
 
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -86,7 +86,7 @@
     }
 
     pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
-        self.fleet.deal(me, part, daemons);
+        self.fleet.set_listed(me, part, daemons);
         self.starts.deal_anew();
     }
 
