--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -72,7 +72,7 @@
     }
 
     /// Notes how many daemons live, this one included.
-    pub fn hear(&mut self, live: usize, now: Millis) {
+    pub fn set_live(&mut self, live: usize, now: Millis) {
         match live {
             0 | 1 => _ = self.silent.get_or_insert(now),
             _ => {
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -29,7 +29,7 @@
 
     /// Notes how many daemons live, this one included.
     pub fn hear(&mut self, live: usize, now: Millis) {
-        self.fleet.hear(live, now);
+        self.fleet.set_live(live, now);
         self.budget.set_part(self.fleet.part(1.0));
     }
 }
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -26,7 +26,7 @@
 fn parts_of_all_daemons_make_the_bound_whomever_they_hear() {
     let parts = (0..9).map(|me| {
         let mut fleet = fleet(me, 9);
-        fleet.hear(usize::from(me % 3) + 1, Millis(100));
+        fleet.set_live(usize::from(me % 3) + 1, Millis(100));
         fleet.part(58.0)
     });
     expect_that!(parts.sum::<f64>(), near(58.0, 1e-9));
