--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -105,7 +105,7 @@
     }
 
     /// This daemon's part of a bound that all share equally.
-    pub fn part(&self, bound: f64) -> f64 {
+    pub fn share(&self, bound: f64) -> f64 {
         match (&self.me, self.listed.len()) {
             (Some(_), daemons) => bound / daemons as f64,
             (None, 0) if self.is_sole => bound,
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -27,7 +27,7 @@
     let parts = (0..9).map(|me| {
         let mut fleet = fleet(me, 9);
         fleet.set_live(usize::from(me % 3) + 1, Millis(100));
-        fleet.part(58.0)
+        fleet.share(58.0)
     });
     expect_that!(parts.sum::<f64>(), near(58.0, 1e-9));
     for units in [1, 8, 9, 20] {
@@ -39,9 +39,9 @@
 #[gtest]
 fn a_daemon_that_is_not_listed_has_no_part() {
     let unlisted = fleet(9, 9);
-    expect_that!(unlisted.part(58.0), eq(0.0));
+    expect_that!(unlisted.share(58.0), eq(0.0));
     expect_that!(unlisted.units("e-1", 20), eq(0));
-    expect_that!(Fleet::new(Millis(0)).part(58.0), eq(0.0));
+    expect_that!(Fleet::new(Millis(0)).share(58.0), eq(0.0));
 }
 
 #[gtest]
