--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -115,7 +115,7 @@
 
     /// This daemon's part of a whole number of units; who has one more is drawn by the name of
     /// what the bound is for.
-    pub fn units(&self, name: &str, units: usize) -> usize {
+    pub fn unit_share(&self, name: &str, units: usize) -> usize {
         let Some(me) = &self.me else {
             return 0;
         };
--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -191,7 +191,7 @@
         if let Some(share) = self.shares.get(id) {
             return recent < *share;
         }
-        let share = fleet.units(&id.to_string(), (rate.0 as usize).max(1));
+        let share = fleet.unit_share(&id.to_string(), (rate.0 as usize).max(1));
         self.shares.insert(id.clone(), share);
         recent < share
     }
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -31,7 +31,7 @@
     });
     expect_that!(parts.sum::<f64>(), near(58.0, 1e-9));
     for units in [1, 8, 9, 20] {
-        let all = (0..9).map(|me| fleet(me, 9).units("e-1", units));
+        let all = (0..9).map(|me| fleet(me, 9).unit_share("e-1", units));
         expect_that!(all.sum::<usize>(), eq(units));
     }
 }
@@ -40,7 +40,7 @@
 fn a_daemon_that_is_not_listed_has_no_part() {
     let unlisted = fleet(9, 9);
     expect_that!(unlisted.share(58.0), eq(0.0));
-    expect_that!(unlisted.units("e-1", 20), eq(0));
+    expect_that!(unlisted.unit_share("e-1", 20), eq(0));
     expect_that!(Fleet::new(Millis(0)).share(58.0), eq(0.0));
 }
 
