--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -57,7 +57,7 @@
 
     /// Notes that this daemon is told of no others. Until it hears of one, or the platform lists
     /// some, it is the whole fleet.
-    pub const fn set_sole(&mut self) {
+    pub const fn set_single(&mut self) {
         self.is_sole = true;
     }
 
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -16,7 +16,7 @@
 
     /// Notes that this daemon is told of no others.
     pub fn set_sole(&mut self) {
-        self.fleet.set_sole();
+        self.fleet.set_single();
         self.budget.set_part(self.fleet.share(1.0));
     }
 
