--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -99,7 +99,7 @@
 
     /// Whether there are others and none was heard of for long, so that all they told may be out
     /// of date.
-    pub fn is_alone(&self, now: Millis) -> bool {
+    pub fn is_isolated(&self, now: Millis) -> bool {
         let is_long = self.silent.is_some_and(|since| now.since(since) >= ALONE);
         is_long && self.listed.len() > 1
     }
--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -130,7 +130,7 @@
 
     /// Whether there may be an endpoint of a pool to which not all may be sent.
     pub fn limits(&self, pool: &PoolId, fleet: &Fleet, now: Millis) -> bool {
-        let is_any = !self.spared.is_empty() || fleet.is_alone(now);
+        let is_any = !self.spared.is_empty() || fleet.is_isolated(now);
         is_any && self.pools.contains_key(pool)
     }
 
@@ -147,7 +147,7 @@
             return Allowance::All;
         };
         let until = self.spared.get(id).copied();
-        if until.is_some_and(|until| now < until) || fleet.is_alone(now) {
+        if until.is_some_and(|until| now < until) || fleet.is_isolated(now) {
             return match self.has_left(id, slow.rate, fleet, now) {
                 true => Allowance::One,
                 false => Allowance::Nothing,
