--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -131,9 +131,9 @@
 /// When daemons were last known to live, as one that writes the list knows.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Sightings(HashMap<SocketAddr, Millis>);
+pub struct LastSeen(HashMap<SocketAddr, Millis>);
 
-impl Sightings {
+impl LastSeen {
     /// Notes daemons that live.
     pub fn see(&mut self, daemons: &[SocketAddr], now: Millis) {
         self.0.extend(daemons.iter().map(|daemon| (*daemon, now)));
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::fleet::{Fleet, Sightings};
+use medlarrill_core::routing::fleet::{Fleet, LastSeen};
 
 const HOUR: Millis = Millis(3_600_000);
 
@@ -55,7 +55,7 @@
 fn a_daemon_that_was_never_heard_stays_listed_for_an_hour_from_the_first_look() {
     // A process that has run for long and becomes a hub knows nothing of who lived before.
     let start = Millis(10 * HOUR.0);
-    let mut seen = Sightings::default();
+    let mut seen = LastSeen::default();
     expect_that!(seen.keeps(address(1), start), eq(true));
     expect_that!(seen.keeps(address(1), start + HOUR - Millis(1)), eq(true));
     expect_that!(seen.keeps(address(1), start + HOUR), eq(false));
@@ -63,7 +63,7 @@
 
 #[gtest]
 fn a_daemon_that_falls_silent_stays_listed_for_an_hour() {
-    let mut seen = Sightings::default();
+    let mut seen = LastSeen::default();
     seen.see(&[address(1)], Millis(0));
     seen.see(&[address(1)], HOUR);
     expect_that!(seen.keeps(address(1), HOUR + HOUR - Millis(1)), eq(true));
--- a/crates/router/src/store/daemons.rs
+++ b/crates/router/src/store/daemons.rs
@@ -10,7 +10,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::backoff;
-use medlarrill_core::routing::fleet::Sightings;
+use medlarrill_core::routing::fleet::LastSeen;
 use medlarrill_net::now::now;
 use medlarrill_platform::objects;
 use medlarrill_platform::store::{Call, Kind};
@@ -35,7 +35,7 @@
     let mut keeping = Keeping {
         client: Client::new(platform),
         store,
-        seen: Sightings::default(),
+        seen: LastSeen::default(),
         missing: None,
     };
     let mut failures = 0;
@@ -55,7 +55,7 @@
 struct Keeping {
     client: Client,
     store: Store,
-    seen: Sightings,
+    seen: LastSeen,
     /// Since when some daemons aren't listed, or when that was last mended.
     missing: Option<Millis>,
 }
