--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -135,7 +135,7 @@
 
 impl LastSeen {
     /// Notes daemons that live.
-    pub fn see(&mut self, daemons: &[SocketAddr], now: Millis) {
+    pub fn mark_live(&mut self, daemons: &[SocketAddr], now: Millis) {
         self.0.extend(daemons.iter().map(|daemon| (*daemon, now)));
     }
 
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -64,8 +64,8 @@
 #[gtest]
 fn a_daemon_that_falls_silent_stays_listed_for_an_hour() {
     let mut seen = LastSeen::default();
-    seen.see(&[address(1)], Millis(0));
-    seen.see(&[address(1)], HOUR);
+    seen.mark_live(&[address(1)], Millis(0));
+    seen.mark_live(&[address(1)], HOUR);
     expect_that!(seen.keeps(address(1), HOUR + HOUR - Millis(1)), eq(true));
     expect_that!(seen.keeps(address(1), HOUR + HOUR), eq(false));
 }
--- a/crates/router/src/store/daemons.rs
+++ b/crates/router/src/store/daemons.rs
@@ -70,7 +70,7 @@
         if !is_known || now() < SETTLED {
             return Ok(());
         }
-        self.seen.see(&roster.known, now());
+        self.seen.mark_live(&roster.known, now());
         if self.store.placement.unlisted(&roster.known).is_empty() {
             self.missing = None;
             return Ok(());
