--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -141,7 +141,7 @@
 
     /// Whether a daemon that is listed stays so. One that wasn't seen yet counts as seen now: a
     /// process that is new to this task doesn't know who has lived.
-    pub fn keeps(&mut self, daemon: SocketAddr, now: Millis) -> bool {
+    pub fn is_retained(&mut self, daemon: SocketAddr, now: Millis) -> bool {
         let seen = self.0.entry(daemon).or_insert(now);
         now.since(*seen) < FORGOTTEN
     }
--- a/crates/router/src/store/daemons.rs
+++ b/crates/router/src/store/daemons.rs
@@ -95,7 +95,7 @@
             .as_ref()
             .and_then(|object| objects::daemons(object).ok());
         let kept = listed.into_iter().flatten();
-        let kept = kept.filter(|daemon| self.seen.keeps(*daemon, now()));
+        let kept = kept.filter(|daemon| self.seen.is_retained(*daemon, now()));
         let all: BTreeSet<SocketAddr> = kept.chain(known.iter().copied()).collect();
         let all: Vec<SocketAddr> = all.into_iter().collect();
         let spec = objects::daemons_spec(&all);
