--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -27,7 +27,7 @@
     /// Requests that a starting endpoint bears from the whole fleet.
     pub rate: Rate,
     /// How long it is spared after a start.
-    pub span: Millis,
+    pub duration: Millis,
 }
 
 /// What a daemon may send to an endpoint now.
@@ -110,7 +110,7 @@
     /// Spares an endpoint of a pool for as long as after a start.
     pub fn presume(&mut self, id: &InstanceId, pool: &PoolId, now: Millis) {
         if let Some(slow) = self.pools.get(pool) {
-            let span = slow.span;
+            let span = slow.duration;
             self.spare(id, span, now);
         }
     }
@@ -154,8 +154,8 @@
             };
         }
         match until.map(|until| now.since(until)) {
-            Some(warm) if warm < slow.span => {
-                Allowance::Part(warm.as_secs_f64() / slow.span.as_secs_f64())
+            Some(warm) if warm < slow.duration => {
+                Allowance::Part(warm.as_secs_f64() / slow.duration.as_secs_f64())
             }
             _ => Allowance::All,
         }
@@ -168,7 +168,7 @@
 
     /// Drops what has no effect any more.
     pub fn tidy(&mut self, now: Millis) {
-        let spans = self.pools.values().map(|slow| slow.span).max();
+        let spans = self.pools.values().map(|slow| slow.duration).max();
         let windows = self.pools.values().map(|slow| window(slow.rate)).max();
         let (span, window) = (spans.unwrap_or_default(), windows.unwrap_or_default());
         self.spared.retain(|_, until| now < *until + span);
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -125,7 +125,7 @@
     let mut view = settled();
     let slow = SlowStart {
         rate: Rate(8.9),
-        span: SPAN,
+        duration: SPAN,
     };
     view.configure([(pool(), slow)].into());
     view.drain(data_centre("near"), START);
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -27,7 +27,7 @@
 fn slow(rate: f64) -> SlowStart {
     SlowStart {
         rate: Rate(rate),
-        span: SPAN,
+        duration: SPAN,
     }
 }
 
--- a/crates/core/tests/routing/slow_start_ways.rs
+++ b/crates/core/tests/routing/slow_start_ways.rs
@@ -72,7 +72,7 @@
 fn drawn(_: Parts) -> May {
     let slow = SlowStart {
         rate: Rate(RATE),
-        span: Millis(3000),
+        duration: Millis(3000),
     };
     let ids: Vec<InstanceId> = (0..ENDPOINTS).map(|e| id(&format!("e-{e}"))).collect();
     let daemon = |number| {
