--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -99,7 +99,7 @@
 
     /// Spares an endpoint for some time. What was known of a longer time stays, since word of it
     /// may be late.
-    pub fn spare(&mut self, id: &InstanceId, left: Millis, now: Millis) {
+    pub fn begin(&mut self, id: &InstanceId, left: Millis, now: Millis) {
         if left == Millis::ZERO {
             return;
         }
@@ -111,7 +111,7 @@
     pub fn presume(&mut self, id: &InstanceId, pool: &PoolId, now: Millis) {
         if let Some(slow) = self.pools.get(pool) {
             let span = slow.duration;
-            self.spare(id, span, now);
+            self.begin(id, span, now);
         }
     }
 
--- a/crates/core/src/routing/view/sparing.rs
+++ b/crates/core/src/routing/view/sparing.rs
@@ -30,7 +30,7 @@
     /// Spares a listed endpoint for the time that it or its entry tells.
     pub fn spare(&mut self, id: &InstanceId, left: Millis, now: Millis) {
         if self.directory.is_listed(id) {
-            self.slow_starts.spare(id, left, now);
+            self.slow_starts.begin(id, left, now);
         }
     }
 
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -94,7 +94,7 @@
         for name in ["e-0", "e-1", "e-2"] {
             let to = id(name);
             for daemon in &mut fleet {
-                daemon.spare(&to, Millis(20_000), START);
+                daemon.begin(&to, Millis(20_000), START);
             }
             let sent = flood(&mut fleet, &to, START, 10);
             expect_that!(peak(&sent) as f64, le(rate), "{count} daemons, {rate}/s");
@@ -111,7 +111,7 @@
         .collect();
     let to = id("e-0");
     for daemon in &mut fleet {
-        daemon.spare(&to, Millis(60_000), START);
+        daemon.begin(&to, Millis(60_000), START);
     }
     let sent = flood(&mut fleet, &to, START, 40);
     expect_that!(sent.len(), all![ge(8), le(10)]);
@@ -122,7 +122,7 @@
 fn a_daemon_that_the_platform_does_not_list_or_that_has_just_started_sends_nothing() {
     let to = id("e-0");
     let mut unlisted = starts(99, listed(9), RATE);
-    unlisted.spare(&to, SPAN, START);
+    unlisted.begin(&to, SPAN, START);
     expect_that!(
         unlisted.allowance(&to, &pool(), START),
         eq(Allowance::Nothing)
@@ -130,14 +130,14 @@
 
     let mut without_list = Starts::new(Millis(0));
     without_list.configure([(pool(), slow(RATE))].into());
-    without_list.spare(&to, SPAN, START);
+    without_list.begin(&to, SPAN, START);
     expect_that!(
         without_list.allowance(&to, &pool(), START),
         eq(Allowance::Nothing)
     );
 
     let mut alone = starts(0, listed(1), RATE);
-    alone.spare(&to, Millis(5000), Millis(0));
+    alone.begin(&to, Millis(5000), Millis(0));
     expect_that!(
         alone.allowance(&to, &pool(), Millis(900)),
         eq(Allowance::Nothing)
@@ -153,7 +153,7 @@
     let to = id("e-0");
     let mut sent = Vec::new();
     let mut daemon = starts(0, listed(1), 1.0);
-    daemon.spare(&to, Millis(60_000), START);
+    daemon.begin(&to, Millis(60_000), START);
     let mut started = Millis(0);
     for now in START.0..START.0 + 10 * SECOND {
         if now % 700 == 0 {
@@ -161,7 +161,7 @@
             daemon = Starts::new(started);
             daemon.configure([(pool(), slow(1.0))].into());
             daemon.deal(address(0), "near", listed(1));
-            daemon.spare(&to, Millis(60_000), started);
+            daemon.begin(&to, Millis(60_000), started);
         }
         if daemon.allowance(&to, &pool(), Millis(now)) == Allowance::One {
             daemon.sent(&to, Millis(now));
@@ -187,7 +187,7 @@
         for name in ["e-0", "e-1", "e-2", "e-3", "e-4", "e-5"] {
             let to = id(name);
             for daemon in &mut fleet {
-                daemon.spare(&to, Millis(20_000), START);
+                daemon.begin(&to, Millis(20_000), START);
             }
             let sent = flood(&mut fleet, &to, START, 3);
             let most = RATE as usize + added.min(RATE as usize);
@@ -204,7 +204,7 @@
     let shares = |mut daemon: Starts| {
         let spared = (0..60).map(|number| id(&format!("e-{number}")));
         let given = spared.filter(|to| {
-            daemon.spare(to, SPAN, START);
+            daemon.begin(to, SPAN, START);
             daemon.allowance(to, &pool(), START) == Allowance::One
         });
         given.count()
@@ -220,7 +220,7 @@
     let to = id("e-0");
     let mut daemon = starts(0, listed(1), RATE);
     daemon.deal(address(0), "far", listed(1));
-    daemon.spare(&to, SPAN, START);
+    daemon.begin(&to, SPAN, START);
     let sent = flood(&mut [daemon], &to, START, 1);
     expect_that!(sent.len(), eq(8));
 }
@@ -229,7 +229,7 @@
 fn prefixes_return_over_the_time_of_a_start_and_not_at_once() {
     let mut daemon = starts(0, listed(1), RATE);
     let to = id("e-0");
-    daemon.spare(&to, SPAN, START);
+    daemon.begin(&to, SPAN, START);
     let mut share = |passed: u64| {
         let allowance = daemon.allowance(&to, &pool(), START + SPAN + Millis(passed));
         let suits = |key: &u64| allowance.suits(Some(&prefix(*key)), |_| true);
@@ -244,8 +244,8 @@
 fn a_longer_time_that_was_told_stays() {
     let mut daemon = starts(0, listed(68), RATE);
     let to = id("e-0");
-    daemon.spare(&to, SPAN, START);
-    daemon.spare(&to, Millis(200), START);
+    daemon.begin(&to, SPAN, START);
+    daemon.begin(&to, Millis(200), START);
     let later = START + Millis(2900);
     expect_that!(daemon.spared(later).count(), eq(1));
     expect_that!(daemon.spared(START + SPAN).count(), eq(0));
@@ -254,7 +254,7 @@
 #[gtest]
 fn a_pool_without_slow_start_is_not_spared() {
     let mut daemon = Starts::new(Millis(0));
-    daemon.spare(&id("e-0"), SPAN, START);
+    daemon.begin(&id("e-0"), SPAN, START);
     expect_that!(
         daemon.allowance(&id("e-0"), &pool(), START),
         eq(Allowance::All)
--- a/crates/core/tests/routing/slow_start_ways.rs
+++ b/crates/core/tests/routing/slow_start_ways.rs
@@ -80,7 +80,7 @@
         daemon.configure([(pool(), slow)].into());
         daemon.deal(address(number), "near", (0..DAEMONS).map(address).collect());
         for id in &ids {
-            daemon.spare(id, Millis(SPAN * 2), Millis(START));
+            daemon.begin(id, Millis(SPAN * 2), Millis(START));
         }
         daemon
     };
