--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -123,7 +123,7 @@
     }
 
     /// Endpoints that are spared now.
-    pub fn spared(&self, now: Millis) -> impl Iterator<Item = &InstanceId> {
+    pub fn active(&self, now: Millis) -> impl Iterator<Item = &InstanceId> {
         let spared = self.spared.iter().filter(move |(_, until)| now < **until);
         spared.map(|(id, _)| id)
     }
--- a/crates/core/src/routing/view/sparing.rs
+++ b/crates/core/src/routing/view/sparing.rs
@@ -37,7 +37,7 @@
     /// Endpoints whose sparing began or ended since this was last asked.
     pub fn review_spared(&mut self, now: Millis) -> Spared {
         self.slow_starts.tidy(now);
-        let spared: HashSet<InstanceId> = self.slow_starts.spared(now).cloned().collect();
+        let spared: HashSet<InstanceId> = self.slow_starts.active(now).cloned().collect();
         let changes = Spared {
             begins: spared.difference(&self.spared).cloned().collect(),
             ends: self.spared.difference(&spared).cloned().collect(),
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -247,8 +247,8 @@
     daemon.begin(&to, SPAN, START);
     daemon.begin(&to, Millis(200), START);
     let later = START + Millis(2900);
-    expect_that!(daemon.spared(later).count(), eq(1));
-    expect_that!(daemon.spared(START + SPAN).count(), eq(0));
+    expect_that!(daemon.active(later).count(), eq(1));
+    expect_that!(daemon.active(START + SPAN).count(), eq(0));
 }
 
 #[gtest]
