--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -108,7 +108,7 @@
     }
 
     /// Spares an endpoint of a pool for as long as after a start.
-    pub fn presume(&mut self, id: &InstanceId, pool: &PoolId, now: Millis) {
+    pub fn begin_full(&mut self, id: &InstanceId, pool: &PoolId, now: Millis) {
         if let Some(slow) = self.pools.get(pool) {
             let span = slow.duration;
             self.begin(id, span, now);
--- a/crates/core/src/routing/view/sparing.rs
+++ b/crates/core/src/routing/view/sparing.rs
@@ -55,7 +55,7 @@
     pub(super) fn presume_started(&mut self, id: &InstanceId, now: Millis) {
         if let Some(endpoint) = self.directory.get(id) {
             let pool = endpoint.pool.clone();
-            self.slow_starts.presume(id, &pool, now);
+            self.slow_starts.begin_full(id, &pool, now);
         }
     }
 
