--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -93,7 +93,7 @@
     }
 
     /// Notes that the list of daemons has changed.
-    pub fn deal_anew(&mut self) {
+    pub fn clear_shares(&mut self) {
         self.shares.clear();
     }
 
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -10,7 +10,7 @@
     /// of the fleet and the rate of endpoints that are spared.
     pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.fleet.set_listed(me, part, daemons);
-        self.slow_starts.deal_anew();
+        self.slow_starts.clear_shares();
         self.budget.set_part(self.fleet.share(1.0));
     }
 
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -87,7 +87,7 @@
 
     pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.fleet.set_listed(me, part, daemons);
-        self.starts.deal_anew();
+        self.starts.clear_shares();
     }
 
     pub fn allowance(&mut self, id: &InstanceId, pool: &PoolId, now: Millis) -> Allowance {
