--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -129,7 +129,7 @@
     }
 
     /// Whether there may be an endpoint of a pool to which not all may be sent.
-    pub fn limits(&self, pool: &PoolId, fleet: &Fleet, now: Millis) -> bool {
+    pub fn may_limit(&self, pool: &PoolId, fleet: &Fleet, now: Millis) -> bool {
         let is_any = !self.spared.is_empty() || fleet.is_isolated(now);
         is_any && self.pools.contains_key(pool)
     }
--- a/crates/core/src/routing/view/sparing.rs
+++ b/crates/core/src/routing/view/sparing.rs
@@ -63,7 +63,7 @@
     pub(super) fn allowances(&mut self, pool: &PoolId, now: Millis) -> Vec<Allowance> {
         let listed = self.directory.pool(pool).iter();
         let (slow_starts, fleet) = (&mut self.slow_starts, &self.fleet);
-        let is_limited = slow_starts.limits(pool, fleet, now);
+        let is_limited = slow_starts.may_limit(pool, fleet, now);
         let has_pauses = self.notices.has_pauses(now);
         if !is_limited && !has_pauses {
             return vec![Allowance::All; listed.len()];
