--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -167,7 +167,7 @@
     }
 
     /// Drops what has no effect any more.
-    pub fn tidy(&mut self, now: Millis) {
+    pub fn prune(&mut self, now: Millis) {
         let spans = self.pools.values().map(|slow| slow.duration).max();
         let windows = self.pools.values().map(|slow| window(slow.rate)).max();
         let (span, window) = (spans.unwrap_or_default(), windows.unwrap_or_default());
--- a/crates/core/src/routing/view/sparing.rs
+++ b/crates/core/src/routing/view/sparing.rs
@@ -36,7 +36,7 @@
 
     /// Endpoints whose sparing began or ended since this was last asked.
     pub fn review_spared(&mut self, now: Millis) -> Spared {
-        self.slow_starts.tidy(now);
+        self.slow_starts.prune(now);
         let spared: HashSet<InstanceId> = self.slow_starts.active(now).cloned().collect();
         let changes = Spared {
             begins: spared.difference(&self.spared).cloned().collect(),
