--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -162,7 +162,7 @@
     }
 
     /// Notes that a request is sent to an endpoint that is spared.
-    pub fn sent(&mut self, id: &InstanceId, now: Millis) {
+    pub fn record_sent(&mut self, id: &InstanceId, now: Millis) {
         self.sent.entry(id.clone()).or_default().push_back(now);
     }
 
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -215,7 +215,7 @@
         let id = &choice.endpoint.id;
         self.loads.begin(id);
         if choice.allowance == Allowance::One {
-            self.slow_starts.sent(id, now);
+            self.slow_starts.record_sent(id, now);
         }
         if choice.trial {
             self.health.trial(id, now);
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -58,7 +58,7 @@
             let turn = (first + number) % daemons.len();
             let daemon = &mut daemons[turn];
             if daemon.allowance(to, &pool(), Millis(now)) == Allowance::One {
-                daemon.sent(to, Millis(now));
+                daemon.record_sent(to, Millis(now));
                 sent.push(now);
             }
         }
@@ -164,7 +164,7 @@
             daemon.begin(&to, Millis(60_000), started);
         }
         if daemon.allowance(&to, &pool(), Millis(now)) == Allowance::One {
-            daemon.sent(&to, Millis(now));
+            daemon.record_sent(&to, Millis(now));
             sent.push(now);
         }
     }
--- a/crates/core/tests/routing/slow_start_ways.rs
+++ b/crates/core/tests/routing/slow_start_ways.rs
@@ -89,7 +89,7 @@
         let (daemon, id) = (&mut daemons[daemon], &ids[endpoint]);
         let may = daemon.allowance(id, &pool(), Millis(now)) == Allowance::One;
         if may {
-            daemon.sent(id, Millis(now));
+            daemon.record_sent(id, Millis(now));
         }
         may
     })
