--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -184,7 +184,7 @@
     let is_well =
         |c: &Candidate| c.standing == Standing::Good || trial && c.standing == Standing::Trial;
     let groups: [&dyn Fn(&Candidate) -> bool; 4] = [
-        &|c| is_well(c) && c.allowance.suits(shared, is_worth_fetching),
+        &|c| is_well(c) && c.allowance.accepts(shared, is_worth_fetching),
         &is_well,
         &|c| c.standing != Standing::Down,
         &|_| true,
--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -47,7 +47,7 @@
 impl Allowance {
     /// Whether a request may be sent that could go elsewhere as well. What a starting endpoint is
     /// given should fill its cache; short prompts go elsewhere.
-    pub fn suits(
+    pub fn accepts(
         self,
         shared: Option<&SharedPrefix>,
         is_long: impl Fn(&SharedPrefix) -> bool,
--- a/crates/core/tests/routing/choose_plain.rs
+++ b/crates/core/tests/routing/choose_plain.rs
@@ -51,7 +51,7 @@
         |c: &&Candidate| c.standing == Standing::Good || trial && c.standing == Standing::Trial;
     let well: Vec<&Candidate> = open.iter().copied().filter(well).collect();
     let is_long = |prefix: &SharedPrefix| prefix.tokens.0 >= 400;
-    let suits = |c: &&Candidate| c.allowance.suits(Some(shared), is_long);
+    let suits = |c: &&Candidate| c.allowance.accepts(Some(shared), is_long);
     let suited: Vec<&Candidate> = well.iter().copied().filter(suits).collect();
     let up = open
         .iter()
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -232,7 +232,7 @@
     daemon.begin(&to, SPAN, START);
     let mut share = |passed: u64| {
         let allowance = daemon.allowance(&to, &pool(), START + SPAN + Millis(passed));
-        let suits = |key: &u64| allowance.suits(Some(&prefix(*key)), |_| true);
+        let suits = |key: &u64| allowance.accepts(Some(&prefix(*key)), |_| true);
         (0..1000).filter(suits).count()
     };
     expect_that!(share(300), all![ge(60), le(140)]);
