--- a/crates/core/src/routing/answer.rs
+++ b/crates/core/src/routing/answer.rs
@@ -32,7 +32,7 @@
     /// The endpoint's work.
     pub load: Option<LoadReport>,
     /// For how long it still has to be spared, if it says so.
-    pub warming: Option<Millis>,
+    pub slow_start: Option<Millis>,
     /// Whether the endpoint says that it will stop.
     pub leaving: bool,
     /// After what time a refused sender may come back.
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -252,7 +252,7 @@
     if let Some(load) = told.load {
         placement.report(id, load, now());
     }
-    if let Some(left) = told.warming {
+    if let Some(left) = told.slow_start {
         placement.spare(id, left, now());
     }
     placement.note(id, told.notice(), handed, &order.call.attempt);
