--- a/crates/core/src/routing/endpoint.rs
+++ b/crates/core/src/routing/endpoint.rs
@@ -58,5 +58,5 @@
     /// The endpoint.
     pub endpoint: Endpoint,
     /// For how long it still has to be spared after its start, as of the entry.
-    pub warming: Millis,
+    pub slow_start: Millis,
 }
--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/effect.rs
@@ -171,7 +171,7 @@
     /// Takes an endpoint's entry. Anyone may write entries: one that can't be read, or that isn't
     /// the endpoint's own, names no endpoint to use, whatever stood there before.
     fn list(&self, object: &Object) -> Option<Known> {
-        let Listing { endpoint, warming } = match objects::endpoint(object) {
+        let Listing { endpoint, slow_start } = match objects::endpoint(object) {
             Ok(listing) => listing,
             Err(error) => {
                 self.unreadable
@@ -182,7 +182,7 @@
         };
         let listed = self.placement.list(endpoint.clone(), now());
         if !matches!(listed, Listed::Ignored(_)) {
-            self.placement.spare(&endpoint.id, warming, now());
+            self.placement.spare(&endpoint.id, slow_start, now());
         }
         if listed == Listed::Ignored(EntryKind::Foreign) {
             let error = objects::birth_missing();
