--- a/crates/core/src/routing/answer.rs
+++ b/crates/core/src/routing/answer.rs
@@ -38,7 +38,7 @@
     /// After what time a refused sender may come back.
     pub retry_after: Option<Millis>,
     /// How long the connection may be idle.
-    pub keep: Option<Millis>,
+    pub keep_alive: Option<Millis>,
     /// Whether the body is a stream of events.
     pub events: bool,
     /// Whether the body's end is marked, by a length or in chunks, so that a connection that ends
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -219,14 +219,14 @@
             headers,
             body,
             kept: sent.kept,
-            keep: told.keep,
+            keep: told.keep_alive,
             is_framed: told.framed,
             flight,
             endpoint,
         })));
     }
     let body = read(plan, body).await?;
-    sent.kept.release(told.keep, order.spare());
+    sent.kept.release(told.keep_alive, order.spare());
     let whole = Whole {
         status: head.status,
         headers,
