--- a/crates/core/src/routing/request.rs
+++ b/crates/core/src/routing/request.rs
@@ -29,7 +29,7 @@
 /// A request's head, decoded.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
-pub struct Call {
+pub struct RequestHead {
     /// Identity of this attempt of the caller.
     pub attempt: String,
     /// How long the caller waits.
@@ -45,7 +45,7 @@
     pub last_event: Option<u64>,
 }
 
-impl Call {
+impl RequestHead {
     /// The shared start of the prompt, if it has one.
     pub fn shared(&self) -> Option<SharedPrefix> {
         let (_, shared) = self.parts.split_last()?;
--- a/crates/core/tests/routing/request.rs
+++ b/crates/core/tests/routing/request.rs
@@ -1,16 +1,16 @@
 use googletest::prelude::*;
-use medlarrill_core::routing::request::{Call, Part};
+use medlarrill_core::routing::request::{RequestHead, Part};
 use medlarrill_core::units::Tokens;
 
-fn call(model: &str, parts: &[(u64, u64)]) -> Call {
+fn call(model: &str, parts: &[(u64, u64)]) -> RequestHead {
     let part = |(id, tokens): &(u64, u64)| Part {
         id: *id,
         tokens: Tokens(*tokens),
     };
-    Call {
+    RequestHead {
         model: model.into(),
         parts: parts.iter().map(part).collect(),
-        ..Call::default()
+        ..RequestHead::default()
     }
 }
 
--- a/crates/router/src/entry/order.rs
+++ b/crates/router/src/entry/order.rs
@@ -16,7 +16,7 @@
 use medlarrill_core::routing::endpoint::InstanceId;
 use medlarrill_core::routing::fingerprint::Fingerprint;
 use medlarrill_core::routing::plan::{Next, Plan};
-use medlarrill_core::routing::request::Call;
+use medlarrill_core::routing::request::RequestHead;
 use medlarrill_platform::headers::{self, Outgoing};
 
 use crate::endpoints::spare;
@@ -38,7 +38,7 @@
     /// The pool that serves it.
     pub pool: PoolId,
     /// Its head, decoded.
-    pub call: Call,
+    pub call: RequestHead,
     /// What tells whether another request asks for the same.
     pub fingerprint: Fingerprint,
     /// Its method.
