--- a/crates/core/src/routing/request.rs
+++ b/crates/core/src/routing/request.rs
@@ -33,7 +33,7 @@
     /// Identity of this attempt of the caller.
     pub attempt: String,
     /// How long the caller waits.
-    pub wait: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The caller's key.
     #[debug(skip)]
     pub key: Option<String>,
--- a/crates/router/src/entry/handler.rs
+++ b/crates/router/src/entry/handler.rs
@@ -171,7 +171,7 @@
 
 /// Has a request answered by an endpoint.
 async fn serve(order: Order, arrived: Millis, mut trace: Trace) -> Answer {
-    let wait = order.call.wait.unwrap_or(Millis::MAX);
+    let wait = order.call.timeout.unwrap_or(Millis::MAX);
     let plan = Plan::new(&order.route, arrived + wait.min(order.route.timeout));
     let mut plan = plan.with_fingerprint(order.fingerprint);
     order.shared.placement.request(&order.pool, now());
