--- a/crates/core/src/routing/request.rs
+++ b/crates/core/src/routing/request.rs
@@ -9,7 +9,7 @@
 /// One part of a prompt; prompts share their first parts.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-pub struct Part {
+pub struct PromptPart {
     /// Its identity.
     pub id: u64,
     /// Its length.
@@ -40,7 +40,7 @@
     /// The model.
     pub model: String,
     /// Parts of the prompt, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// Last event that the caller has of a stream.
     pub last_event: Option<u64>,
 }
--- a/crates/core/tests/routing/request.rs
+++ b/crates/core/tests/routing/request.rs
@@ -1,9 +1,9 @@
 use googletest::prelude::*;
-use medlarrill_core::routing::request::{RequestHead, Part};
+use medlarrill_core::routing::request::{RequestHead, PromptPart};
 use medlarrill_core::units::Tokens;
 
 fn call(model: &str, parts: &[(u64, u64)]) -> RequestHead {
-    let part = |(id, tokens): &(u64, u64)| Part {
+    let part = |(id, tokens): &(u64, u64)| PromptPart {
         id: *id,
         tokens: Tokens(*tokens),
     };
