--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -37,7 +37,7 @@
 /// How an endpoint stands.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Debug)]
-pub enum Standing {
+pub enum HealthStatus {
     /// As good as any.
     Good,
     /// Worth a request that may be repeated, to see whether it is well again.
@@ -48,7 +48,7 @@
     Down,
 }
 
-impl Standing {
+impl HealthStatus {
     /// Whether other endpoints are preferred.
     pub const fn is_avoided(self) -> bool {
         !matches!(self, Self::Good)
@@ -128,17 +128,17 @@
 
 impl Look {
     /// How the endpoint stands against the mean of its pool's others, at one of some daemons.
-    pub fn standing(&self, others: f64, daemons: u32, now: Millis) -> Standing {
+    pub fn standing(&self, others: f64, daemons: u32, now: Millis) -> HealthStatus {
         if self.is_down {
-            return Standing::Down;
+            return HealthStatus::Down;
         }
         if self.failures <= others + MARGIN || !is_on(Mechanism::FailureShare) {
-            return Standing::Good;
+            return HealthStatus::Good;
         }
         let pause = OWN_TRIAL.max(Millis(TRIAL.0 * u64::from(daemons)));
         match now.since(self.tried) >= pause && is_on(Mechanism::Trials) {
-            true => Standing::Trial,
-            false => Standing::Bad,
+            true => HealthStatus::Trial,
+            false => HealthStatus::Bad,
         }
     }
 }
@@ -198,7 +198,7 @@
     }
 
     /// How an endpoint stands against the mean of its pool's others, at one of some daemons.
-    pub fn standing(&self, id: &InstanceId, others: f64, daemons: u32, now: Millis) -> Standing {
+    pub fn standing(&self, id: &InstanceId, others: f64, daemons: u32, now: Millis) -> HealthStatus {
         self.look(id, now).standing(others, daemons, now)
     }
 
--- a/crates/core/src/routing/view/judge.rs
+++ b/crates/core/src/routing/view/judge.rs
@@ -7,7 +7,7 @@
 use super::View;
 use crate::clock::Millis;
 use crate::routing::endpoint::{Endpoint, InstanceId};
-use crate::routing::health::{PoolFailures, Standing};
+use crate::routing::health::{PoolFailures, HealthStatus};
 
 /// How an endpoint is judged.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     /// The endpoint.
     pub endpoint: InstanceId,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: HealthStatus,
     /// Its failure share.
     pub failures: f64,
     /// The mean of its pool's others.
@@ -63,7 +63,7 @@
         id: &InstanceId,
         pool: PoolFailures,
         now: Millis,
-    ) -> (Standing, f64) {
+    ) -> (HealthStatus, f64) {
         let others = pool.others(self.health.failures(id, now));
         let standing = self.health.standing(id, others, self.daemons, now);
         (standing, others)
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -14,7 +14,7 @@
 use medlarrill_core::routing::exchange::{
     self, Entry, Exchange, Heard, Report, Sent, short_id, short_key,
 };
-use medlarrill_core::routing::health::Standing;
+use medlarrill_core::routing::health::HealthStatus;
 use medlarrill_core::routing::load::LoadTracker;
 use medlarrill_core::routing::slow_start::Allowance;
 use rand::{RngExt, SeedableRng};
@@ -135,7 +135,7 @@
             endpoint: Arc::clone(endpoint),
             load: loads.total(&endpoint.id, now),
             load_age: None,
-            standing: Standing::Good,
+            standing: HealthStatus::Good,
             tried: false,
             drained: is_drained && number.is_multiple_of(3),
             allowance: Allowance::All,
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -1,7 +1,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::health::{Health, Standing};
+use medlarrill_core::routing::health::{Health, HealthStatus};
 
 use super::support::id;
 
@@ -14,15 +14,15 @@
     health.trial(&id("a"), Millis(1004));
     expect_that!(
         health.standing(&id("a"), 0.05, 1, Millis(1010)),
-        eq(Standing::Bad)
+        eq(HealthStatus::Bad)
     );
     expect_that!(
         health.standing(&id("a"), 0.05, 1, Millis(1800)),
-        eq(Standing::Trial)
+        eq(HealthStatus::Trial)
     );
     expect_that!(
         health.standing(&id("a"), 0.05, 1, Millis(12_000)),
-        eq(Standing::Good)
+        eq(HealthStatus::Good)
     );
 }
 
@@ -32,7 +32,7 @@
     health.bad(&id("a"), Fault::Failed, Millis(0));
     expect_that!(
         health.standing(&id("a"), 0.0, 1, Millis(0)),
-        eq(Standing::Good)
+        eq(HealthStatus::Good)
     );
     for _ in 0..10 {
         health.bad(&id("a"), Fault::Failed, Millis(0));
@@ -42,7 +42,7 @@
     let others = pool.others(health.failures(&id("a"), Millis(0)));
     expect_that!(
         health.standing(&id("a"), others, 1, Millis(0)),
-        eq(Standing::Good)
+        eq(HealthStatus::Good)
     );
 }
 
@@ -57,10 +57,10 @@
         health.standing(&ids[0], others, 75, Millis(now))
     };
     for now in [0, 2000, 5000, 8000] {
-        expect_that!(standing(&health, now), not(eq(Standing::Good)), "{now}");
+        expect_that!(standing(&health, now), not(eq(HealthStatus::Good)), "{now}");
     }
     health.others(&ids[0], 10, 0, Millis(8000));
-    expect_that!(standing(&health, 8000), eq(Standing::Good));
+    expect_that!(standing(&health, 8000), eq(HealthStatus::Good));
 }
 
 #[gtest]
@@ -69,22 +69,22 @@
     health.bad(&id("a"), Fault::NotSent, Millis(0));
     expect_that!(
         health.standing(&id("a"), 0.0, 1, Millis(200)),
-        eq(Standing::Down)
+        eq(HealthStatus::Down)
     );
     expect_that!(
         health.standing(&id("a"), 0.0, 1, Millis(300)),
-        eq(Standing::Good)
+        eq(HealthStatus::Good)
     );
     health.bad(&id("a"), Fault::NotSent, Millis(300));
     expect_that!(
         health.standing(&id("a"), 0.0, 1, Millis(700)),
-        eq(Standing::Down)
+        eq(HealthStatus::Down)
     );
     health.good(&id("a"), Millis(900));
     health.bad(&id("a"), Fault::NotSent, Millis(900));
     expect_that!(
         health.standing(&id("a"), 0.0, 1, Millis(1200)),
-        eq(Standing::Good)
+        eq(HealthStatus::Good)
     );
 }
 
@@ -96,7 +96,7 @@
     }
     expect_that!(
         health.standing(&id("a"), 0.0, 1, Millis(0)),
-        eq(Standing::Good)
+        eq(HealthStatus::Good)
     );
 }
 
@@ -114,7 +114,7 @@
     expect_that!(one, near(other, 1e-9));
     expect_that!(
         told.standing(&id("a"), 0.0, 1, Millis(0)),
-        not(eq(Standing::Good))
+        not(eq(HealthStatus::Good))
     );
 }
 
@@ -126,7 +126,7 @@
     }
     health.trial(&id("a"), Millis(0));
     let at = |daemons, now| health.standing(&id("a"), 0.0, daemons, Millis(now));
-    expect_that!(at(7, 700), eq(Standing::Trial));
-    expect_that!(at(30, 700), eq(Standing::Bad));
-    expect_that!(at(30, 3000), eq(Standing::Trial));
+    expect_that!(at(7, 700), eq(HealthStatus::Trial));
+    expect_that!(at(30, 700), eq(HealthStatus::Bad));
+    expect_that!(at(30, 3000), eq(HealthStatus::Trial));
 }
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -13,7 +13,7 @@
 use medlarrill_core::routing::endpoint::{StartTime, Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{Entry, Heard, Others, Report};
 use medlarrill_core::routing::fleet::Fleet;
-use medlarrill_core::routing::health::Standing;
+use medlarrill_core::routing::health::HealthStatus;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::{Allowance, SlowStarts};
 use medlarrill_core::routing::view::View;
@@ -49,7 +49,7 @@
         endpoint: Arc::new(endpoint(name)),
         load,
         load_age: None,
-        standing: Standing::Good,
+        standing: HealthStatus::Good,
         tried: false,
         drained: false,
         allowance: Allowance::All,
