--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -64,7 +64,7 @@
     /// How old the part of the load is that others brought, if it was ever heard of.
     pub load_age: Option<Millis>,
     /// How it stands.
-    pub standing: HealthStatus,
+    pub health: HealthStatus,
     /// Whether this request was sent there before.
     pub tried: bool,
     /// Whether its data centre is drained.
@@ -182,11 +182,11 @@
     trial: bool,
 ) -> Vec<Ranked<'a>> {
     let is_well =
-        |c: &Candidate| c.standing == HealthStatus::Good || trial && c.standing == HealthStatus::Trial;
+        |c: &Candidate| c.health == HealthStatus::Good || trial && c.health == HealthStatus::Trial;
     let groups: [&dyn Fn(&Candidate) -> bool; 4] = [
         &|c| is_well(c) && c.allowance.accepts(shared, is_worth_fetching),
         &is_well,
-        &|c| c.standing != HealthStatus::Down,
+        &|c| c.health != HealthStatus::Down,
         &|_| true,
     ];
     let open = |c: &Candidate| c.takes_work() && !c.tried && c.allowance.is_open();
@@ -259,7 +259,7 @@
 /// The endpoint that was sent the prompt's shared parts last, other than this one.
 fn other_holder<'a>(all: &[Ranked<'a>], picked: &Candidate) -> Option<&'a Candidate> {
     let candidates = all.iter().map(|r| r.candidate);
-    let reachable = candidates.filter(|c| c.standing != HealthStatus::Down && !c.tried);
+    let reachable = candidates.filter(|c| c.health != HealthStatus::Down && !c.tried);
     let others = reachable.filter(|c| !std::ptr::eq(*c, picked) && c.sent.is_some());
     others.min_by_key(|c| c.sent)
 }
@@ -280,7 +280,7 @@
     let settled = |c: &Candidate| {
         !is_on(Mechanism::Settled) || c.age >= SETTLED || oldest.since(c.age) <= COHORT
     };
-    let reachable = |c: &Candidate| c.standing != HealthStatus::Down;
+    let reachable = |c: &Candidate| c.health != HealthStatus::Down;
     let holders = all.iter().copied();
     first(holders.filter(|r| reachable(r.candidate) && settled(r.candidate)))
 }
@@ -324,7 +324,7 @@
         load: picked.load,
         load_age: picked.load_age,
         bound: 0.0,
-        trial: picked.standing == HealthStatus::Trial,
+        trial: picked.health == HealthStatus::Trial,
         allowance: picked.allowance,
         moved: false,
     }
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -135,7 +135,7 @@
             endpoint: Arc::clone(endpoint),
             load: loads.total(&endpoint.id, now),
             load_age: None,
-            standing: HealthStatus::Good,
+            health: HealthStatus::Good,
             tried: false,
             drained: is_drained && number.is_multiple_of(3),
             allowance: Allowance::All,
--- a/crates/core/tests/routing/choose.rs
+++ b/crates/core/tests/routing/choose.rs
@@ -69,7 +69,7 @@
     for (number, candidate) in all.iter_mut().enumerate() {
         match number < 3 {
             true => candidate.load = 100.0 + number as f64,
-            false => candidate.standing = HealthStatus::Down,
+            false => candidate.health = HealthStatus::Down,
         }
     }
     let choice = by_prefix(&all, 7);
@@ -172,7 +172,7 @@
 fn endpoints_that_fail_are_avoided_and_tried_now_and_then() {
     let mut all = candidates(3, 2.0);
     all[1].load = 0.0;
-    all[1].standing = HealthStatus::Trial;
+    all[1].health = HealthStatus::Trial;
     expect_that!(drawn(&all, false)[1], eq(0));
     expect_that!(drawn(&all, true)[1], gt(1000));
     let mut rng = Pcg32::seed_from_u64(1);
@@ -187,6 +187,6 @@
 fn a_second_attempt_goes_elsewhere_even_to_an_endpoint_in_trouble() {
     let mut all = candidates(2, 0.0);
     all[0].tried = true;
-    all[1].standing = HealthStatus::Down;
+    all[1].health = HealthStatus::Down;
     expect_that!(by_load(&all, false).endpoint.id.endpoint.as_str(), eq("e1"));
 }
--- a/crates/core/tests/routing/choose_plain.rs
+++ b/crates/core/tests/routing/choose_plain.rs
@@ -48,7 +48,7 @@
     };
     let open: Vec<&Candidate> = all.iter().filter(open).collect();
     let well =
-        |c: &&Candidate| c.standing == HealthStatus::Good || trial && c.standing == HealthStatus::Trial;
+        |c: &&Candidate| c.health == HealthStatus::Good || trial && c.health == HealthStatus::Trial;
     let well: Vec<&Candidate> = open.iter().copied().filter(well).collect();
     let is_long = |prefix: &SharedPrefix| prefix.tokens.0 >= 400;
     let suits = |c: &&Candidate| c.allowance.accepts(Some(shared), is_long);
@@ -56,7 +56,7 @@
     let up = open
         .iter()
         .copied()
-        .filter(|c| c.standing != HealthStatus::Down);
+        .filter(|c| c.health != HealthStatus::Down);
     let groups = [suited, well, up.collect(), open];
     let group = groups.into_iter().find(|group| !group.is_empty());
     group.unwrap_or_default()
@@ -89,7 +89,7 @@
     let picked = *drawn.or(open.first()).or(least)?;
     let oldest = all.iter().map(|c| c.age).max()?;
     let settled = |c: &&&Candidate| c.age >= SETTLED || oldest.since(c.age) <= COHORT;
-    let reachable = all.iter().filter(|c| c.standing != HealthStatus::Down);
+    let reachable = all.iter().filter(|c| c.health != HealthStatus::Down);
     let reachable = sorted(reachable, shared.key);
     let holder = reachable.iter().find(settled).copied();
     let holders = reachable.iter().filter(|c| !c.tried && c.sent.is_some());
@@ -111,18 +111,18 @@
     fn any_candidate()(
         (leaving, drained, tried) in (prop::bool::weighted(0.1), prop::bool::weighted(0.2), prop::bool::weighted(0.1)),
         load in 0_u32..12,
-        standing in 0_usize..8,
+        status in 0_usize..8,
         allowance in 0_usize..8,
         age in 0_u64..60_000,
         sent in proptest::option::weighted(0.2, 0_u64..9000),
     ) -> Candidate {
-        let standings = [HealthStatus::Trial, HealthStatus::Bad, HealthStatus::Down];
+        let statuses = [HealthStatus::Trial, HealthStatus::Bad, HealthStatus::Down];
         let allowances = [Allowance::Part(0.5), Allowance::One, Allowance::Nothing];
         Candidate {
             drained,
             tried,
             endpoint: std::sync::Arc::new(Endpoint { leaving, ..endpoint("e") }),
-            standing: standings.get(standing).copied().unwrap_or(HealthStatus::Good),
+            health: statuses.get(status).copied().unwrap_or(HealthStatus::Good),
             allowance: allowances.get(allowance).copied().unwrap_or(Allowance::All),
             age: Millis(age),
             sent: sent.map(Millis),
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -49,7 +49,7 @@
         endpoint: Arc::new(endpoint(name)),
         load,
         load_age: None,
-        standing: HealthStatus::Good,
+        health: HealthStatus::Good,
         tried: false,
         drained: false,
         allowance: Allowance::All,
