--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -128,7 +128,7 @@
 
 impl Look {
     /// How the endpoint stands against the mean of its pool's others, at one of some daemons.
-    pub fn standing(&self, others: f64, daemons: u32, now: Millis) -> HealthStatus {
+    pub fn status(&self, others: f64, daemons: u32, now: Millis) -> HealthStatus {
         if self.is_down {
             return HealthStatus::Down;
         }
@@ -198,8 +198,8 @@
     }
 
     /// How an endpoint stands against the mean of its pool's others, at one of some daemons.
-    pub fn standing(&self, id: &InstanceId, others: f64, daemons: u32, now: Millis) -> HealthStatus {
-        self.look(id, now).standing(others, daemons, now)
+    pub fn status(&self, id: &InstanceId, others: f64, daemons: u32, now: Millis) -> HealthStatus {
+        self.look(id, now).status(others, daemons, now)
     }
 
     /// Failure share of an endpoint, 0 to 1.
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -410,7 +410,7 @@
             Candidate {
                 load,
                 load_age: estimate.age,
-                health: look.standing(others, self.daemons, now),
+                health: look.status(others, self.daemons, now),
                 tried: plan.has_tried(&endpoint.id),
                 drained: self.is_drained(endpoint),
                 allowance,
--- a/crates/core/src/routing/view/judge.rs
+++ b/crates/core/src/routing/view/judge.rs
@@ -65,7 +65,7 @@
         now: Millis,
     ) -> (HealthStatus, f64) {
         let others = pool.others(self.health.failures(id, now));
-        let standing = self.health.standing(id, others, self.daemons, now);
+        let standing = self.health.status(id, others, self.daemons, now);
         (standing, others)
     }
 }
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -13,15 +13,15 @@
     }
     health.trial(&id("a"), Millis(1004));
     expect_that!(
-        health.standing(&id("a"), 0.05, 1, Millis(1010)),
+        health.status(&id("a"), 0.05, 1, Millis(1010)),
         eq(HealthStatus::Bad)
     );
     expect_that!(
-        health.standing(&id("a"), 0.05, 1, Millis(1800)),
+        health.status(&id("a"), 0.05, 1, Millis(1800)),
         eq(HealthStatus::Trial)
     );
     expect_that!(
-        health.standing(&id("a"), 0.05, 1, Millis(12_000)),
+        health.status(&id("a"), 0.05, 1, Millis(12_000)),
         eq(HealthStatus::Good)
     );
 }
@@ -31,7 +31,7 @@
     let mut health = Health::default();
     health.bad(&id("a"), Fault::Failed, Millis(0));
     expect_that!(
-        health.standing(&id("a"), 0.0, 1, Millis(0)),
+        health.status(&id("a"), 0.0, 1, Millis(0)),
         eq(HealthStatus::Good)
     );
     for _ in 0..10 {
@@ -41,7 +41,7 @@
     let pool = health.pool(ids.iter(), Millis(0));
     let others = pool.others(health.failures(&id("a"), Millis(0)));
     expect_that!(
-        health.standing(&id("a"), others, 1, Millis(0)),
+        health.status(&id("a"), others, 1, Millis(0)),
         eq(HealthStatus::Good)
     );
 }
@@ -54,7 +54,7 @@
     let standing = |health: &Health, now| {
         let pool = health.pool(ids.iter(), Millis(now));
         let others = pool.others(health.failures(&ids[0], Millis(now)));
-        health.standing(&ids[0], others, 75, Millis(now))
+        health.status(&ids[0], others, 75, Millis(now))
     };
     for now in [0, 2000, 5000, 8000] {
         expect_that!(standing(&health, now), not(eq(HealthStatus::Good)), "{now}");
@@ -68,22 +68,22 @@
     let mut health = Health::default();
     health.bad(&id("a"), Fault::NotSent, Millis(0));
     expect_that!(
-        health.standing(&id("a"), 0.0, 1, Millis(200)),
+        health.status(&id("a"), 0.0, 1, Millis(200)),
         eq(HealthStatus::Down)
     );
     expect_that!(
-        health.standing(&id("a"), 0.0, 1, Millis(300)),
+        health.status(&id("a"), 0.0, 1, Millis(300)),
         eq(HealthStatus::Good)
     );
     health.bad(&id("a"), Fault::NotSent, Millis(300));
     expect_that!(
-        health.standing(&id("a"), 0.0, 1, Millis(700)),
+        health.status(&id("a"), 0.0, 1, Millis(700)),
         eq(HealthStatus::Down)
     );
     health.good(&id("a"), Millis(900));
     health.bad(&id("a"), Fault::NotSent, Millis(900));
     expect_that!(
-        health.standing(&id("a"), 0.0, 1, Millis(1200)),
+        health.status(&id("a"), 0.0, 1, Millis(1200)),
         eq(HealthStatus::Good)
     );
 }
@@ -95,7 +95,7 @@
         health.bad(&id("a"), Fault::Rejected, Millis(0));
     }
     expect_that!(
-        health.standing(&id("a"), 0.0, 1, Millis(0)),
+        health.status(&id("a"), 0.0, 1, Millis(0)),
         eq(HealthStatus::Good)
     );
 }
@@ -113,7 +113,7 @@
     );
     expect_that!(one, near(other, 1e-9));
     expect_that!(
-        told.standing(&id("a"), 0.0, 1, Millis(0)),
+        told.status(&id("a"), 0.0, 1, Millis(0)),
         not(eq(HealthStatus::Good))
     );
 }
@@ -125,7 +125,7 @@
         health.bad(&id("a"), Fault::Lost, Millis(0));
     }
     health.trial(&id("a"), Millis(0));
-    let at = |daemons, now| health.standing(&id("a"), 0.0, daemons, Millis(now));
+    let at = |daemons, now| health.status(&id("a"), 0.0, daemons, Millis(now));
     expect_that!(at(7, 700), eq(HealthStatus::Trial));
     expect_that!(at(30, 700), eq(HealthStatus::Bad));
     expect_that!(at(30, 3000), eq(HealthStatus::Trial));
