--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -74,8 +74,8 @@
     }
 }
 
-impl FromIterator<Look> for PoolFailures {
-    fn from_iter<I: IntoIterator<Item = Look>>(looks: I) -> Self {
+impl FromIterator<HealthSnapshot> for PoolFailures {
+    fn from_iter<I: IntoIterator<Item = HealthSnapshot>>(looks: I) -> Self {
         let mut pool = Self::default();
         for look in looks {
             pool.sum += look.failures;
@@ -119,14 +119,14 @@
 /// What is remembered of one endpoint, as of a moment.
 #[derive(Clone, Copy, PartialEq, Default)]
 #[derive(Debug)]
-pub struct Look {
+pub struct HealthSnapshot {
     /// Its failure share, 0 to 1.
     pub failures: f64,
     is_down: bool,
     tried: Millis,
 }
 
-impl Look {
+impl HealthSnapshot {
     /// How the endpoint stands against the mean of its pool's others, at one of some daemons.
     pub fn status(&self, others: f64, daemons: u32, now: Millis) -> HealthStatus {
         if self.is_down {
@@ -208,9 +208,9 @@
     }
 
     /// What is remembered of an endpoint, as of now.
-    pub fn look(&self, id: &InstanceId, now: Millis) -> Look {
+    pub fn look(&self, id: &InstanceId, now: Millis) -> HealthSnapshot {
         let record = self.records.get(id);
-        record.map_or_else(Look::default, |record| Look {
+        record.map_or_else(HealthSnapshot::default, |record| HealthSnapshot {
             failures: record.failures(now),
             is_down: now < record.until,
             tried: record.tried,
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -30,7 +30,7 @@
 use crate::routing::endpoint::{Endpoint, InstanceId};
 use crate::routing::exchange;
 use crate::routing::fleet::Fleet;
-use crate::routing::health::{Health, Look, PoolFailures};
+use crate::routing::health::{Health, HealthSnapshot, PoolFailures};
 use crate::routing::prefix_index::PrefixIndex;
 use crate::routing::load::{LoadTracker, LoadReport};
 use crate::routing::notices::Notices;
@@ -392,13 +392,13 @@
             self.holders.age(prefix, exchange::short_id(id), now)
         };
         let listed = self.directory.pool(pool);
-        let looks: Vec<Look> = listed
+        let looks: Vec<HealthSnapshot> = listed
             .iter()
             .map(|endpoint| self.health.look(&endpoint.id, now))
             .collect();
         let ready = listed.iter().zip(&looks).filter(|(e, _)| !e.leaving);
         let failures: PoolFailures = ready.map(|(_, look)| *look).collect();
-        let candidate = |((endpoint, look), allowance): ((&Arc<Endpoint>, &Look), Allowance)| {
+        let candidate = |((endpoint, look), allowance): ((&Arc<Endpoint>, &HealthSnapshot), Allowance)| {
             let estimate = self.loads.estimate(&endpoint.id, now);
             // Where requests are drawn by load, all daemons would carry on each chance of others'
             // choices, and shun and fill the same endpoints together.
