--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -194,21 +194,21 @@
 
     /// Failure shares of the endpoints of a pool.
     pub fn pool<'a>(&self, ids: impl Iterator<Item = &'a InstanceId>, now: Millis) -> PoolFailures {
-        ids.map(|id| self.look(id, now)).collect()
+        ids.map(|id| self.snapshot(id, now)).collect()
     }
 
     /// How an endpoint stands against the mean of its pool's others, at one of some daemons.
     pub fn status(&self, id: &InstanceId, others: f64, daemons: u32, now: Millis) -> HealthStatus {
-        self.look(id, now).status(others, daemons, now)
+        self.snapshot(id, now).status(others, daemons, now)
     }
 
     /// Failure share of an endpoint, 0 to 1.
     pub fn failures(&self, id: &InstanceId, now: Millis) -> f64 {
-        self.look(id, now).failures
+        self.snapshot(id, now).failures
     }
 
     /// What is remembered of an endpoint, as of now.
-    pub fn look(&self, id: &InstanceId, now: Millis) -> HealthSnapshot {
+    pub fn snapshot(&self, id: &InstanceId, now: Millis) -> HealthSnapshot {
         let record = self.records.get(id);
         record.map_or_else(HealthSnapshot::default, |record| HealthSnapshot {
             failures: record.failures(now),
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -394,7 +394,7 @@
         let listed = self.directory.pool(pool);
         let looks: Vec<HealthSnapshot> = listed
             .iter()
-            .map(|endpoint| self.health.look(&endpoint.id, now))
+            .map(|endpoint| self.health.snapshot(&endpoint.id, now))
             .collect();
         let ready = listed.iter().zip(&looks).filter(|(e, _)| !e.leaving);
         let failures: PoolFailures = ready.map(|(_, look)| *look).collect();
