--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -152,7 +152,7 @@
 
 impl Health {
     /// Notes a good answer, or the good start of one.
-    pub fn good(&mut self, id: &InstanceId, now: Millis) {
+    pub fn record_success(&mut self, id: &InstanceId, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
         record.refused = 0;
         record.answer(0.0, now);
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -259,7 +259,7 @@
         if !self.directory.is_listed(id) {
             return;
         }
-        self.health.good(id, now);
+        self.health.record_success(id, now);
         self.paces.record(id, 1, now);
         self.outcomes.entry(id.clone()).or_default().good += 1;
     }
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -80,7 +80,7 @@
         health.status(&id("a"), 0.0, 1, Millis(700)),
         eq(HealthStatus::Down)
     );
-    health.good(&id("a"), Millis(900));
+    health.record_success(&id("a"), Millis(900));
     health.bad(&id("a"), Fault::NotSent, Millis(900));
     expect_that!(
         health.status(&id("a"), 0.0, 1, Millis(1200)),
