--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -159,7 +159,7 @@
     }
 
     /// Notes a failed attempt.
-    pub fn bad(&mut self, id: &InstanceId, fault: Fault, now: Millis) {
+    pub fn record_failure(&mut self, id: &InstanceId, fault: Fault, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
         match fault {
             Fault::NotSent => {
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -269,7 +269,7 @@
         if !self.directory.is_listed(id) {
             return;
         }
-        self.health.bad(id, fault, now);
+        self.health.record_failure(id, fault, now);
         if fault.is_loss() || fault == Fault::NotSent {
             // It may have started again.
             self.presume_started(id, now);
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -9,7 +9,7 @@
 fn failures_well_above_the_pools_mean_make_an_endpoint_bad_and_time_heals_it() {
     let mut health = Health::default();
     for at in 0..4 {
-        health.bad(&id("a"), Fault::Failed, Millis(1000 + at));
+        health.record_failure(&id("a"), Fault::Failed, Millis(1000 + at));
     }
     health.trial(&id("a"), Millis(1004));
     expect_that!(
@@ -29,13 +29,13 @@
 #[gtest]
 fn a_single_failure_and_a_failing_pool_are_no_reason_to_avoid_an_endpoint() {
     let mut health = Health::default();
-    health.bad(&id("a"), Fault::Failed, Millis(0));
+    health.record_failure(&id("a"), Fault::Failed, Millis(0));
     expect_that!(
         health.status(&id("a"), 0.0, 1, Millis(0)),
         eq(HealthStatus::Good)
     );
     for _ in 0..10 {
-        health.bad(&id("a"), Fault::Failed, Millis(0));
+        health.record_failure(&id("a"), Fault::Failed, Millis(0));
     }
     let ids = [id("a")];
     let pool = health.pool(ids.iter(), Millis(0));
@@ -66,7 +66,7 @@
 #[gtest]
 fn an_endpoint_without_connection_is_down_for_a_while_that_doubles() {
     let mut health = Health::default();
-    health.bad(&id("a"), Fault::NotSent, Millis(0));
+    health.record_failure(&id("a"), Fault::NotSent, Millis(0));
     expect_that!(
         health.status(&id("a"), 0.0, 1, Millis(200)),
         eq(HealthStatus::Down)
@@ -75,13 +75,13 @@
         health.status(&id("a"), 0.0, 1, Millis(300)),
         eq(HealthStatus::Good)
     );
-    health.bad(&id("a"), Fault::NotSent, Millis(300));
+    health.record_failure(&id("a"), Fault::NotSent, Millis(300));
     expect_that!(
         health.status(&id("a"), 0.0, 1, Millis(700)),
         eq(HealthStatus::Down)
     );
     health.record_success(&id("a"), Millis(900));
-    health.bad(&id("a"), Fault::NotSent, Millis(900));
+    health.record_failure(&id("a"), Fault::NotSent, Millis(900));
     expect_that!(
         health.status(&id("a"), 0.0, 1, Millis(1200)),
         eq(HealthStatus::Good)
@@ -92,7 +92,7 @@
 fn being_full_is_no_illness() {
     let mut health = Health::default();
     for _ in 0..20 {
-        health.bad(&id("a"), Fault::Rejected, Millis(0));
+        health.record_failure(&id("a"), Fault::Rejected, Millis(0));
     }
     expect_that!(
         health.status(&id("a"), 0.0, 1, Millis(0)),
@@ -104,7 +104,7 @@
 fn what_other_daemons_saw_counts_like_own_answers() {
     let (mut own, mut told) = (Health::default(), Health::default());
     for _ in 0..5 {
-        own.bad(&id("a"), Fault::Lost, Millis(0));
+        own.record_failure(&id("a"), Fault::Lost, Millis(0));
     }
     told.others(&id("a"), 0, 5, Millis(0));
     let (one, other) = (
@@ -122,7 +122,7 @@
 fn a_large_fleet_tries_an_endpoint_no_more_often_than_a_small_one() {
     let mut health = Health::default();
     for _ in 0..10 {
-        health.bad(&id("a"), Fault::Lost, Millis(0));
+        health.record_failure(&id("a"), Fault::Lost, Millis(0));
     }
     health.trial(&id("a"), Millis(0));
     let at = |daemons, now| health.status(&id("a"), 0.0, daemons, Millis(now));
