--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -174,7 +174,7 @@
     }
 
     /// Notes how requests of other daemons went.
-    pub fn others(&mut self, id: &InstanceId, good: u32, bad: u32, now: Millis) {
+    pub fn record_others(&mut self, id: &InstanceId, good: u32, bad: u32, now: Millis) {
         let count = good + bad;
         if count > 0 {
             let record = self.records.entry(id.clone()).or_default();
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -321,7 +321,7 @@
     }
 
     /// Takes what the other daemons have at endpoints, all of them together.
-    pub fn others(&mut self, heard: exchange::Heard, daemons: usize, now: Millis) {
+    pub fn record_others(&mut self, heard: exchange::Heard, daemons: usize, now: Millis) {
         let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
         self.daemons = daemons;
         self.hot = heard.hot;
@@ -335,7 +335,7 @@
                 self.loads.set_others(&endpoint.id, others.in_flight, now);
             }
             let health = &mut self.health;
-            health.others(&endpoint.id, others.good, others.bad, now);
+            health.record_others(&endpoint.id, others.good, others.bad, now);
             let answers = others.good + others.bad;
             self.paces.record(&endpoint.id, answers, now);
         }
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -50,7 +50,7 @@
 fn an_endpoint_that_fails_all_is_avoided_until_trials_go_well() {
     let mut health = Health::default();
     let ids = ["a", "b", "c"].map(id);
-    health.others(&ids[0], 0, 20, Millis(0));
+    health.record_others(&ids[0], 0, 20, Millis(0));
     let standing = |health: &Health, now| {
         let pool = health.pool(ids.iter(), Millis(now));
         let others = pool.others(health.failures(&ids[0], Millis(now)));
@@ -59,7 +59,7 @@
     for now in [0, 2000, 5000, 8000] {
         expect_that!(standing(&health, now), not(eq(HealthStatus::Good)), "{now}");
     }
-    health.others(&ids[0], 10, 0, Millis(8000));
+    health.record_others(&ids[0], 10, 0, Millis(8000));
     expect_that!(standing(&health, 8000), eq(HealthStatus::Good));
 }
 
@@ -106,7 +106,7 @@
     for _ in 0..5 {
         own.record_failure(&id("a"), Fault::Lost, Millis(0));
     }
-    told.others(&id("a"), 0, 5, Millis(0));
+    told.record_others(&id("a"), 0, 5, Millis(0));
     let (one, other) = (
         own.failures(&id("a"), Millis(0)),
         told.failures(&id("a"), Millis(0)),
