--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -183,7 +183,7 @@
     }
 
     /// Notes that an endpoint is given a request on trial.
-    pub fn trial(&mut self, id: &InstanceId, now: Millis) {
+    pub fn record_probe(&mut self, id: &InstanceId, now: Millis) {
         self.records.entry(id.clone()).or_default().tried = now;
     }
 
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -218,7 +218,7 @@
             self.slow_starts.record_sent(id, now);
         }
         if choice.trial {
-            self.health.trial(id, now);
+            self.health.record_probe(id, now);
         }
         Ok(choice)
     }
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -11,7 +11,7 @@
     for at in 0..4 {
         health.record_failure(&id("a"), Fault::Failed, Millis(1000 + at));
     }
-    health.trial(&id("a"), Millis(1004));
+    health.record_probe(&id("a"), Millis(1004));
     expect_that!(
         health.status(&id("a"), 0.05, 1, Millis(1010)),
         eq(HealthStatus::Bad)
@@ -124,7 +124,7 @@
     for _ in 0..10 {
         health.record_failure(&id("a"), Fault::Lost, Millis(0));
     }
-    health.trial(&id("a"), Millis(0));
+    health.record_probe(&id("a"), Millis(0));
     let at = |daemons, now| health.status(&id("a"), 0.0, daemons, Millis(now));
     expect_that!(at(7, 700), eq(HealthStatus::Trial));
     expect_that!(at(30, 700), eq(HealthStatus::Bad));
