--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -406,7 +406,7 @@
                 Some(_) => estimate.extrapolated,
                 None => estimate.reported,
             };
-            let others = failures.others(look.failures);
+            let others = failures.mean_of_others(look.failures);
             Candidate {
                 load,
                 load_age: estimate.age,
--- a/crates/core/src/routing/view/judge.rs
+++ b/crates/core/src/routing/view/judge.rs
@@ -64,7 +64,7 @@
         pool: PoolFailures,
         now: Millis,
     ) -> (HealthStatus, f64) {
-        let others = pool.others(self.health.failures(id, now));
+        let others = pool.mean_of_others(self.health.failures(id, now));
         let standing = self.health.status(id, others, self.daemons, now);
         (standing, others)
     }
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -39,7 +39,7 @@
     }
     let ids = [id("a")];
     let pool = health.pool(ids.iter(), Millis(0));
-    let others = pool.others(health.failures(&id("a"), Millis(0)));
+    let others = pool.mean_of_others(health.failures(&id("a"), Millis(0)));
     expect_that!(
         health.status(&id("a"), others, 1, Millis(0)),
         eq(HealthStatus::Good)
@@ -53,7 +53,7 @@
     health.record_others(&ids[0], 0, 20, Millis(0));
     let standing = |health: &Health, now| {
         let pool = health.pool(ids.iter(), Millis(now));
-        let others = pool.others(health.failures(&ids[0], Millis(now)));
+        let others = pool.mean_of_others(health.failures(&ids[0], Millis(now)));
         health.status(&ids[0], others, 75, Millis(now))
     };
     for now in [0, 2000, 5000, 8000] {
