--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -84,10 +84,10 @@
     }
 }
 
-/// Why an endpoint was picked.
+/// ChoiceReason an endpoint was picked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display)]
-pub enum Why {
+pub enum ChoiceReason {
     /// First in rank for the prompt.
     #[display("first-ranked")]
     First,
@@ -107,8 +107,8 @@
     pub endpoint: Arc<Endpoint>,
     /// Where cached parts of the prompt can be fetched from.
     pub source: Option<Arc<Endpoint>>,
-    /// Why it was picked.
-    pub why: Why,
+    /// ChoiceReason it was picked.
+    pub why: ChoiceReason,
     /// Its load when picked.
     pub load: f64,
     /// How old the part of the load is that others brought, if it was ever heard of.
@@ -222,8 +222,8 @@
     let picked = draw(&open, room, rng).or_else(least)?;
     let is_first = first(usable.iter().copied()).is_some_and(|first| std::ptr::eq(first, picked));
     let why = match is_first {
-        true => Why::First,
-        false => Why::Next,
+        true => ChoiceReason::First,
+        false => ChoiceReason::Next,
     };
     let holder = holder(all);
     let moved = !holder.is_some_and(|holder| std::ptr::eq(holder, picked));
@@ -297,7 +297,7 @@
     };
     let usable: Vec<&Candidate> = usable.iter().map(|r| r.candidate).collect();
     let picked = draw(&usable, weight, rng)?;
-    Some(choice(picked, Why::Drawn))
+    Some(choice(picked, ChoiceReason::Drawn))
 }
 
 /// One of some endpoints, drawn by their weights, so that daemons that see the same loads don't
@@ -316,7 +316,7 @@
     drawn.or(open.first()).copied()
 }
 
-fn choice(picked: &Candidate, why: Why) -> Choice {
+fn choice(picked: &Candidate, why: ChoiceReason) -> Choice {
     Choice {
         endpoint: Arc::clone(&picked.endpoint),
         source: None,
