--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -108,7 +108,7 @@
     /// Where cached parts of the prompt can be fetched from.
     pub source: Option<Arc<Endpoint>>,
     /// ChoiceReason it was picked.
-    pub why: ChoiceReason,
+    pub reason: ChoiceReason,
     /// Its load when picked.
     pub load: f64,
     /// How old the part of the load is that others brought, if it was ever heard of.
@@ -221,7 +221,7 @@
     let room = |c: &Candidate| bound - c.load + 1.0;
     let picked = draw(&open, room, rng).or_else(least)?;
     let is_first = first(usable.iter().copied()).is_some_and(|first| std::ptr::eq(first, picked));
-    let why = match is_first {
+    let reason = match is_first {
         true => ChoiceReason::First,
         false => ChoiceReason::Next,
     };
@@ -235,7 +235,7 @@
     Some(Choice {
         source: source.map(|source| Arc::clone(&source.endpoint)),
         moved,
-        ..choice(picked, why)
+        ..choice(picked, reason)
     })
 }
 
@@ -316,11 +316,11 @@
     drawn.or(open.first()).copied()
 }
 
-fn choice(picked: &Candidate, why: ChoiceReason) -> Choice {
+fn choice(picked: &Candidate, reason: ChoiceReason) -> Choice {
     Choice {
         endpoint: Arc::clone(&picked.endpoint),
         source: None,
-        why,
+        reason,
         load: picked.load,
         load_age: picked.load_age,
         bound: 0.0,
--- a/crates/core/tests/routing/choose.rs
+++ b/crates/core/tests/routing/choose.rs
@@ -35,7 +35,7 @@
     for key in 0..200 {
         let (one, other) = (by_prefix(&all, key), by_prefix(&reversed, key));
         expect_that!(one.endpoint.id, eq(&other.endpoint.id));
-        expect_that!(one.why, eq(ChoiceReason::First));
+        expect_that!(one.reason, eq(ChoiceReason::First));
         expect_that!(one.source, none());
     }
 }
@@ -48,7 +48,7 @@
     all[at].load = 20.0;
     let next = by_prefix(&all, 7);
     expect_that!(next.endpoint.id, not(eq(&first.endpoint.id)));
-    expect_that!(next.why, eq(ChoiceReason::Next));
+    expect_that!(next.reason, eq(ChoiceReason::Next));
     let source = next.source.expect("a source");
     expect_that!(source.id, eq(&first.endpoint.id));
 }
--- a/crates/router/src/entry/trace.rs
+++ b/crates/router/src/entry/trace.rs
@@ -84,7 +84,7 @@
         let list_age = self.shared.copies.age(Kind::Endpoints, now());
         log::info!(
             target: "entry", request = self.request, attempt = self.attempts, version = self.version,
-            endpoint:% = choice.endpoint.id, why:% = choice.why, load = choice.load,
+            endpoint:% = choice.endpoint.id, why:% = choice.reason, load = choice.load,
             load_age = choice.load_age.map(|age| age.0), list_age = list_age.map(|age| age.0),
             bound = choice.bound, trial = choice.trial, left = left.0,
             prefix = shared.map_or(0, |shared| shared.key), tokens = shared.map_or(0, |shared| shared.tokens.0),
