--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -116,7 +116,7 @@
     /// Load up to which it would have been given more.
     pub bound: f64,
     /// Whether it was picked on trial.
-    pub trial: bool,
+    pub probe: bool,
     /// What could be sent there when it was picked.
     pub allowance: Allowance,
     /// Whether other daemons can't tell by rank and age that the prompt goes here.
@@ -324,7 +324,7 @@
         load: picked.load,
         load_age: picked.load_age,
         bound: 0.0,
-        trial: picked.health == HealthStatus::Trial,
+        probe: picked.health == HealthStatus::Trial,
         allowance: picked.allowance,
         moved: false,
     }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -217,7 +217,7 @@
         if choice.allowance == Allowance::One {
             self.slow_starts.record_sent(id, now);
         }
-        if choice.trial {
+        if choice.probe {
             self.health.record_probe(id, now);
         }
         Ok(choice)
--- a/crates/core/tests/routing/choose.rs
+++ b/crates/core/tests/routing/choose.rs
@@ -179,7 +179,7 @@
     let choices = (0..100).filter_map(|_| choose(&all, None, 0.0, &near(), true, &mut rng));
     for choice in choices {
         let is_tried = choice.endpoint.id.endpoint.as_str() == "e1";
-        expect_that!(choice.trial, eq(is_tried));
+        expect_that!(choice.probe, eq(is_tried));
     }
 }
 
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -77,7 +77,7 @@
     expect_that!(picked.endpoint.id, eq(&new));
     expect_that!(picked.load, eq(0.0));
     expect_that!(picked.load_age, none());
-    expect_that!(picked.trial, eq(false));
+    expect_that!(picked.probe, eq(false));
 }
 
 #[gtest]
--- a/crates/router/src/entry/trace.rs
+++ b/crates/router/src/entry/trace.rs
@@ -86,7 +86,7 @@
             target: "entry", request = self.request, attempt = self.attempts, version = self.version,
             endpoint:% = choice.endpoint.id, why:% = choice.reason, load = choice.load,
             load_age = choice.load_age.map(|age| age.0), list_age = list_age.map(|age| age.0),
-            bound = choice.bound, trial = choice.trial, left = left.0,
+            bound = choice.bound, trial = choice.probe, left = left.0,
             prefix = shared.map_or(0, |shared| shared.key), tokens = shared.map_or(0, |shared| shared.tokens.0),
             source = choice.source.as_ref().map_or_else(String::new, |source| source.id.to_string());
             "entry: sent"
