--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -74,7 +74,7 @@
     /// How long it has been listed.
     pub age: Millis,
     /// Time since it was sent the prompt's shared parts, as far as that is known.
-    pub sent: Option<Millis>,
+    pub prefix_age: Option<Millis>,
 }
 
 impl Candidate {
@@ -229,7 +229,7 @@
     let moved = !holder.is_some_and(|holder| std::ptr::eq(holder, picked));
     let source = match is_worth_fetching(prefix) && is_on(Mechanism::Fetch) {
         true if moved => other_holder(all, picked).or(holder),
-        true if picked.sent.is_none() => other_holder(all, picked),
+        true if picked.prefix_age.is_none() => other_holder(all, picked),
         _ => None,
     };
     Some(Choice {
@@ -260,8 +260,8 @@
 fn other_holder<'a>(all: &[Ranked<'a>], picked: &Candidate) -> Option<&'a Candidate> {
     let candidates = all.iter().map(|r| r.candidate);
     let reachable = candidates.filter(|c| c.health != HealthStatus::Down && !c.tried);
-    let others = reachable.filter(|c| !std::ptr::eq(*c, picked) && c.sent.is_some());
-    others.min_by_key(|c| c.sent)
+    let others = reachable.filter(|c| !std::ptr::eq(*c, picked) && c.prefix_age.is_some());
+    others.min_by_key(|c| c.prefix_age)
 }
 
 /// Places among which a prefix with a share of the pool's traffic is spread.
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -415,7 +415,7 @@
                 drained: self.is_drained(endpoint),
                 allowance,
                 age: self.age(&endpoint.id, now),
-                sent: sent(&endpoint.id),
+                prefix_age: sent(&endpoint.id),
                 endpoint: Arc::clone(endpoint),
             }
         };
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -131,7 +131,7 @@
         let loads = &mut self.daemons[daemon].1;
         let is_drained = now.0 >= self.drained;
         let candidate = |(number, endpoint): (usize, &Arc<Endpoint>)| Candidate {
-            sent: None,
+            prefix_age: None,
             endpoint: Arc::clone(endpoint),
             load: loads.total(&endpoint.id, now),
             load_age: None,
--- a/crates/core/tests/routing/choose_plain.rs
+++ b/crates/core/tests/routing/choose_plain.rs
@@ -92,15 +92,15 @@
     let reachable = all.iter().filter(|c| c.health != HealthStatus::Down);
     let reachable = sorted(reachable, shared.key);
     let holder = reachable.iter().find(settled).copied();
-    let holders = reachable.iter().filter(|c| !c.tried && c.sent.is_some());
+    let holders = reachable.iter().filter(|c| !c.tried && c.prefix_age.is_some());
     let mut others: Vec<&Candidate> = holders.copied().collect();
     others.retain(|c| !std::ptr::eq(*c, picked));
-    others.sort_by_key(|c| (c.sent, c.endpoint.id.clone()));
+    others.sort_by_key(|c| (c.prefix_age, c.endpoint.id.clone()));
     let other = others.first().copied();
     let moved = !holder.is_some_and(|holder| std::ptr::eq(holder, picked));
     let source = match shared.tokens.0 >= 400 {
         true if moved => other.or(holder),
-        true if picked.sent.is_none() => other,
+        true if picked.prefix_age.is_none() => other,
         _ => None,
     };
     let id = |c: &Candidate| c.endpoint.id.clone();
@@ -125,7 +125,7 @@
             health: statuses.get(status).copied().unwrap_or(HealthStatus::Good),
             allowance: allowances.get(allowance).copied().unwrap_or(Allowance::All),
             age: Millis(age),
-            sent: sent.map(Millis),
+            prefix_age: sent.map(Millis),
             ..candidate("e", f64::from(load) / 2.0)
         }
     }
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -54,7 +54,7 @@
         drained: false,
         allowance: Allowance::All,
         age: Millis(60_000),
-        sent: None,
+        prefix_age: None,
     }
 }
 
