--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::ids::PoolId;
 use medlarrill_core::placement::key_of;
 use medlarrill_core::routing::budget;
-use medlarrill_core::routing::config::{Priority, Repeat, Route};
+use medlarrill_core::routing::config::{Priority, RetryPolicy, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::plan::Plan;
@@ -67,7 +67,7 @@
         name: "route".into(),
         host: "host".into(),
         prefix: "/a/".into(),
-        repeat: Repeat::Resume,
+        repeat: RetryPolicy::Resume,
         stream: true,
         cached: true,
         attempts: 2,
--- a/crates/core/src/routing/config.rs
+++ b/crates/core/src/routing/config.rs
@@ -25,7 +25,7 @@
 /// What may be repeated.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Any number of times.
     #[display("idempotent")]
     Always,
@@ -37,7 +37,7 @@
     Never,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Whether a second run does no harm.
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Always | Self::Resume)
@@ -65,7 +65,7 @@
     /// Start of the paths that it matches; ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// Whether answers are streams of events.
     pub stream: bool,
     /// Whether prompts have cached parts.
--- a/crates/core/src/routing/plan.rs
+++ b/crates/core/src/routing/plan.rs
@@ -6,7 +6,7 @@
 use crate::outcome::Outcome;
 use crate::routing::ablation::{Mechanism, is_on};
 use crate::routing::attempt::Fault;
-use crate::routing::config::{Repeat, Route};
+use crate::routing::config::{RetryPolicy, Route};
 use crate::routing::endpoint::InstanceId;
 use crate::routing::fingerprint::Fingerprint;
 
@@ -68,7 +68,7 @@
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Plan {
-    repeat: Repeat,
+    repeat: RetryPolicy,
     attempts: u32,
     target: Millis,
     stream: bool,
--- a/crates/core/tests/routing/config.rs
+++ b/crates/core/tests/routing/config.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{
-    Account, CallerLimits, Configuration, Denied, Repeat, Route, Share, Version,
+    Account, CallerLimits, Configuration, Denied, RetryPolicy, Route, Share, Version,
 };
 use medlarrill_core::units::ByteSize;
 
@@ -20,7 +20,7 @@
     Route {
         name: prefix.into(),
         prefix: prefix.into(),
-        ..route(Repeat::Always, 1)
+        ..route(RetryPolicy::Always, 1)
     }
 }
 
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::DataCentreId;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::plan::Plan;
@@ -34,7 +34,7 @@
 }
 
 fn plan() -> Plan {
-    Plan::new(&route(Repeat::Always, 2), Millis(90_000))
+    Plan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
 }
 
 /// Where requests go, with and without a shared prefix.
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::answer::AnswerHead;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::notices::Notice;
 use medlarrill_core::routing::plan::Plan;
@@ -35,7 +35,7 @@
 }
 
 fn plan() -> Plan {
-    Plan::new(&route(Repeat::Always, 2), Millis::from_secs(1000))
+    Plan::new(&route(RetryPolicy::Always, 2), Millis::from_secs(1000))
 }
 
 /// A view of one endpoint.
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::config::{Repeat, Route};
+use medlarrill_core::routing::config::{RetryPolicy, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::view::{NoPlace, View};
@@ -91,7 +91,7 @@
     }
 }
 
-fn plain(repeat: Repeat) -> Route {
+fn plain(repeat: RetryPolicy) -> Route {
     Route {
         target: TARGET,
         ..route(repeat, 1)
@@ -188,8 +188,8 @@
             daemon -= daemon % DATA_CENTRES.len();
         }
         let repeat = match caller.is_safe {
-            true => Repeat::Always,
-            false => Repeat::Never,
+            true => RetryPolicy::Always,
+            false => RetryPolicy::Never,
         };
         let plan = Plan::new(&plain(repeat), Millis(asked + 1500));
         let view = &mut self.daemons[daemon];
--- a/crates/core/tests/routing/plan.rs
+++ b/crates/core/tests/routing/plan.rs
@@ -2,7 +2,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::outcome::Outcome;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::plan::{Next, Plan, Refusal};
 
 use super::support::{id, route};
@@ -18,14 +18,14 @@
     Fault::Cut,
 ];
 
-fn plan(repeat: Repeat, attempts: u32) -> Plan {
+fn plan(repeat: RetryPolicy, attempts: u32) -> Plan {
     Plan::new(&route(repeat, attempts), Millis(3000))
 }
 
 #[gtest]
 fn a_request_that_is_not_idempotent_is_sent_again_only_if_it_did_not_run() {
     for fault in FAULTS {
-        let next = plan(Repeat::Never, 3).fail(&id("a"), fault, || true, Millis(0));
+        let next = plan(RetryPolicy::Never, 3).fail(&id("a"), fault, || true, Millis(0));
         let unrun = fault.outcome() == Outcome::NotRun;
         expect_that!(next == Next::Again, eq(unrun), "{fault}");
     }
@@ -35,7 +35,7 @@
 fn a_refusal_says_not_run_only_if_no_attempt_may_have_run() {
     for first in FAULTS {
         for second in FAULTS {
-            let mut plan = plan(Repeat::Always, 2);
+            let mut plan = plan(RetryPolicy::Always, 2);
             plan.fail(&id("a"), first, || true, Millis(0));
             let next = plan.fail(&id("b"), second, || false, Millis(0));
             let unrun = [first, second]
@@ -51,7 +51,7 @@
 #[gtest]
 fn no_more_endpoints_run_a_request_than_the_route_allows() {
     for attempts in 1..4 {
-        let mut plan = plan(Repeat::Always, attempts);
+        let mut plan = plan(RetryPolicy::Always, attempts);
         let mut ran = 0;
         loop {
             ran += 1;
@@ -66,7 +66,7 @@
 
 #[gtest]
 fn attempts_that_did_not_run_end_too() {
-    let mut plan = plan(Repeat::Never, 1);
+    let mut plan = plan(RetryPolicy::Never, 1);
     let again = (0..10)
         .take_while(|_| plan.fail(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Again)
         .count();
@@ -75,33 +75,33 @@
 
 #[gtest]
 fn an_attempt_without_connection_costs_no_repeat() {
-    let next = plan(Repeat::Never, 1).fail(&id("a"), Fault::NotSent, || false, Millis(0));
+    let next = plan(RetryPolicy::Never, 1).fail(&id("a"), Fault::NotSent, || false, Millis(0));
     expect_that!(next, eq(Next::Again));
-    let next = plan(Repeat::Never, 1).fail(&id("a"), Fault::Rejected, || false, Millis(0));
+    let next = plan(RetryPolicy::Never, 1).fail(&id("a"), Fault::Rejected, || false, Millis(0));
     expect_that!(next, eq(Next::GiveUp(Refusal::NotRun)));
 }
 
 #[gtest]
 fn at_the_deadline_nothing_is_sent_again() {
-    let next = plan(Repeat::Always, 3).fail(&id("a"), Fault::Lost, || true, Millis(2990));
+    let next = plan(RetryPolicy::Always, 3).fail(&id("a"), Fault::Lost, || true, Millis(2990));
     expect_that!(next, eq(Next::GiveUp(Refusal::Timeout)));
-    let next = plan(Repeat::Always, 3).fail(&id("a"), Fault::NotSent, || true, Millis(2990));
+    let next = plan(RetryPolicy::Always, 3).fail(&id("a"), Fault::NotSent, || true, Millis(2990));
     expect_that!(next, eq(Next::GiveUp(Refusal::NotRun)));
 }
 
 #[gtest]
 fn only_an_attempt_that_may_be_followed_by_another_is_cut_short() {
     expect_that!(
-        plan(Repeat::Always, 2).patience(Millis(0)),
+        plan(RetryPolicy::Always, 2).patience(Millis(0)),
         eq(Millis(2000))
     );
     expect_that!(
-        plan(Repeat::Always, 1).patience(Millis(0)),
+        plan(RetryPolicy::Always, 1).patience(Millis(0)),
         eq(Millis(3000))
     );
-    expect_that!(plan(Repeat::Never, 2).patience(Millis(0)), eq(Millis(3000)));
+    expect_that!(plan(RetryPolicy::Never, 2).patience(Millis(0)), eq(Millis(3000)));
     expect_that!(
-        plan(Repeat::Always, 2).patience(Millis(2500)),
+        plan(RetryPolicy::Always, 2).patience(Millis(2500)),
         eq(Millis(500))
     );
 }
--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -8,7 +8,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::InstanceId;
 use medlarrill_core::routing::plan::Plan;
 use medlarrill_core::routing::request::SharedPrefix;
@@ -188,7 +188,7 @@
             tokens: Tokens(kind.shared as u64),
             ..prefix(key)
         };
-        let plan = Plan::new(&route(Repeat::Resume, 2), Millis(now + 10_000));
+        let plan = Plan::new(&route(RetryPolicy::Resume, 2), Millis(now + 10_000));
         let view = &mut self.daemons[daemon];
         let choice = view.choose(&pool(), Some(&shared), &plan, Millis(now));
         let choice = choice.expect("an engine");
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -9,7 +9,7 @@
 use medlarrill_core::ids::PoolId;
 use medlarrill_core::routing::budget;
 use medlarrill_core::routing::choose::Candidate;
-use medlarrill_core::routing::config::{Priority, Repeat, Route, Share};
+use medlarrill_core::routing::config::{Priority, RetryPolicy, Route, Share};
 use medlarrill_core::routing::endpoint::{StartTime, Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{Entry, Heard, Others, Report};
 use medlarrill_core::routing::fleet::Fleet;
@@ -120,13 +120,13 @@
     View::new(near, repeats, seed, Millis(0))
 }
 
-pub fn route(repeat: Repeat, attempts: u32) -> Route {
+pub fn route(repeat: RetryPolicy, attempts: u32) -> Route {
     Route {
         name: "route".into(),
         host: "host".into(),
         prefix: "/a/".into(),
         repeat,
-        stream: repeat == Repeat::Resume,
+        stream: repeat == RetryPolicy::Resume,
         cached: false,
         attempts,
         timeout: Millis(10_000),
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -5,7 +5,7 @@
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::instance::EntryKind;
 use medlarrill_core::routing::choose::Choice;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{Heard, Others, short_id};
 use medlarrill_core::routing::load::LoadReport;
@@ -25,7 +25,7 @@
 }
 
 fn plan() -> Plan {
-    Plan::new(&route(Repeat::Always, 2), Millis(90_000))
+    Plan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
 }
 
 fn pick(view: &mut View, key: u64, now: Millis) -> Choice {
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Frame, Incoming};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::InstanceId;
 use medlarrill_core::routing::events::Splitter;
 use medlarrill_core::routing::plan::{Next, Plan};
@@ -97,7 +97,7 @@
 
 impl Relay {
     fn may_resume(&self) -> bool {
-        self.order.route.repeat == Repeat::Resume
+        self.order.route.repeat == RetryPolicy::Resume
     }
 
     /// The next piece for the caller, none at the stream's end.
