--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -67,7 +67,7 @@
         name: "route".into(),
         host: "host".into(),
         prefix: "/a/".into(),
-        repeat: RetryPolicy::Resume,
+        retry: RetryPolicy::Resume,
         stream: true,
         cached: true,
         attempts: 2,
--- a/crates/core/src/routing/config.rs
+++ b/crates/core/src/routing/config.rs
@@ -65,7 +65,7 @@
     /// Start of the paths that it matches; ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: RetryPolicy,
+    pub retry: RetryPolicy,
     /// Whether answers are streams of events.
     pub stream: bool,
     /// Whether prompts have cached parts.
--- a/crates/core/src/routing/plan.rs
+++ b/crates/core/src/routing/plan.rs
@@ -68,7 +68,7 @@
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Plan {
-    repeat: RetryPolicy,
+    retry: RetryPolicy,
     attempts: u32,
     target: Millis,
     stream: bool,
@@ -86,7 +86,7 @@
     /// A plan for a request on a route.
     pub fn new(route: &Route, deadline: Millis) -> Self {
         Self {
-            repeat: route.repeat,
+            repeat: route.retry,
             attempts: route.attempts.max(1),
             target: route.target,
             stream: route.stream,
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -120,13 +120,13 @@
     View::new(near, repeats, seed, Millis(0))
 }
 
-pub fn route(repeat: RetryPolicy, attempts: u32) -> Route {
+pub fn route(retry: RetryPolicy, attempts: u32) -> Route {
     Route {
         name: "route".into(),
         host: "host".into(),
         prefix: "/a/".into(),
-        repeat,
-        stream: repeat == RetryPolicy::Resume,
+        retry,
+        stream: retry == RetryPolicy::Resume,
         cached: false,
         attempts,
         timeout: Millis(10_000),
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -97,7 +97,7 @@
 
 impl Relay {
     fn may_resume(&self) -> bool {
-        self.order.route.repeat == RetryPolicy::Resume
+        self.order.route.retry == RetryPolicy::Resume
     }
 
     /// The next piece for the caller, none at the stream's end.
