--- a/crates/core/src/routing/config.rs
+++ b/crates/core/src/routing/config.rs
@@ -47,7 +47,7 @@
 /// One pool of a route, with its share of the requests.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
-pub struct Share {
+pub struct PoolShare {
     /// The pool.
     pub pool: PoolId,
     /// Its weight against the route's other pools.
@@ -83,7 +83,7 @@
     /// Whether callers need no key.
     pub open: bool,
     /// Pools and weights.
-    pub shares: Vec<Share>,
+    pub shares: Vec<PoolShare>,
 }
 
 impl Route {
--- a/crates/core/tests/routing/config.rs
+++ b/crates/core/tests/routing/config.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{
-    Account, CallerLimits, Configuration, Denied, RetryPolicy, Route, Share, Version,
+    Account, CallerLimits, Configuration, Denied, RetryPolicy, Route, PoolShare, Version,
 };
 use medlarrill_core::units::ByteSize;
 
@@ -41,7 +41,7 @@
 
 #[gtest]
 fn a_split_route_draws_pools_by_weight() {
-    let share = |pool: &str, weight| Share {
+    let share = |pool: &str, weight| PoolShare {
         pool: pool.parse().expect("a name"),
         weight,
     };
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -9,7 +9,7 @@
 use medlarrill_core::ids::PoolId;
 use medlarrill_core::routing::budget;
 use medlarrill_core::routing::choose::Candidate;
-use medlarrill_core::routing::config::{Priority, RetryPolicy, Route, Share};
+use medlarrill_core::routing::config::{Priority, RetryPolicy, Route, PoolShare};
 use medlarrill_core::routing::endpoint::{StartTime, Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{Entry, Heard, Others, Report};
 use medlarrill_core::routing::fleet::Fleet;
@@ -134,7 +134,7 @@
         gap: Millis(600),
         priority: Priority(1),
         open: false,
-        shares: vec![Share {
+        shares: vec![PoolShare {
             pool: pool(),
             weight: 1.0,
         }],
