--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -75,7 +75,7 @@
         target: Millis(1000),
         gap: Millis(600),
         priority: Priority(1),
-        open: false,
+        auth_exempt: false,
         shares: Vec::new(),
     }
 }
--- a/crates/core/src/routing/config.rs
+++ b/crates/core/src/routing/config.rs
@@ -81,7 +81,7 @@
     /// Rank against other routes.
     pub priority: Priority,
     /// Whether callers need no key.
-    pub open: bool,
+    pub auth_exempt: bool,
     /// Pools and weights.
     pub shares: Vec<PoolShare>,
 }
@@ -215,7 +215,7 @@
             return Ok(None);
         };
         let found = key.and_then(|key| accounts.get(key));
-        if route.open || found.is_some() {
+        if route.auth_exempt || found.is_some() {
             return Ok(found);
         }
         Err(key.map_or(Denied::Missing, |_| Denied::Unknown))
--- a/crates/core/tests/routing/config.rs
+++ b/crates/core/tests/routing/config.rs
@@ -71,7 +71,7 @@
     let config = config(vec![at("/a/")]).with_accounts(accounts);
     let closed = at("/a/");
     let open = Route {
-        open: true,
+        auth_exempt: true,
         ..at("/a/")
     };
     expect_that!(config.account(&closed, Some("key")), ok(some(anything())));
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -133,7 +133,7 @@
         target: Millis(1000),
         gap: Millis(600),
         priority: Priority(1),
-        open: false,
+        auth_exempt: false,
         shares: vec![PoolShare {
             pool: pool(),
             weight: 1.0,
