--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::routing::config::{Priority, RetryPolicy, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::load::LoadReport;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::view::View;
 use medlarrill_core::units::Tokens;
@@ -81,7 +81,7 @@
 }
 
 fn choose(c: &mut Criterion) {
-    let plan = Plan::new(&route(), Millis(90_000));
+    let plan = RetryPlan::new(&route(), Millis(90_000));
     let pool = pool();
     for (state, is_busy) in [("idle", false), ("busy", true)] {
         let mut group = c.benchmark_group(format!("choose, {state}"));
--- a/crates/core/src/routing/plan.rs
+++ b/crates/core/src/routing/plan.rs
@@ -67,7 +67,7 @@
 /// The attempts of one request.
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct Plan {
+pub struct RetryPlan {
     retry: RetryPolicy,
     attempts: u32,
     target: Millis,
@@ -82,7 +82,7 @@
     tried: Vec<InstanceId>,
 }
 
-impl Plan {
+impl RetryPlan {
     /// A plan for a request on a route.
     pub fn new(route: &Route, deadline: Millis) -> Self {
         Self {
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -35,7 +35,7 @@
 use crate::routing::load::{LoadTracker, LoadReport};
 use crate::routing::notices::Notices;
 use crate::routing::overload::{self, ResponseRates, AdmissionControl};
-use crate::routing::plan::Plan;
+use crate::routing::plan::RetryPlan;
 use crate::routing::quarantine::{Change, Quarantine};
 use crate::routing::request::SharedPrefix;
 use crate::routing::slow_start::{Allowance, SlowStarts};
@@ -173,7 +173,7 @@
     }
 
     /// Whether a pool has an endpoint that takes new work and wasn't tried, other than this one.
-    pub fn has_other(&mut self, pool: &PoolId, plan: &Plan, id: &InstanceId, now: Millis) -> bool {
+    pub fn has_other(&mut self, pool: &PoolId, plan: &RetryPlan, id: &InstanceId, now: Millis) -> bool {
         let allowances = self.allowances(pool, now);
         let ready = |(endpoint, allowance): &(&Arc<Endpoint>, Allowance)| {
             self.takes_work(endpoint) && allowance.is_open()
@@ -192,7 +192,7 @@
         &mut self,
         pool: &PoolId,
         shared: Option<&SharedPrefix>,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Result<Choice> {
         // Asked before each attempt: the first one may have been the loss that was missing.
@@ -284,7 +284,7 @@
 
     /// Notes that an endpoint was lost with a request. It counts also where the endpoint isn't
     /// listed any more.
-    pub fn lost(&mut self, plan: &Plan, id: &InstanceId, now: Millis) -> Vec<Change> {
+    pub fn lost(&mut self, plan: &RetryPlan, id: &InstanceId, now: Millis) -> Vec<Change> {
         let lost = plan.fingerprint();
         let lost = lost.map(|lost| self.quarantine.lost(lost, exchange::short_id(id), now));
         lost.unwrap_or_default()
@@ -353,7 +353,7 @@
         &mut self,
         pool: &PoolId,
         choice: &Choice,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Option<Overload> {
         let target = plan.queue_target().filter(|_| is_on(Mechanism::Valve))?;
@@ -381,7 +381,7 @@
         &mut self,
         pool: &PoolId,
         shared: Option<&SharedPrefix>,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Vec<Candidate> {
         let allowances = self.allowances(pool, now);
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::load::LoadReport;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::slow_start::SlowStart;
 use medlarrill_core::routing::view::View;
 use medlarrill_core::units::Rate;
@@ -33,8 +33,8 @@
     view
 }
 
-fn plan() -> Plan {
-    Plan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
+fn plan() -> RetryPlan {
+    RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
 }
 
 /// Where requests go, with and without a shared prefix.
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::Endpoint;
 use medlarrill_core::routing::notices::Notice;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::view::{NoPlace, View};
 
 use super::support::{self, endpoint, pool, route};
@@ -34,8 +34,8 @@
     support::view("near", 1)
 }
 
-fn plan() -> Plan {
-    Plan::new(&route(RetryPolicy::Always, 2), Millis::from_secs(1000))
+fn plan() -> RetryPlan {
+    RetryPlan::new(&route(RetryPolicy::Always, 2), Millis::from_secs(1000))
 }
 
 /// A view of one endpoint.
@@ -45,7 +45,7 @@
     view
 }
 
-fn takes_work(view: &mut View, plan: &Plan, now: Millis) -> bool {
+fn takes_work(view: &mut View, plan: &RetryPlan, now: Millis) -> bool {
     match view.choose(&pool(), None, plan, now) {
         Ok(choice) => {
             view.end(&choice.endpoint.id);
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{RetryPolicy, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::view::{NoPlace, View};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -191,7 +191,7 @@
             true => RetryPolicy::Always,
             false => RetryPolicy::Never,
         };
-        let plan = Plan::new(&plain(repeat), Millis(asked + 1500));
+        let plan = RetryPlan::new(&plain(repeat), Millis(asked + 1500));
         let view = &mut self.daemons[daemon];
         let choice = match view.choose(&pool(), None, &plan, Millis(now)) {
             Ok(choice) => choice,
--- a/crates/core/tests/routing/plan.rs
+++ b/crates/core/tests/routing/plan.rs
@@ -3,7 +3,7 @@
 use medlarrill_core::outcome::Outcome;
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::config::RetryPolicy;
-use medlarrill_core::routing::plan::{Next, Plan, Refusal};
+use medlarrill_core::routing::plan::{Next, RetryPlan, Refusal};
 
 use super::support::{id, route};
 
@@ -18,8 +18,8 @@
     Fault::Cut,
 ];
 
-fn plan(repeat: RetryPolicy, attempts: u32) -> Plan {
-    Plan::new(&route(repeat, attempts), Millis(3000))
+fn plan(repeat: RetryPolicy, attempts: u32) -> RetryPlan {
+    RetryPlan::new(&route(repeat, attempts), Millis(3000))
 }
 
 #[gtest]
--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::InstanceId;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::view::View;
 use medlarrill_core::units::Tokens;
@@ -188,7 +188,7 @@
             tokens: Tokens(kind.shared as u64),
             ..prefix(key)
         };
-        let plan = Plan::new(&route(RetryPolicy::Resume, 2), Millis(now + 10_000));
+        let plan = RetryPlan::new(&route(RetryPolicy::Resume, 2), Millis(now + 10_000));
         let view = &mut self.daemons[daemon];
         let choice = view.choose(&pool(), Some(&shared), &plan, Millis(now));
         let choice = choice.expect("an engine");
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -8,7 +8,7 @@
 use medlarrill_core::routing::choose::Choice;
 use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::InstanceId;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::{Allowance, SlowStart};
 use medlarrill_core::routing::view::{Result, View};
@@ -273,7 +273,7 @@
 }
 
 fn pick(view: &mut View, shared: Option<&SharedPrefix>, now: Millis) -> Result<Choice> {
-    let plan = Plan::new(&route(RetryPolicy::Always, 2), Millis(90_000));
+    let plan = RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000));
     let choice = view.choose(&pool(), shared, &plan, now);
     if let Ok(choice) = &choice {
         view.end(&choice.endpoint.id);
@@ -324,7 +324,7 @@
     }
     let given = (0..60).filter(|key| pick(&mut view, Some(&prefix(*key)), START).is_ok());
     expect_that!(given.count(), eq(3 * 8));
-    let plan = Plan::new(&route(RetryPolicy::Always, 2), Millis(90_000));
+    let plan = RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000));
     expect_that!(view.has_other(&pool(), &plan, &id("a"), START), eq(false));
     expect_that!(
         pick(&mut view, Some(&prefix(1)), START + Millis(1100)).is_ok(),
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -9,7 +9,7 @@
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{Heard, Others, short_id};
 use medlarrill_core::routing::load::LoadReport;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::view::{Listed, View};
 
 use super::support::{born, endpoint, id, pool, prefix, route, view};
@@ -24,8 +24,8 @@
     }
 }
 
-fn plan() -> Plan {
-    Plan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
+fn plan() -> RetryPlan {
+    RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
 }
 
 fn pick(view: &mut View, key: u64, now: Millis) -> Choice {
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::routing::answer::AnswerHead;
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::plan::{Next, Plan, Refusal};
+use medlarrill_core::routing::plan::{Next, RetryPlan, Refusal};
 use medlarrill_core::routing::view::NoPlace;
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
@@ -91,7 +91,7 @@
 /// Sends a request until an endpoint answers, or nothing more can be done.
 pub async fn dispatch(
     order: &Order,
-    plan: &mut Plan,
+    plan: &mut RetryPlan,
     last_event: Option<u64>,
     trace: &mut Trace,
 ) -> Answered {
@@ -160,7 +160,7 @@
 /// Sends a request to one endpoint and waits for its answer.
 async fn attempt(
     order: &Order,
-    plan: &Plan,
+    plan: &RetryPlan,
     endpoint: &Endpoint,
     flight: Flight,
     request: Request<Full<Bytes>>,
@@ -176,7 +176,7 @@
 }
 
 /// Takes note of a failed attempt and says what follows.
-fn fail(order: &Order, plan: &mut Plan, id: &InstanceId, failed: &Failed, trace: &Trace) -> Next {
+fn fail(order: &Order, plan: &mut RetryPlan, id: &InstanceId, failed: &Failed, trace: &Trace) -> Next {
     let next = order.fail(plan, id, failed.fault, now());
     let repeats = order.shared.placement.repeats(&order.pool, now());
     trace.fault(failed.fault, &failed.cause, next == Next::Again, &repeats);
@@ -184,7 +184,7 @@
 }
 
 /// Longest wait for the head of an answer.
-fn patience(plan: &Plan) -> Millis {
+fn patience(plan: &RetryPlan) -> Millis {
     let patience = plan.patience(now());
     let left = plan.deadline().since(now());
     if patience >= left {
@@ -197,7 +197,7 @@
 /// Judges the head of an answer, and reads its body unless it is a stream.
 async fn receive(
     order: &Order,
-    plan: &Plan,
+    plan: &RetryPlan,
     sent: Sent,
     flight: Flight,
     endpoint: InstanceId,
@@ -259,7 +259,7 @@
 }
 
 /// Reads a body that isn't a stream.
-async fn read(plan: &Plan, body: Incoming) -> Result<Bytes> {
+async fn read(plan: &RetryPlan, body: Incoming) -> Result<Bytes> {
     let left = plan.deadline().since(now()) + GRACE;
     let reading = Limited::new(body, ANSWER_MAX).collect();
     match tokio::time::timeout(left.as_duration(), reading).await {
--- a/crates/router/src/entry/handler.rs
+++ b/crates/router/src/entry/handler.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{Account, Configuration};
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::plan::{Plan, Refusal};
+use medlarrill_core::routing::plan::{RetryPlan, Refusal};
 use medlarrill_core::routing::stop::Stage;
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
@@ -172,7 +172,7 @@
 /// Has a request answered by an endpoint.
 async fn serve(order: Order, arrived: Millis, mut trace: Trace) -> Answer {
     let wait = order.call.timeout.unwrap_or(Millis::MAX);
-    let plan = Plan::new(&order.route, arrived + wait.min(order.route.timeout));
+    let plan = RetryPlan::new(&order.route, arrived + wait.min(order.route.timeout));
     let mut plan = plan.with_fingerprint(order.fingerprint);
     order.shared.placement.request(&order.pool, now());
     let first = order.call.last_event;
--- a/crates/router/src/entry/order.rs
+++ b/crates/router/src/entry/order.rs
@@ -15,7 +15,7 @@
 use medlarrill_core::routing::config::{Account, Configuration, Priority, Route};
 use medlarrill_core::routing::endpoint::InstanceId;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::plan::{Next, Plan};
+use medlarrill_core::routing::plan::{Next, RetryPlan};
 use medlarrill_core::routing::request::RequestHead;
 use medlarrill_platform::headers::{self, Outgoing};
 
@@ -70,7 +70,7 @@
 
     /// Takes note of a failed attempt and says what follows. Where no endpoint is left to try,
     /// the budget of repeats isn't charged.
-    pub fn fail(&self, plan: &mut Plan, id: &InstanceId, fault: Fault, now: Millis) -> Next {
+    pub fn fail(&self, plan: &mut RetryPlan, id: &InstanceId, fault: Fault, now: Millis) -> Next {
         self.note_fault(plan, id, fault, now);
         let placement = &self.shared.placement;
         let has_other = placement.has_other(&self.pool, plan, id, now);
@@ -79,7 +79,7 @@
     }
 
     /// Takes note of a failed attempt, and of an endpoint that was lost with it.
-    pub fn note_fault(&self, plan: &Plan, id: &InstanceId, fault: Fault, now: Millis) {
+    pub fn note_fault(&self, plan: &RetryPlan, id: &InstanceId, fault: Fault, now: Millis) {
         let placement = &self.shared.placement;
         placement.bad(id, fault, now);
         if fault.is_loss() {
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -11,7 +11,7 @@
 use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::InstanceId;
 use medlarrill_core::routing::events::Splitter;
-use medlarrill_core::routing::plan::{Next, Plan};
+use medlarrill_core::routing::plan::{Next, RetryPlan};
 use medlarrill_net::now::now;
 
 use super::answer::{Answer, Broken, whole};
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 struct Relay {
     order: Order,
-    plan: Plan,
+    plan: RetryPlan,
     trace: Trace,
     source: Option<Source>,
     splitter: Splitter,
@@ -60,7 +60,7 @@
 }
 
 /// The answer that hands a stream on.
-pub fn start(order: Order, plan: Plan, opened: Opened, trace: Trace) -> Answer {
+pub fn start(order: Order, plan: RetryPlan, opened: Opened, trace: Trace) -> Answer {
     let headers = opened.headers.clone();
     let relay = Relay {
         splitter: Splitter::new(order.call.last_event),
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -15,7 +15,7 @@
 use medlarrill_core::routing::fingerprint::Fingerprint;
 use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::notices::Notice;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::quarantine::{Change, Evidence, Keeper, Kept, Snapshot, Step};
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::SlowStart;
@@ -85,7 +85,7 @@
     }
 
     /// Whether a pool has an endpoint that takes new work and wasn't tried, other than this one.
-    pub fn has_other(&self, pool: &PoolId, plan: &Plan, id: &InstanceId, now: Millis) -> bool {
+    pub fn has_other(&self, pool: &PoolId, plan: &RetryPlan, id: &InstanceId, now: Millis) -> bool {
         self.lock().has_other(pool, plan, id, now)
     }
 
@@ -108,7 +108,7 @@
         self: &Arc<Self>,
         pool: &PoolId,
         shared: Option<&SharedPrefix>,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Result<(Choice, Flight)> {
         let choice = self.lock().choose(pool, shared, plan, now)?;
@@ -161,13 +161,13 @@
     }
 
     /// Notes that an endpoint was lost with a request.
-    pub fn lost(&self, plan: &Plan, id: &InstanceId, now: Millis) {
+    pub fn lost(&self, plan: &RetryPlan, id: &InstanceId, now: Millis) {
         let changes = self.lock().lost(plan, id, now);
         self.report_changes(&changes);
     }
 
     /// Notes that a request was answered whole.
-    pub fn served(&self, plan: &Plan, now: Millis) {
+    pub fn served(&self, plan: &RetryPlan, now: Millis) {
         if let Some(served) = plan.fingerprint() {
             let changes = self.lock().quarantine().served(served, now);
             self.report_changes(&changes);
