--- a/crates/core/src/routing/plan.rs
+++ b/crates/core/src/routing/plan.rs
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub enum Next {
     /// Another attempt, at an endpoint that wasn't tried if there is one.
-    Again,
+    Retry,
     /// The final answer.
     GiveUp(Refusal),
 }
@@ -163,7 +163,7 @@
         }
         let late = self.deadline.since(now) < LEFT_MIN;
         if !late && self.may_repeat(fault) && (fault == Fault::NotSent || spend()) {
-            return Next::Again;
+            return Next::Retry;
         }
         Next::GiveUp(self.refusal(late))
     }
--- a/crates/core/tests/routing/plan.rs
+++ b/crates/core/tests/routing/plan.rs
@@ -27,7 +27,7 @@
     for fault in FAULTS {
         let next = plan(RetryPolicy::Never, 3).fail(&id("a"), fault, || true, Millis(0));
         let unrun = fault.outcome() == Outcome::NotRun;
-        expect_that!(next == Next::Again, eq(unrun), "{fault}");
+        expect_that!(next == Next::Retry, eq(unrun), "{fault}");
     }
 }
 
@@ -56,7 +56,7 @@
         loop {
             ran += 1;
             let next = plan.fail(&id("a"), Fault::Failed, || true, Millis(0));
-            if next != Next::Again {
+            if next != Next::Retry {
                 break;
             }
         }
@@ -68,7 +68,7 @@
 fn attempts_that_did_not_run_end_too() {
     let mut plan = plan(RetryPolicy::Never, 1);
     let again = (0..10)
-        .take_while(|_| plan.fail(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Again)
+        .take_while(|_| plan.fail(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Retry)
         .count();
     expect_that!(again, eq(2));
 }
@@ -76,7 +76,7 @@
 #[gtest]
 fn an_attempt_without_connection_costs_no_repeat() {
     let next = plan(RetryPolicy::Never, 1).fail(&id("a"), Fault::NotSent, || false, Millis(0));
-    expect_that!(next, eq(Next::Again));
+    expect_that!(next, eq(Next::Retry));
     let next = plan(RetryPolicy::Never, 1).fail(&id("a"), Fault::Rejected, || false, Millis(0));
     expect_that!(next, eq(Next::GiveUp(Refusal::NotRun)));
 }
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -179,7 +179,7 @@
 fn fail(order: &Order, plan: &mut RetryPlan, id: &InstanceId, failed: &Failed, trace: &Trace) -> Next {
     let next = order.fail(plan, id, failed.fault, now());
     let repeats = order.shared.placement.repeats(&order.pool, now());
-    trace.fault(failed.fault, &failed.cause, next == Next::Again, &repeats);
+    trace.fault(failed.fault, &failed.cause, next == Next::Retry, &repeats);
     next
 }
 
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -174,8 +174,8 @@
         let placement = &self.order.shared.placement;
         let repeats = placement.repeats(&self.order.pool, now());
         self.trace
-            .fault(fault, cause, next == Next::Again, &repeats);
-        if next != Next::Again {
+            .fault(fault, cause, next == Next::Retry, &repeats);
+        if next != Next::Retry {
             return false;
         }
         self.splitter.trim();
