--- a/crates/core/src/routing/plan.rs
+++ b/crates/core/src/routing/plan.rs
@@ -139,7 +139,7 @@
     }
 
     /// How long this attempt may take to begin its answer.
-    pub fn patience(&self, now: Millis) -> Millis {
+    pub fn attempt_timeout(&self, now: Millis) -> Millis {
         let left = self.deadline.since(now);
         if !self.may_run_again() || !is_on(Mechanism::Stuck) {
             return left;
--- a/crates/core/tests/routing/plan.rs
+++ b/crates/core/tests/routing/plan.rs
@@ -92,16 +92,16 @@
 #[gtest]
 fn only_an_attempt_that_may_be_followed_by_another_is_cut_short() {
     expect_that!(
-        plan(RetryPolicy::Always, 2).patience(Millis(0)),
+        plan(RetryPolicy::Always, 2).attempt_timeout(Millis(0)),
         eq(Millis(2000))
     );
     expect_that!(
-        plan(RetryPolicy::Always, 1).patience(Millis(0)),
+        plan(RetryPolicy::Always, 1).attempt_timeout(Millis(0)),
         eq(Millis(3000))
     );
-    expect_that!(plan(RetryPolicy::Never, 2).patience(Millis(0)), eq(Millis(3000)));
+    expect_that!(plan(RetryPolicy::Never, 2).attempt_timeout(Millis(0)), eq(Millis(3000)));
     expect_that!(
-        plan(RetryPolicy::Always, 2).patience(Millis(2500)),
+        plan(RetryPolicy::Always, 2).attempt_timeout(Millis(2500)),
         eq(Millis(500))
     );
 }
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -185,7 +185,7 @@
 
 /// Longest wait for the head of an answer.
 fn patience(plan: &RetryPlan) -> Millis {
-    let patience = plan.patience(now());
+    let patience = plan.attempt_timeout(now());
     let left = plan.deadline().since(now());
     if patience >= left {
         left + GRACE
