--- a/crates/core/src/routing/plan.rs
+++ b/crates/core/src/routing/plan.rs
@@ -149,7 +149,7 @@
     }
 
     /// Decides what follows from a failure; `spend` takes one repeat from the budget.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         endpoint: &InstanceId,
         fault: Fault,
--- a/crates/core/tests/routing/plan.rs
+++ b/crates/core/tests/routing/plan.rs
@@ -25,7 +25,7 @@
 #[gtest]
 fn a_request_that_is_not_idempotent_is_sent_again_only_if_it_did_not_run() {
     for fault in FAULTS {
-        let next = plan(RetryPolicy::Never, 3).fail(&id("a"), fault, || true, Millis(0));
+        let next = plan(RetryPolicy::Never, 3).record_failure(&id("a"), fault, || true, Millis(0));
         let unrun = fault.outcome() == Outcome::NotRun;
         expect_that!(next == Next::Retry, eq(unrun), "{fault}");
     }
@@ -36,8 +36,8 @@
     for first in FAULTS {
         for second in FAULTS {
             let mut plan = plan(RetryPolicy::Always, 2);
-            plan.fail(&id("a"), first, || true, Millis(0));
-            let next = plan.fail(&id("b"), second, || false, Millis(0));
+            plan.record_failure(&id("a"), first, || true, Millis(0));
+            let next = plan.record_failure(&id("b"), second, || false, Millis(0));
             let unrun = [first, second]
                 .iter()
                 .all(|f| f.outcome() == Outcome::NotRun);
@@ -55,7 +55,7 @@
         let mut ran = 0;
         loop {
             ran += 1;
-            let next = plan.fail(&id("a"), Fault::Failed, || true, Millis(0));
+            let next = plan.record_failure(&id("a"), Fault::Failed, || true, Millis(0));
             if next != Next::Retry {
                 break;
             }
@@ -68,24 +68,24 @@
 fn attempts_that_did_not_run_end_too() {
     let mut plan = plan(RetryPolicy::Never, 1);
     let again = (0..10)
-        .take_while(|_| plan.fail(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Retry)
+        .take_while(|_| plan.record_failure(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Retry)
         .count();
     expect_that!(again, eq(2));
 }
 
 #[gtest]
 fn an_attempt_without_connection_costs_no_repeat() {
-    let next = plan(RetryPolicy::Never, 1).fail(&id("a"), Fault::NotSent, || false, Millis(0));
+    let next = plan(RetryPolicy::Never, 1).record_failure(&id("a"), Fault::NotSent, || false, Millis(0));
     expect_that!(next, eq(Next::Retry));
-    let next = plan(RetryPolicy::Never, 1).fail(&id("a"), Fault::Rejected, || false, Millis(0));
+    let next = plan(RetryPolicy::Never, 1).record_failure(&id("a"), Fault::Rejected, || false, Millis(0));
     expect_that!(next, eq(Next::GiveUp(Refusal::NotRun)));
 }
 
 #[gtest]
 fn at_the_deadline_nothing_is_sent_again() {
-    let next = plan(RetryPolicy::Always, 3).fail(&id("a"), Fault::Lost, || true, Millis(2990));
+    let next = plan(RetryPolicy::Always, 3).record_failure(&id("a"), Fault::Lost, || true, Millis(2990));
     expect_that!(next, eq(Next::GiveUp(Refusal::Timeout)));
-    let next = plan(RetryPolicy::Always, 3).fail(&id("a"), Fault::NotSent, || true, Millis(2990));
+    let next = plan(RetryPolicy::Always, 3).record_failure(&id("a"), Fault::NotSent, || true, Millis(2990));
     expect_that!(next, eq(Next::GiveUp(Refusal::NotRun)));
 }
 
--- a/crates/router/src/entry/order.rs
+++ b/crates/router/src/entry/order.rs
@@ -75,7 +75,7 @@
         let placement = &self.shared.placement;
         let has_other = placement.has_other(&self.pool, plan, id, now);
         let spend = || has_other && placement.spend(&self.pool, now);
-        plan.fail(id, fault, spend, now)
+        plan.record_failure(id, fault, spend, now)
     }
 
     /// Takes note of a failed attempt, and of an endpoint that was lost with it.
