--- a/crates/core/src/routing/events.rs
+++ b/crates/core/src/routing/events.rs
@@ -13,7 +13,7 @@
 /// Holds the unfinished end of a stream.
 #[derive(Clone, Default)]
 #[derive(Debug)]
-pub struct Splitter {
+pub struct EventSplitter {
     #[debug("{} bytes", rest.len())]
     rest: BytesMut,
     /// Bytes at the start of `rest` that hold no border.
@@ -21,7 +21,7 @@
     last: Option<u64>,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// A splitter for a stream that goes on after an event.
     pub fn new(last: Option<u64>) -> Self {
         Self {
--- a/crates/core/tests/routing/events.rs
+++ b/crates/core/tests/routing/events.rs
@@ -1,13 +1,13 @@
 use bytes::Bytes;
 use googletest::prelude::*;
-use medlarrill_core::routing::events::Splitter;
+use medlarrill_core::routing::events::EventSplitter;
 use proptest::prelude::*;
 
 const STREAM: &[u8] = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid:3\r\ndata: c\r\n\r\n";
 
 #[gtest]
 fn whole_events_are_handed_on_and_an_unfinished_one_is_held() {
-    let mut splitter = Splitter::new(None);
+    let mut splitter = EventSplitter::new(None);
     let whole = splitter.push(&Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
     expect_that!(whole, eq(&Bytes::from_static(b"id: 1\ndata: a\n\n")));
     expect_that!(splitter.last(), some(eq(1)));
@@ -21,7 +21,7 @@
 
 #[gtest]
 fn a_stream_that_goes_on_starts_from_the_callers_event() {
-    expect_that!(Splitter::new(Some(12)).last(), some(eq(12)));
+    expect_that!(EventSplitter::new(Some(12)).last(), some(eq(12)));
 }
 
 proptest! {
@@ -30,7 +30,7 @@
         let mut cuts = cuts;
         cuts.sort_unstable();
         cuts.push(STREAM.len());
-        let mut splitter = Splitter::new(None);
+        let mut splitter = EventSplitter::new(None);
         let mut got = Vec::new();
         let mut from = 0;
         for to in cuts {
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::events::Splitter;
+use medlarrill_core::routing::events::EventSplitter;
 use medlarrill_core::routing::exchange::{
     Answers, Board, Copy, Delta, Entry, Exchange, Message, Moved, Report, Sent,
 };
@@ -140,7 +140,7 @@
         let mut ends: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len() + 1)).collect();
         ends.push(text.len());
         ends.sort_unstable();
-        let mut splitter = Splitter::new(None);
+        let mut splitter = EventSplitter::new(None);
         let mut handed = Vec::new();
         let mut from = 0;
         for end in ends {
@@ -154,7 +154,7 @@
 
     #[test]
     fn any_bytes_of_a_stream_are_taken(pieces in vec(vec(any::<u8>(), 0..64), 0..16)) {
-        let mut splitter = Splitter::new(None);
+        let mut splitter = EventSplitter::new(None);
         let taken: usize = pieces.iter().map(Vec::len).sum();
         let handed = pieces.into_iter().map(|piece| splitter.push(&piece.into()).len());
         prop_assert!(handed.sum::<usize>() <= taken);
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::InstanceId;
-use medlarrill_core::routing::events::Splitter;
+use medlarrill_core::routing::events::EventSplitter;
 use medlarrill_core::routing::plan::{Next, RetryPlan};
 use medlarrill_net::now::now;
 
@@ -34,7 +34,7 @@
     plan: RetryPlan,
     trace: Trace,
     source: Option<Source>,
-    splitter: Splitter,
+    splitter: EventSplitter,
 }
 
 /// Where events come from.
@@ -63,7 +63,7 @@
 pub fn start(order: Order, plan: RetryPlan, opened: Opened, trace: Trace) -> Answer {
     let headers = opened.headers.clone();
     let relay = Relay {
-        splitter: Splitter::new(order.call.last_event),
+        splitter: EventSplitter::new(order.call.last_event),
         source: Some(opened.into()),
         order,
         plan,
