--- a/crates/core/src/routing/events.rs
+++ b/crates/core/src/routing/events.rs
@@ -59,7 +59,7 @@
     }
 
     /// Drops an unfinished event.
-    pub fn trim(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.rest.clear();
         self.seen = 0;
     }
--- a/crates/core/tests/routing/events.rs
+++ b/crates/core/tests/routing/events.rs
@@ -12,7 +12,7 @@
     expect_that!(whole, eq(&Bytes::from_static(b"id: 1\ndata: a\n\n")));
     expect_that!(splitter.last(), some(eq(1)));
     expect_that!(splitter.is_unfinished(), eq(true));
-    splitter.trim();
+    splitter.discard_partial();
     expect_that!(splitter.is_unfinished(), eq(false));
     let next = splitter.push(&Bytes::from_static(b"id: 2\ndata: b\n\n"));
     expect_that!(next, eq(&Bytes::from_static(b"id: 2\ndata: b\n\n")));
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -178,7 +178,7 @@
         if next != Next::Retry {
             return false;
         }
-        self.splitter.trim();
+        self.splitter.discard_partial();
         let last = self.splitter.last();
         let answered = dispatch(&self.order, &mut self.plan, last, &mut self.trace).await;
         let Answered::Events(opened) = answered else {
