--- a/crates/core/src/routing/events.rs
+++ b/crates/core/src/routing/events.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether an event is unfinished.
-    pub fn is_unfinished(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.rest.is_empty()
     }
 
--- a/crates/core/tests/routing/events.rs
+++ b/crates/core/tests/routing/events.rs
@@ -11,9 +11,9 @@
     let whole = splitter.push(&Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
     expect_that!(whole, eq(&Bytes::from_static(b"id: 1\ndata: a\n\n")));
     expect_that!(splitter.last(), some(eq(1)));
-    expect_that!(splitter.is_unfinished(), eq(true));
+    expect_that!(splitter.has_partial(), eq(true));
     splitter.discard_partial();
-    expect_that!(splitter.is_unfinished(), eq(false));
+    expect_that!(splitter.has_partial(), eq(false));
     let next = splitter.push(&Bytes::from_static(b"id: 2\ndata: b\n\n"));
     expect_that!(next, eq(&Bytes::from_static(b"id: 2\ndata: b\n\n")));
     expect_that!(splitter.last(), some(eq(2)));
@@ -41,6 +41,6 @@
         }
         prop_assert_eq!(got.as_slice(), STREAM);
         prop_assert_eq!(splitter.last(), Some(3));
-        prop_assert!(!splitter.is_unfinished());
+        prop_assert!(!splitter.has_partial());
     }
 }
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -149,7 +149,7 @@
             from = end;
         }
         prop_assert!(text.as_bytes().starts_with(&handed));
-        prop_assert_eq!(splitter.is_unfinished(), handed.len() < text.len());
+        prop_assert_eq!(splitter.has_partial(), handed.len() < text.len());
     }
 
     #[test]
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -132,7 +132,7 @@
         match frame {
             Err(_) => Piece::Fault(Fault::Slow, format!("no event in {wait}")),
             Ok(Some(Err(error))) => Piece::Fault(Fault::Cut, error.to_string()),
-            Ok(None) if resumes && self.splitter.is_unfinished() => {
+            Ok(None) if resumes && self.splitter.has_partial() => {
                 Piece::Fault(Fault::Cut, "ended within an event".into())
             }
             Ok(None) => Piece::End,
