--- a/crates/core/src/routing/events.rs
+++ b/crates/core/src/routing/events.rs
@@ -49,7 +49,7 @@
     }
 
     /// Id of the last whole event.
-    pub const fn last(&self) -> Option<u64> {
+    pub const fn last_id(&self) -> Option<u64> {
         self.last
     }
 
--- a/crates/core/tests/routing/events.rs
+++ b/crates/core/tests/routing/events.rs
@@ -10,18 +10,18 @@
     let mut splitter = EventSplitter::new(None);
     let whole = splitter.push(&Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
     expect_that!(whole, eq(&Bytes::from_static(b"id: 1\ndata: a\n\n")));
-    expect_that!(splitter.last(), some(eq(1)));
+    expect_that!(splitter.last_id(), some(eq(1)));
     expect_that!(splitter.has_partial(), eq(true));
     splitter.discard_partial();
     expect_that!(splitter.has_partial(), eq(false));
     let next = splitter.push(&Bytes::from_static(b"id: 2\ndata: b\n\n"));
     expect_that!(next, eq(&Bytes::from_static(b"id: 2\ndata: b\n\n")));
-    expect_that!(splitter.last(), some(eq(2)));
+    expect_that!(splitter.last_id(), some(eq(2)));
 }
 
 #[gtest]
 fn a_stream_that_goes_on_starts_from_the_callers_event() {
-    expect_that!(EventSplitter::new(Some(12)).last(), some(eq(12)));
+    expect_that!(EventSplitter::new(Some(12)).last_id(), some(eq(12)));
 }
 
 proptest! {
@@ -40,7 +40,7 @@
             from = to;
         }
         prop_assert_eq!(got.as_slice(), STREAM);
-        prop_assert_eq!(splitter.last(), Some(3));
+        prop_assert_eq!(splitter.last_id(), Some(3));
         prop_assert!(!splitter.has_partial());
     }
 }
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -179,7 +179,7 @@
             return false;
         }
         self.splitter.discard_partial();
-        let last = self.splitter.last();
+        let last = self.splitter.last_id();
         let answered = dispatch(&self.order, &mut self.plan, last, &mut self.trace).await;
         let Answered::Events(opened) = answered else {
             return false;
