--- a/crates/core/src/routing/stop.rs
+++ b/crates/core/src/routing/stop.rs
@@ -55,7 +55,7 @@
     }
 
     /// Notes the first request to stop.
-    pub fn ask(&mut self, now: Millis) {
+    pub fn request(&mut self, now: Millis) {
         self.asked.get_or_insert(now);
     }
 
--- a/crates/core/tests/routing/stop.rs
+++ b/crates/core/tests/routing/stop.rs
@@ -6,7 +6,7 @@
 fn requests_are_served_until_the_balancer_has_looked_away_and_then_refused() {
     let mut stop = Stop::new(Millis(8000));
     expect_that!(stop.stage(Millis(5000)), eq(Stage::Serving));
-    stop.ask(Millis(5000));
+    stop.request(Millis(5000));
     expect_that!(stop.stage(Millis(5000)), eq(Stage::Leaving));
     // The balancer has asked twice.
     expect_that!(stop.stage(Millis(5000) + Millis(2000)), eq(Stage::Leaving));
@@ -18,15 +18,15 @@
 #[gtest]
 fn a_second_signal_changes_nothing() {
     let mut stop = Stop::new(Millis(8000));
-    stop.ask(Millis(0));
-    stop.ask(Millis(7000));
+    stop.request(Millis(0));
+    stop.request(Millis(7000));
     expect_that!(stop.stage(Millis(8000)), eq(Stage::Ended));
 }
 
 #[gtest]
 fn a_short_grace_leaves_half_of_it_to_finish_requests() {
     let mut stop = Stop::new(Millis(2000));
-    stop.ask(Millis(0));
+    stop.request(Millis(0));
     expect_that!(stop.stage(Millis(700)), eq(Stage::Leaving));
     expect_that!(stop.stage(Millis(900)), eq(Stage::Closing));
     expect_that!(stop.stage(Millis(1000)), eq(Stage::Draining));
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -48,7 +48,7 @@
     /// Notes the signal to stop.
     pub fn ask_stop(&self, now: Millis) {
         let mut stop = self.stop.lock().unwrap_or_else(PoisonError::into_inner);
-        stop.ask(now);
+        stop.request(now);
     }
 
     /// Whether this daemon should be given connections.
