--- a/crates/core/src/routing/stop.rs
+++ b/crates/core/src/routing/stop.rs
@@ -12,7 +12,7 @@
 
 /// How long new requests are served after the signal: two questions of the balancer at one a
 /// second, and the way of a connection that was made just before.
-pub const SERVE: Millis = Millis(2600);
+pub const SERVE_TIME: Millis = Millis(2600);
 /// When idle connections are closed, as a part of that time: after the balancer's second question,
 /// so that callers who connect anew reach other daemons, and before requests are refused.
 const CLOSE_PART: f64 = 0.8;
@@ -65,7 +65,7 @@
             return Stage::Serving;
         };
         let passed = now.since(asked);
-        let serve = SERVE.min(Millis(self.grace.0 / 2));
+        let serve = SERVE_TIME.min(Millis(self.grace.0 / 2));
         let close = Millis((serve.0 as f64 * CLOSE_PART) as u64);
         if passed >= self.grace - MARGIN {
             Stage::Ended
