--- a/crates/core/src/routing/stop.rs
+++ b/crates/core/src/routing/stop.rs
@@ -17,7 +17,7 @@
 /// so that callers who connect anew reach other daemons, and before requests are refused.
 const CLOSE_PART: f64 = 0.8;
 /// Time before the end of the grace period at which the process ends in any case.
-pub const MARGIN: Millis = Millis(350);
+pub const EXIT_MARGIN: Millis = Millis(350);
 
 /// A stage of the stop.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -67,7 +67,7 @@
         let passed = now.since(asked);
         let serve = SERVE_TIME.min(Millis(self.grace.0 / 2));
         let close = Millis((serve.0 as f64 * CLOSE_PART) as u64);
-        if passed >= self.grace - MARGIN {
+        if passed >= self.grace - EXIT_MARGIN {
             Stage::Ended
         } else if passed >= serve {
             Stage::Draining
--- a/crates/core/tests/routing/stop.rs
+++ b/crates/core/tests/routing/stop.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::stop::{MARGIN, SERVE_TIME, Stage, Stop};
+use medlarrill_core::routing::stop::{EXIT_MARGIN, SERVE_TIME, Stage, Stop};
 
 #[gtest]
 fn requests_are_served_until_the_balancer_has_looked_away_and_then_refused() {
@@ -12,7 +12,7 @@
     expect_that!(stop.stage(Millis(5000) + Millis(2000)), eq(Stage::Leaving));
     expect_that!(stop.stage(Millis(5000) + Millis(2100)), eq(Stage::Closing));
     expect_that!(stop.stage(Millis(5000) + SERVE_TIME), eq(Stage::Draining));
-    expect_that!(stop.stage(Millis(13_000) - MARGIN), eq(Stage::Ended));
+    expect_that!(stop.stage(Millis(13_000) - EXIT_MARGIN), eq(Stage::Ended));
 }
 
 #[gtest]
