--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct Update {
     /// Whether these are all objects, so that others are gone.
-    pub whole: bool,
+    pub complete: bool,
     /// The changes.
     pub changes: Vec<Change>,
     /// The revision up to which they reach.
@@ -196,7 +196,7 @@
 
     fn take(&mut self, update: Update, now: Millis) -> Vec<Change> {
         let mut changed = Vec::new();
-        if update.whole {
+        if update.complete {
             changed.extend(self.remove_others(&update, now));
         }
         let revision = update.revision;
@@ -206,7 +206,7 @@
                 Change::Removed { name, revision } => self.remove(name, revision, now),
             });
         }
-        if update.whole && self.revision.is_none() {
+        if update.complete && self.revision.is_none() {
             self.floor = revision;
         }
         self.revision = self.revision.max(Some(revision));
@@ -245,7 +245,7 @@
             }));
         }
         Some(Update {
-            whole: after.is_none(),
+            complete: after.is_none(),
             changes,
             revision: reached,
         })
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -24,7 +24,7 @@
 
 fn list(changes: Vec<Change>, revision: u64) -> Update {
     Update {
-        whole: true,
+        complete: true,
         changes,
         revision,
     }
@@ -32,7 +32,7 @@
 
 fn changes(changes: Vec<Change>, revision: u64) -> Update {
     Update {
-        whole: false,
+        complete: false,
         changes,
         revision,
     }
@@ -224,13 +224,13 @@
         at,
     );
     let update = mirror.since(Some(10)).expect("an update");
-    expect_that!(update.whole, eq(false));
+    expect_that!(update.complete, eq(false));
     expect_that!(
         update.changes,
         unordered_elements_are![eq(&put("c", 12)), eq(&removed("a", 13))]
     );
     let whole = mirror.since(Some(4)).expect("an update");
-    expect_that!(whole.whole, eq(true));
+    expect_that!(whole.complete, eq(true));
     expect_that!(whole.changes.len(), eq(2));
     expect_that!(Mirror::default().since(None), none());
 }
--- a/crates/daemon/tests/route/copies.rs
+++ b/crates/daemon/tests/route/copies.rs
@@ -37,7 +37,7 @@
         |change: &Change| matches!(change, Change::Removed { name, .. } if name == object);
     let is_put = |change: &Change| matches!(change, Change::Put(put) if put.name == object);
     let mut changes = update.changes.iter();
-    match update.whole {
+    match update.complete {
         true => !changes.any(is_put),
         false => changes.any(is_gone),
     }
--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -138,7 +138,7 @@
     pub fn since(&self, kind: Kind, revision: Option<u64>) -> Option<Packed> {
         let mut copy = self.lock(kind);
         let update = copy.mirror.since(revision)?;
-        if !update.whole {
+        if !update.complete {
             return Some(Packed::new(&update));
         }
         let whole = copy.whole.get_or_insert_with(|| Packed::new(&update));
@@ -188,7 +188,7 @@
         }
         self.sinks.take(kind, &changes);
         let update = Update {
-            whole: false,
+            complete: false,
             changes,
             revision: copy.mirror.revision().unwrap_or_default(),
         };
--- a/crates/router/src/store/direct.rs
+++ b/crates/router/src/store/direct.rs
@@ -254,7 +254,7 @@
             return Ok(false);
         };
         let update = Update {
-            whole: true,
+            complete: true,
             changes: objects.into_iter().map(Change::Put).collect(),
             revision,
         };
@@ -275,7 +275,7 @@
         self.store.copies.report(self.kind, &changes.unreadable);
         let is_quiet = changes.changes.is_empty();
         let update = Update {
-            whole: false,
+            complete: false,
             changes: changes.changes,
             revision: changes.revision,
         };
--- a/crates/router/src/store/relay/message.rs
+++ b/crates/router/src/store/relay/message.rs
@@ -158,7 +158,7 @@
     pub fn new(update: &Update) -> Self {
         let mut changes = Changes {
             revision: update.revision,
-            whole: update.whole,
+            whole: update.complete,
             ..Changes::default()
         };
         for change in &update.changes {
@@ -249,7 +249,7 @@
             revision: removal.revision,
         });
         let update = Update {
-            whole: changes.whole,
+            complete: changes.whole,
             changes: puts.chain(removals).collect(),
             revision: changes.revision,
         };
--- a/crates/router/tests/relay_properties.rs
+++ b/crates/router/tests/relay_properties.rs
@@ -72,7 +72,7 @@
         at in any::<prop::sample::Index>(),
         byte: u8,
     ) {
-        let update = Update { whole: true, changes, revision: 9 };
+        let update = Update { complete: true, changes, revision: 9 };
         let sent = Tell::new(Kind::Configuration, Some(Packed::new(&update)), Millis(1), None);
         let mut sent = sent.encode().to_vec();
         let place = at.index(sent.len());
