--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -6,7 +6,7 @@
 //! order.
 //!
 //! Entries of endpoints lapse while the platform is away, although what they
-//! stand for lives. After such a time a removal waits for [`GRACE`], in which a
+//! stand for lives. After such a time a removal waits for [`REMOVAL_GRACE`], in which a
 //! living endpoint lists itself again. What operators write doesn't lapse.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -18,7 +18,7 @@
 
 /// How long a removal waits after the platform's return: living endpoints are back within about
 /// two seconds, as the platform's operators say.
-pub const GRACE: Millis = Millis(2000);
+pub const REMOVAL_GRACE: Millis = Millis(2000);
 /// After an outage of this length entries may have lapsed: they do after three heartbeats of
 /// silence, and one heartbeat is a safe lower bound.
 const LAPSE: Millis = Millis(1000);
@@ -316,7 +316,7 @@
     /// Until when an object that is missing now may be back, none where a removal takes effect at
     /// once.
     pub fn grace(&self, now: Millis) -> Option<Millis> {
-        let until = self.back? + GRACE;
+        let until = self.back? + REMOVAL_GRACE;
         (now < until && !self.lasts).then_some(until)
     }
 }
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -1,7 +1,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::mirror::{Change, GRACE, Mirror, Object, Update};
+use medlarrill_core::routing::mirror::{Change, REMOVAL_GRACE, Mirror, Object, Update};
 
 fn object(name: &str, revision: u64) -> Object {
     Object {
@@ -120,7 +120,7 @@
         eq(0)
     );
     expect_that!(mirror.tick(Millis(6900)).len(), eq(0));
-    expect_that!(mirror.tick(Millis(5000) + GRACE).len(), eq(1));
+    expect_that!(mirror.tick(Millis(5000) + REMOVAL_GRACE).len(), eq(1));
 }
 
 #[gtest]
@@ -146,7 +146,7 @@
         eq(0)
     );
     expect_that!(
-        mirror.tick(at + GRACE),
+        mirror.tick(at + REMOVAL_GRACE),
         elements_are![eq(&removed("b", 12))]
     );
 }
@@ -292,7 +292,7 @@
     after_outage.platform_back(Millis(5000), at);
     after_outage.apply(lapse(), Some(at), at);
     for mirror in [&mut calm, &mut after_outage] {
-        expect_that!(mirror.tick(at + GRACE), is_empty());
+        expect_that!(mirror.tick(at + REMOVAL_GRACE), is_empty());
         let all = mirror.since(None).expect("a list");
         expect_that!(all.changes.len(), eq(2));
     }
