--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -121,7 +121,7 @@
 
 impl Mirror {
     /// A copy of objects that don't lapse.
-    pub fn lasting() -> Self {
+    pub fn persistent() -> Self {
         Self {
             lasts: true,
             ..Self::default()
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -318,7 +318,7 @@
 
 #[gtest]
 fn what_operators_remove_is_gone_at_once_after_an_outage() {
-    for (mut copy, waits) in [(Mirror::lasting(), false), (Mirror::default(), true)] {
+    for (mut copy, waits) in [(Mirror::persistent(), false), (Mirror::default(), true)] {
         let start = Millis(60_000);
         copy.apply(list(vec![put("z", 3)], 3), Some(start), start);
         copy.fail(start, start + Millis(3000));
--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -38,7 +38,7 @@
     /// A copy of objects that only somebody's word removes; entries of endpoints lapse.
     fn lasting() -> Self {
         Self {
-            mirror: Mirror::lasting(),
+            mirror: Mirror::persistent(),
             whole: None,
         }
     }
