--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -145,7 +145,7 @@
 
     /// Whether a copy that was up to date at `heard` is enough newer for followers to be told
     /// before the next beat.
-    pub fn is_news(&self, heard: Millis) -> bool {
+    pub fn should_notify(&self, heard: Millis) -> bool {
         self.heard.is_none_or(|before| heard >= before + NEWS)
     }
 
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -344,7 +344,7 @@
             under_way.extract_if(.., |(at, _, _)| *at == now).collect();
         for (_, to, age) in arrived {
             let heard = Millis(now) - age;
-            if copies[to].is_news(heard) {
+            if copies[to].should_notify(heard) {
                 senders.push(to);
             }
             copies[to].apply(changes(vec![], 10), Some(heard), Millis(now));
--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -148,7 +148,7 @@
     /// Takes an update that was up to date at `heard`, if that is known.
     pub fn apply(&self, kind: Kind, update: Update, heard: Option<Millis>, now: Millis) {
         let mut copy = self.lock(kind);
-        let is_news = heard.is_some_and(|heard| copy.mirror.is_news(heard));
+        let is_news = heard.is_some_and(|heard| copy.mirror.should_notify(heard));
         let (age, waited) = (copy.mirror.age(now), copy.mirror.grace(now).is_some());
         let failing = copy.mirror.failing(now);
         let changes = copy.mirror.apply(update, heard, now);
