--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -150,7 +150,7 @@
     }
 
     /// Notes that the platform answers again after an outage of this length.
-    pub fn platform_back(&mut self, outage: Millis, now: Millis) {
+    pub fn platform_recovered(&mut self, outage: Millis, now: Millis) {
         if outage >= LAPSE {
             self.back = Some(now);
         }
@@ -183,7 +183,7 @@
         {
             self.failing = None;
             let since = self.heard.map_or(first, |before| before.max(first));
-            self.platform_back(heard.since(since), now);
+            self.platform_recovered(heard.since(since), now);
         }
         let gap = self
             .heard
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -111,7 +111,7 @@
 #[gtest]
 fn after_an_outage_a_missing_object_is_kept_until_the_grace_has_passed() {
     let mut mirror = mirror();
-    mirror.platform_back(Millis(4000), Millis(5000));
+    mirror.platform_recovered(Millis(4000), Millis(5000));
     let at = Millis(5100);
     expect_that!(
         mirror
@@ -126,7 +126,7 @@
 #[gtest]
 fn an_object_that_is_back_within_the_grace_stays() {
     let mut mirror = mirror();
-    mirror.platform_back(Millis(4000), Millis(5000));
+    mirror.platform_recovered(Millis(4000), Millis(5000));
     let at = Millis(5100);
     mirror.apply(list(vec![put("a", 3)], 12), Some(at), at);
     let at = Millis(5900);
@@ -204,7 +204,7 @@
     for at in [Millis(2500), Millis(5000)] {
         mirror.apply(changes(Vec::new(), 10), Some(at), at);
     }
-    mirror.platform_back(Millis(300), Millis(5000));
+    mirror.platform_recovered(Millis(300), Millis(5000));
     let at = Millis(5100);
     expect_that!(
         mirror
@@ -238,7 +238,7 @@
 #[gtest]
 fn a_removal_that_waited_reaches_a_follower_that_is_at_its_revision() {
     let mut mirror = mirror();
-    mirror.platform_back(Millis(4000), Millis(5000));
+    mirror.platform_recovered(Millis(4000), Millis(5000));
     let at = Millis(5100);
     mirror.apply(list(vec![put("a", 3)], 12), Some(at), at);
     mirror.tick(Millis(8000));
@@ -289,7 +289,7 @@
     let mut calm = mirror();
     calm.apply(lapse(), Some(at), at);
     let mut after_outage = mirror();
-    after_outage.platform_back(Millis(5000), at);
+    after_outage.platform_recovered(Millis(5000), at);
     after_outage.apply(lapse(), Some(at), at);
     for mirror in [&mut calm, &mut after_outage] {
         expect_that!(mirror.tick(at + REMOVAL_GRACE), is_empty());
