--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -157,7 +157,7 @@
     }
 
     /// Notes that calls to the platform fail, here or at a source.
-    pub fn fail(&mut self, since: Millis, now: Millis) {
+    pub fn record_failure(&mut self, since: Millis, now: Millis) {
         let (first, _) = self.failing.unwrap_or((since, now));
         self.failing = Some((first.min(since), now));
     }
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -157,8 +157,8 @@
     let mut mirror = mirror();
     let at = Millis(1500);
     mirror.apply(changes(Vec::new(), 10), Some(at), at);
-    mirror.fail(Millis(1600), Millis(2000));
-    mirror.fail(Millis(1600), Millis(3400));
+    mirror.record_failure(Millis(1600), Millis(2000));
+    mirror.record_failure(Millis(1600), Millis(3400));
     expect_that!(mirror.failing(Millis(3500)), some(eq(Millis(1900))));
     let at = Millis(3600);
     expect_that!(
@@ -174,7 +174,7 @@
 fn an_outage_of_one_source_is_none_where_another_is_up_to_date() {
     let mut mirror = mirror();
     for at in [1000, 1500, 2000, 2500] {
-        mirror.fail(Millis(100), Millis(at - 10));
+        mirror.record_failure(Millis(100), Millis(at - 10));
         mirror.apply(changes(Vec::new(), 10), Some(Millis(at)), Millis(at));
     }
     let at = Millis(2600);
@@ -321,7 +321,7 @@
     for (mut copy, waits) in [(Mirror::persistent(), false), (Mirror::default(), true)] {
         let start = Millis(60_000);
         copy.apply(list(vec![put("z", 3)], 3), Some(start), start);
-        copy.fail(start, start + Millis(3000));
+        copy.record_failure(start, start + Millis(3000));
         let back = start + Millis(6000);
         let changes = copy.apply(list(Vec::new(), 9), Some(back), back);
         expect_that!(changes.is_empty(), eq(waits));
--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -202,7 +202,7 @@
 
     /// Notes that calls to the platform fail, here or at a source.
     pub fn fail(&self, kind: Kind, since: Millis, now: Millis) {
-        self.lock(kind).mirror.fail(since, now);
+        self.lock(kind).mirror.record_failure(since, now);
     }
 
     /// For how long calls to the platform have failed, none if they don't.
