--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -163,7 +163,7 @@
     }
 
     /// For how long calls to the platform have failed, none if they don't.
-    pub fn failing(&self, now: Millis) -> Option<Millis> {
+    pub fn outage(&self, now: Millis) -> Option<Millis> {
         self.failing.map(|(first, _)| now.since(first))
     }
 
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -159,7 +159,7 @@
     mirror.apply(changes(Vec::new(), 10), Some(at), at);
     mirror.record_failure(Millis(1600), Millis(2000));
     mirror.record_failure(Millis(1600), Millis(3400));
-    expect_that!(mirror.failing(Millis(3500)), some(eq(Millis(1900))));
+    expect_that!(mirror.outage(Millis(3500)), some(eq(Millis(1900))));
     let at = Millis(3600);
     expect_that!(
         mirror
@@ -167,7 +167,7 @@
             .len(),
         eq(0)
     );
-    expect_that!(mirror.failing(at), none());
+    expect_that!(mirror.outage(at), none());
 }
 
 #[gtest]
--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -150,7 +150,7 @@
         let mut copy = self.lock(kind);
         let is_news = heard.is_some_and(|heard| copy.mirror.should_notify(heard));
         let (age, waited) = (copy.mirror.age(now), copy.mirror.grace(now).is_some());
-        let failing = copy.mirror.failing(now);
+        let failing = copy.mirror.outage(now);
         let changes = copy.mirror.apply(update, heard, now);
         if !waited && copy.mirror.grace(now).is_some() {
             log::info!(
@@ -207,7 +207,7 @@
 
     /// For how long calls to the platform have failed, none if they don't.
     pub fn failing(&self, kind: Kind, now: Millis) -> Option<Millis> {
-        self.lock(kind).mirror.failing(now)
+        self.lock(kind).mirror.outage(now)
     }
 
     /// Notes whether calls to the platform fail.
