--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -57,14 +57,14 @@
 impl Record {
     /// Whether a listed instance is the one that spoke.
     fn is_of(&self, id: &InstanceId) -> bool {
-        is_speaker(id, &self.id, self.handed)
+        answered_by(id, &self.id, self.handed)
     }
 }
 
 /// Whether a listed instance gave the answer to a request that was handed over at a time since the
 /// Unix epoch, while another instance was listed, or the same. The time of the answer doesn't tell:
 /// a daemon may read it long after the process ended.
-pub fn is_speaker(listed: &InstanceId, asked: &InstanceId, handed: Millis) -> bool {
+pub fn answered_by(listed: &InstanceId, asked: &InstanceId, handed: Millis) -> bool {
     if listed == asked {
         return true;
     }
--- a/crates/core/src/routing/view/notices.rs
+++ b/crates/core/src/routing/view/notices.rs
@@ -4,7 +4,7 @@
 use crate::clock::Millis;
 use crate::ids::PoolId;
 use crate::routing::endpoint::InstanceId;
-use crate::routing::notices::{Notice, is_speaker};
+use crate::routing::notices::{Notice, answered_by};
 
 /// Time until a pool that has no endpoint left is asked again: about what a new one takes from its
 /// start until the platform lists it and daemons read that.
@@ -17,7 +17,7 @@
     pub fn note(&mut self, id: &InstanceId, notice: Notice, now: Millis, handed: Millis) -> bool {
         // A later start may have been listed while the request was under way.
         let listed = self.directory.instance(&id.endpoint).unwrap_or(id).clone();
-        if !is_speaker(&listed, id, handed) {
+        if !answered_by(&listed, id, handed) {
             return false;
         }
         if notice.leaving {
