--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -148,7 +148,7 @@
     }
 
     /// Forgets endpoints that aren't listed any more.
-    pub fn tidy(&mut self, is_listed: impl Fn(&EndpointId) -> bool, now: Millis) {
+    pub fn prune(&mut self, is_listed: impl Fn(&EndpointId) -> bool, now: Millis) {
         let is_recent = |record: &Record| now.since(record.heard) < KEPT;
         self.records
             .retain(|name, record| is_listed(name) || is_recent(record));
--- a/crates/core/src/routing/view/notices.rs
+++ b/crates/core/src/routing/view/notices.rs
@@ -45,6 +45,6 @@
     pub fn tidy_notices(&mut self, now: Millis) {
         let directory = &self.directory;
         let is_listed = |name: &_| directory.instance(name).is_some();
-        self.notices.tidy(is_listed, now);
+        self.notices.prune(is_listed, now);
     }
 }
