--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -88,7 +88,7 @@
 impl Notices {
     /// Takes the notice of an endpoint, known as this instance, in the answer to a request that was
     /// handed over at a time since the Unix epoch; says whether it is news.
-    pub fn note(&mut self, id: &InstanceId, notice: Notice, now: Millis, handed: Millis) -> bool {
+    pub fn record(&mut self, id: &InstanceId, notice: Notice, now: Millis, handed: Millis) -> bool {
         if notice.is_empty() {
             return false;
         }
--- a/crates/core/src/routing/view/notices.rs
+++ b/crates/core/src/routing/view/notices.rs
@@ -23,7 +23,7 @@
         if notice.leaving {
             self.directory.set_leaving(&listed, now);
         }
-        self.notices.note(&listed, notice, now, handed)
+        self.notices.record(&listed, notice, now, handed)
     }
 
     /// How long a pool takes no work of which no endpoint takes any now: until the first pause
