--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -111,7 +111,7 @@
     }
 
     /// Takes an instance that the platform lists: what an earlier one said ends.
-    pub fn list(&mut self, id: &InstanceId) {
+    pub fn set_listed(&mut self, id: &InstanceId) {
         let Some(record) = self.records.get_mut(&id.endpoint) else {
             return;
         };
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -39,7 +39,7 @@
             }
         }
         let id = endpoint.id.clone();
-        self.notices.list(&id);
+        self.notices.set_listed(&id);
         let endpoint = Endpoint {
             leaving: endpoint.leaving || self.notices.is_leaving(&id),
             ..endpoint
