--- a/crates/core/src/routing/directory.rs
+++ b/crates/core/src/routing/directory.rs
@@ -68,7 +68,7 @@
     }
 
     /// Takes one entry; says whether it is new or changed.
-    pub fn list(&mut self, endpoint: Endpoint, now: Millis) -> bool {
+    pub fn insert(&mut self, endpoint: Endpoint, now: Millis) -> bool {
         let name = endpoint.id.endpoint.clone();
         let known = self.endpoints.get(&name);
         if known.is_some_and(|(known, _)| **known == endpoint) {
@@ -91,7 +91,7 @@
                 leaving: true,
                 ..Endpoint::clone(known)
             };
-            self.list(endpoint, now);
+            self.insert(endpoint, now);
         }
     }
 
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -45,7 +45,7 @@
             ..endpoint
         };
         let before = self.directory.instance(&id.endpoint).cloned();
-        if !self.directory.list(endpoint, now) {
+        if !self.directory.insert(endpoint, now) {
             return Listed::Same;
         }
         match before.filter(|before| *before != id) {
--- a/crates/core/tests/routing/directory.rs
+++ b/crates/core/tests/routing/directory.rs
@@ -7,12 +7,12 @@
 #[gtest]
 fn entries_are_kept_by_pool_and_replaced_in_place() {
     let mut directory = Directory::default();
-    expect_that!(directory.list(endpoint("b"), Millis(1)), eq(true));
-    expect_that!(directory.list(endpoint("a"), Millis(2)), eq(true));
-    expect_that!(directory.list(endpoint("a"), Millis(3)), eq(false));
+    expect_that!(directory.insert(endpoint("b"), Millis(1)), eq(true));
+    expect_that!(directory.insert(endpoint("a"), Millis(2)), eq(true));
+    expect_that!(directory.insert(endpoint("a"), Millis(3)), eq(false));
     let mut leaving = endpoint("a");
     leaving.leaving = true;
-    expect_that!(directory.list(leaving, Millis(4)), eq(true));
+    expect_that!(directory.insert(leaving, Millis(4)), eq(true));
     let names: Vec<&str> = directory
         .pool(&pool())
         .iter()
@@ -26,7 +26,7 @@
 #[gtest]
 fn a_removed_entry_is_gone_from_its_pool() {
     let mut directory = Directory::default();
-    directory.list(endpoint("a"), Millis(1));
+    directory.insert(endpoint("a"), Millis(1));
     expect_that!(directory.remove(&id("a").endpoint), eq(true));
     expect_that!(directory.remove(&id("a").endpoint), eq(false));
     expect_that!(directory.pool(&pool()).len(), eq(0));
