--- a/crates/core/src/routing/directory.rs
+++ b/crates/core/src/routing/directory.rs
@@ -52,7 +52,7 @@
     }
 
     /// When an instance was first listed.
-    pub fn joined(&self, id: &InstanceId) -> Option<Millis> {
+    pub fn listed_since(&self, id: &InstanceId) -> Option<Millis> {
         let (endpoint, joined) = self.endpoints.get(&id.endpoint)?;
         (endpoint.id == *id).then_some(*joined)
     }
@@ -74,7 +74,7 @@
         if known.is_some_and(|(known, _)| **known == endpoint) {
             return false;
         }
-        let joined = self.joined(&endpoint.id).unwrap_or(now);
+        let joined = self.listed_since(&endpoint.id).unwrap_or(now);
         self.remove(&name);
         let endpoint = Arc::new(endpoint);
         let pool = self.pools.entry(endpoint.pool.clone()).or_default();
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -373,7 +373,7 @@
     }
 
     fn age(&self, id: &InstanceId, now: Millis) -> Millis {
-        let joined = self.directory.joined(id);
+        let joined = self.directory.listed_since(id);
         joined.map_or(Millis::MAX, |joined| now.since(joined))
     }
 
--- a/crates/core/tests/routing/directory.rs
+++ b/crates/core/tests/routing/directory.rs
@@ -20,7 +20,7 @@
         .collect();
     expect_that!(names, elements_are![eq(&"a"), eq(&"b")]);
     expect_that!(directory.pool(&pool())[0].leaving, eq(true));
-    expect_that!(directory.joined(&id("a")), some(eq(Millis(2))));
+    expect_that!(directory.listed_since(&id("a")), some(eq(Millis(2))));
 }
 
 #[gtest]
