--- a/crates/core/src/routing/budget.rs
+++ b/crates/core/src/routing/budget.rs
@@ -69,7 +69,7 @@
 /// The repeats of one daemon.
 #[derive(Clone)]
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     settings: Settings,
     /// This daemon's part of the slack, of 1.
     part: f64,
@@ -77,7 +77,7 @@
     pools: HashMap<PoolId, Bucket>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// The budget of a daemon that starts now, without a part of the slack.
     pub fn new(settings: Settings, now: Millis) -> Self {
         Self {
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -24,7 +24,7 @@
 use crate::routing::ablation::{Mechanism, is_on};
 use crate::routing::attempt::Fault;
 use crate::routing::instance::InstanceTracker;
-use crate::routing::budget::{self, Budget};
+use crate::routing::budget::{self, RetryBudget};
 use crate::routing::choose::{Candidate, Choice, choose, is_worth_fetching};
 use crate::routing::directory::Directory;
 use crate::routing::endpoint::{Endpoint, InstanceId};
@@ -60,7 +60,7 @@
     avoided: HashSet<InstanceId>,
     /// Daemons that live.
     daemons: u32,
-    budget: Budget,
+    budget: RetryBudget,
     paces: ResponseRates,
     /// Admission to plain pools.
     valves: HashMap<PoolId, AdmissionControl>,
@@ -134,7 +134,7 @@
             health: Health::default(),
             avoided: HashSet::new(),
             daemons: 1,
-            budget: Budget::new(repeats, now),
+            budget: RetryBudget::new(repeats, now),
             paces: ResponseRates::default(),
             valves: HashMap::new(),
             outcomes: HashMap::new(),
@@ -168,7 +168,7 @@
     }
 
     /// Repeats that the fleet may send.
-    pub const fn budget(&mut self) -> &mut Budget {
+    pub const fn budget(&mut self) -> &mut RetryBudget {
         &mut self.budget
     }
 
--- a/crates/core/tests/routing/budget.rs
+++ b/crates/core/tests/routing/budget.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::budget::{Budget, Settings};
+use medlarrill_core::routing::budget::{RetryBudget, Settings};
 
 use super::support::pool;
 
@@ -13,18 +13,18 @@
 /// Some time after the daemon's start.
 const NOW: Millis = Millis(60_000);
 
-fn budget(daemons: u32) -> Budget {
-    let mut budget = Budget::new(FLEET, Millis(0));
+fn budget(daemons: u32) -> RetryBudget {
+    let mut budget = RetryBudget::new(FLEET, Millis(0));
     budget.set_part(1.0 / f64::from(daemons));
     budget
 }
 
-fn spent(budget: &mut Budget, now: Millis) -> usize {
+fn spent(budget: &mut RetryBudget, now: Millis) -> usize {
     (0..1000).take_while(|_| budget.spend(&pool(), now)).count()
 }
 
 /// Spends all that is left after each request of a window; returns how many repeats.
-fn spent_along(budget: &mut Budget, from: Millis, requests: u64) -> usize {
+fn spent_along(budget: &mut RetryBudget, from: Millis, requests: u64) -> usize {
     let gap = FLEET.window.0 / requests;
     let spend = |number| {
         let now = from + Millis(number * gap);
@@ -77,7 +77,7 @@
 #[gtest]
 fn a_daemon_that_has_just_started_spends_what_its_requests_have_earned() {
     // What it spent before it was killed still counts for the fleet.
-    let mut budget = Budget::new(FLEET, Millis(5000));
+    let mut budget = RetryBudget::new(FLEET, Millis(5000));
     expect_that!(spent(&mut budget, Millis(5500)), eq(1));
     // 0.8 x 0.2 x 100 = 16
     let unlisted = spent_along(&mut budget, Millis(6000), 100);
