--- a/crates/core/src/routing/budget.rs
+++ b/crates/core/src/routing/budget.rs
@@ -94,7 +94,7 @@
     }
 
     /// Sets this daemon's part of the slack, of 1.
-    pub fn set_part(&mut self, part: f64) {
+    pub fn set_share(&mut self, part: f64) {
         self.part = part;
     }
 
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -11,13 +11,13 @@
     pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.fleet.set_listed(me, part, daemons);
         self.slow_starts.clear_shares();
-        self.budget.set_part(self.fleet.share(1.0));
+        self.budget.set_share(self.fleet.share(1.0));
     }
 
     /// Notes that this daemon is told of no others.
     pub fn set_sole(&mut self) {
         self.fleet.set_single();
-        self.budget.set_part(self.fleet.share(1.0));
+        self.budget.set_share(self.fleet.share(1.0));
     }
 
     /// Those of some daemons that the platform doesn't list.
@@ -30,6 +30,6 @@
     /// Notes how many daemons live, this one included.
     pub fn hear(&mut self, live: usize, now: Millis) {
         self.fleet.set_live(live, now);
-        self.budget.set_part(self.fleet.share(1.0));
+        self.budget.set_share(self.fleet.share(1.0));
     }
 }
--- a/crates/core/tests/routing/budget.rs
+++ b/crates/core/tests/routing/budget.rs
@@ -15,7 +15,7 @@
 
 fn budget(daemons: u32) -> RetryBudget {
     let mut budget = RetryBudget::new(FLEET, Millis(0));
-    budget.set_part(1.0 / f64::from(daemons));
+    budget.set_share(1.0 / f64::from(daemons));
     budget
 }
 
@@ -88,7 +88,7 @@
 fn with_fewer_daemons_each_may_spend_more() {
     let mut budget = budget(100);
     expect_that!(spent(&mut budget, NOW), eq(1));
-    budget.set_part(0.5);
+    budget.set_share(0.5);
     // 0.5 x 54 / 2 = 13.5
     expect_that!(spent(&mut budget, NOW + Millis(100_000)), eq(13));
 }
