--- a/crates/core/src/routing/budget.rs
+++ b/crates/core/src/routing/budget.rs
@@ -99,7 +99,7 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, pool: &PoolId, now: Millis) {
+    pub fn record_request(&mut self, pool: &PoolId, now: Millis) {
         let earned = EARNED * self.settings.ratio;
         self.fill(pool, now);
         let bucket = self.bucket(pool);
--- a/crates/core/tests/routing/budget.rs
+++ b/crates/core/tests/routing/budget.rs
@@ -28,7 +28,7 @@
     let gap = FLEET.window.0 / requests;
     let spend = |number| {
         let now = from + Millis(number * gap);
-        budget.request(&pool(), now);
+        budget.record_request(&pool(), now);
         spent(budget, now)
     };
     (0..requests).map(spend).sum()
@@ -47,7 +47,7 @@
 fn what_a_window_has_not_used_may_be_sent_at_once() {
     let mut budget = budget(9);
     for number in 0..100 {
-        budget.request(&pool(), NOW + Millis(number * 99));
+        budget.record_request(&pool(), NOW + Millis(number * 99));
     }
     // 0.5 x 54 / 9 + 0.15 x 0.2 x 100 = 6
     expect_that!(spent(&mut budget, NOW + Millis(9900)), eq(6));
--- a/crates/core/tests/routing/repeats.rs
+++ b/crates/core/tests/routing/repeats.rs
@@ -218,7 +218,7 @@
             return;
         }
         let budget = daemon.view.budget();
-        budget.request(&pool(), Millis(now));
+        budget.record_request(&pool(), Millis(now));
         while self.rng.random::<f64>() < failing {
             counted.wanted += 1;
             if !budget.spend(&pool(), Millis(now)) {
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -81,7 +81,7 @@
 
     /// Counts a caller's request.
     pub fn request(&self, pool: &PoolId, now: Millis) {
-        self.lock().budget().request(pool, now);
+        self.lock().budget().record_request(pool, now);
     }
 
     /// Whether a pool has an endpoint that takes new work and wasn't tried, other than this one.
