--- a/crates/core/src/routing/budget.rs
+++ b/crates/core/src/routing/budget.rs
@@ -109,7 +109,7 @@
     }
 
     /// Takes one repeat, unless there is none left.
-    pub fn spend(&mut self, pool: &PoolId, now: Millis) -> bool {
+    pub fn try_spend(&mut self, pool: &PoolId, now: Millis) -> bool {
         let fits = self.state(pool, now).left >= 1.0;
         if fits {
             self.bucket(pool).tokens -= 1.0;
--- a/crates/core/tests/routing/repeats.rs
+++ b/crates/core/tests/routing/repeats.rs
@@ -221,7 +221,7 @@
         budget.record_request(&pool(), Millis(now));
         while self.rng.random::<f64>() < failing {
             counted.wanted += 1;
-            if !budget.spend(&pool(), Millis(now)) {
+            if !budget.try_spend(&pool(), Millis(now)) {
                 break;
             }
             counted.repeats.push(now + self.rng.random_range(0..WAY));
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -91,7 +91,7 @@
 
     /// Takes a repeat from the budget.
     pub fn spend(&self, pool: &PoolId, now: Millis) -> bool {
-        self.lock().budget().spend(pool, now)
+        self.lock().budget().try_spend(pool, now)
     }
 
     /// What the budget of repeats holds for a pool.
