--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,12 +1,12 @@
 //! Routing of requests straight from an entry to endpoints.
 //!
-//! Used where the platform lists the endpoints and hands out the whole
-//! configuration. An entry finds the route and the account of a request
-//! ([`config`]), picks an endpoint by cached prompt parts and load ([`choose`]),
-//! and decides after each failed attempt whether to try again ([`plan`]).
-//! What is known of endpoints ([`view`]) comes from the platform's list ([`mirror`],
-//! [`directory`]) and from their answers ([`load`], [`health`]), also from those that other
-//! daemons got ([`exchange`]).
+//! Used where the platform lists the endpoints and provides the complete
+//! configuration. An entry looks up the route and the client account of a request
+//! ([`config`]), picks an endpoint by cached prompt prefix and load ([`choose`]),
+//! and decides after each failed attempt whether to retry ([`plan`]).
+//! The state of endpoints ([`view`]) comes from the platform's list ([`mirror`],
+//! [`directory`]), from their responses ([`load`], [`health`]) and from reports of
+//! other daemons ([`exchange`]).
 
 pub mod ablation;
 pub mod answer;
--- a/crates/core/src/routing/ablation.rs
+++ b/crates/core/src/routing/ablation.rs
@@ -1,7 +1,7 @@
-//! Switches that tell what a mechanism is worth.
+//! Switches that disable single mechanisms, to measure what each contributes.
 //!
 //! A lab build (feature `ablation`) runs without the mechanisms that are named
-//! at its start; in any other build all are on and the switches cost nothing.
+//! at its start; in any other build all are on and the checks are constant.
 
 use derive_more::{Debug, Display, FromStr};
 
@@ -9,33 +9,33 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display, FromStr)]
 pub enum Mechanism {
-    /// Cached parts of prompts are fetched from other engines.
+    /// Engines fetch cached prompt prefixes from other engines.
     Fetch,
-    /// An endpoint that joined isn't taken to hold what it ranks first for.
+    /// A newly listed endpoint isn't assumed to hold the prefixes that it ranks first for.
     Settled,
-    /// Prefixes that went elsewhere than rank says are told.
+    /// Daemons announce prefixes that they sent to another endpoint than the first-ranked one.
     ToldPrefixes,
-    /// Hot prefixes are spread over several places.
+    /// Hot prefixes are spread over several endpoints.
     HotSpread,
-    /// Endpoints over the load bound are passed over.
+    /// Endpoints over the load bound are skipped.
     Bound,
-    /// Other daemons' requests count as load.
+    /// Requests in flight that other daemons report count as load.
     ToldLoads,
-    /// Endpoints that fail more than others are avoided.
+    /// Endpoints that fail more often than others of their pool are avoided.
     FailureShare,
-    /// Endpoints that are avoided get a request now and then.
+    /// Avoided endpoints get occasional probe requests.
     Trials,
-    /// Overloaded plain pools are given a part of their requests.
+    /// Only a part of the requests to an overloaded pool without cached prefixes is admitted.
     Valve,
-    /// Copies follow other daemons' copies.
+    /// Copies of the platform's objects are updated from other daemons' copies.
     Relays,
-    /// Repeats are bounded.
+    /// Retries are limited by a budget.
     Budget,
-    /// Attempts that are stuck are given up for another endpoint.
+    /// Stuck attempts are abandoned for another endpoint.
     Stuck,
-    /// Engines are told how urgent a request is.
+    /// Requests to engines carry their priority.
     Urgency,
-    /// Plain endpoints of the same data centre come first.
+    /// Endpoints of the same data centre are preferred where no prefix is cached.
     Near,
 }
 
@@ -45,13 +45,14 @@
 
     use super::Mechanism;
 
+    /// One bit for each mechanism that is off.
     static OFF: AtomicU32 = AtomicU32::new(0);
 
-    /// Switches mechanisms off, named with commas between them.
+    /// Switches mechanisms off, given as a comma-separated list of variant names.
     ///
     /// # Errors
     ///
-    /// With the name that isn't one.
+    /// The first name that isn't a mechanism.
     pub fn switch_off(names: &str) -> Result<(), String> {
         for name in names.split(',').filter(|name| !name.is_empty()) {
             let mechanism: Mechanism = name.parse().map_err(|_| name.to_owned())?;
