--- a/crates/core/src/routing/answer.rs
+++ b/crates/core/src/routing/answer.rs
@@ -1,4 +1,4 @@
-//! What the head of an endpoint's answer says, and whether it can be handed on.
+//! The decoded head of an endpoint's response, and whether it may be passed on to the caller.
 
 use derive_more::Debug;
 
@@ -8,48 +8,48 @@
 use crate::routing::load::LoadReport;
 use crate::routing::notices::Notice;
 
-/// The endpoint isn't the one that the request was meant for.
+/// Status of an endpoint that isn't the one that the request was meant for.
 const MISDIRECTED: u16 = 421;
-/// The endpoint takes no more requests of this sender for now.
+/// Status of an endpoint that takes no more requests from this sender for now.
 const BUSY: u16 = 429;
-/// The endpoint takes no more requests for now.
+/// Status of an endpoint that takes no more requests for now.
 const OVERLOADED: u16 = 503;
 
-/// The head of an answer.
+/// Status and headers of a response, decoded.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct AnswerHead {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// The attempt that it answers, if it says so.
+    /// Id of the attempt that it answers, if given.
     pub attempt: Option<String>,
-    /// The endpoint that it names as its own, if it does.
+    /// Id of the endpoint that sent it, if given.
     pub endpoint: Option<EndpointId>,
-    /// Whether the endpoint says that it didn't run the request.
+    /// Whether the endpoint states that it didn't run the request.
     pub not_run: bool,
-    /// Whether it bears the endpoint's signature.
+    /// Whether it carries the endpoint's signature.
     pub signed: bool,
-    /// The endpoint's work.
+    /// The endpoint's load, if given.
     pub load: Option<LoadReport>,
-    /// For how long it still has to be spared, if it says so.
+    /// Remaining time of the endpoint's slow start, if given.
     pub slow_start: Option<Millis>,
-    /// Whether the endpoint says that it will stop.
+    /// Whether the endpoint announces that it will stop.
     pub leaving: bool,
-    /// After what time a refused sender may come back.
+    /// Time after which a refused sender may retry.
     pub retry_after: Option<Millis>,
-    /// How long the connection may be idle.
+    /// How long the connection may stay idle.
     pub keep_alive: Option<Millis>,
     /// Whether the body is a stream of events.
     pub events: bool,
-    /// Whether the body's end is marked, by a length or in chunks, so that a connection that ends
-    /// can't pass for it.
+    /// Whether the end of the body is marked, by a length or chunked encoding, so that a closed
+    /// connection can't be mistaken for it.
     pub framed: bool,
-    /// Whether the body was encoded on the way, so that it isn't the endpoint's.
+    /// Whether an intermediary encoded the body, so that it isn't as the endpoint sent it.
     pub encoded: bool,
 }
 
 impl AnswerHead {
-    /// Why this isn't the endpoint's answer to an attempt, with words for the log.
+    /// Why this isn't a valid response to an attempt, with a text for the log; none if it is.
     pub fn fault(&self, attempt: &str) -> Option<(Fault, &'static str)> {
         if self.attempt.as_deref().is_some_and(|id| id != attempt) {
             return Some((Fault::Foreign, "another attempt's answer"));
@@ -72,15 +72,15 @@
         None
     }
 
-    /// Whether what it says of its endpoint is the word of this one: not where another endpoint
-    /// has the address, nor where it answers another attempt.
+    /// Whether this endpoint sent it in response to this attempt: not if another endpoint has the
+    /// address, nor if it answers another attempt.
     pub fn is_from(&self, endpoint: &EndpointId, attempt: &str) -> bool {
         let names_other = self.endpoint.as_ref().is_some_and(|id| id != endpoint);
         let is_foreign = self.attempt.as_deref().is_some_and(|id| id != attempt);
         self.status != MISDIRECTED && !names_other && !is_foreign
     }
 
-    /// What the endpoint says of itself.
+    /// What the endpoint reports about its own availability.
     pub fn notice(&self) -> Notice {
         let refuses = matches!(self.status, BUSY | OVERLOADED);
         let pause = self.retry_after.filter(|_| refuses);
@@ -90,17 +90,17 @@
         }
     }
 
-    /// Whether the endpoint says that it ran the request to a good end.
+    /// Whether the endpoint ran the request successfully (status 2xx).
     pub const fn is_success(&self) -> bool {
         matches!(self.status, 200..300)
     }
 
-    /// Whether the endpoint says that it failed.
+    /// Whether the status reports a failure of the endpoint, or that the request wasn't run.
     pub const fn is_failure(&self) -> bool {
         self.status >= 500 || self.says_not_run()
     }
 
-    /// Whether the status would tell a caller that the request hasn't run.
+    /// Whether callers take the status to mean that the request wasn't run.
     pub const fn says_not_run(&self) -> bool {
         matches!(self.status, 408 | 421 | 429 | 503)
     }
--- a/crates/core/src/routing/attempt.rs
+++ b/crates/core/src/routing/attempt.rs
@@ -4,38 +4,38 @@
 
 use crate::outcome::Outcome;
 
-/// Why an attempt has no answer that can be handed on.
+/// Why an attempt has no response that can be passed on to the caller.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug, Display)]
 pub enum Fault {
-    /// No connection; nothing was sent.
+    /// No connection could be made; nothing was sent.
     #[display("not-sent")]
     NotSent,
-    /// The endpoint says that it didn't run the request, being full or busy.
+    /// The endpoint is full or busy and states that it didn't run the request.
     #[display("rejected")]
     Rejected,
-    /// Another endpoint has the address now; not run.
+    /// Another endpoint has the address now; the request wasn't run.
     #[display("other-endpoint")]
     OtherEndpoint,
-    /// The connection ended, or what came was no answer.
+    /// The connection was closed, or the response was invalid.
     #[display("lost")]
     Lost,
-    /// The answer belongs to another request.
+    /// The response belongs to another attempt.
     #[display("foreign-answer")]
     Foreign,
-    /// No answer came in the time allowed for this attempt.
+    /// No response arrived within the time allowed for this attempt.
     #[display("slow")]
     Slow,
-    /// The endpoint answered that it failed.
+    /// The endpoint responded with a failure.
     #[display("failed")]
     Failed,
-    /// The answer began and broke off.
+    /// The response was truncated.
     #[display("cut")]
     Cut,
 }
 
 impl Fault {
-    /// Whether the request ran, as far as the fault tells.
+    /// Whether the request ran, as far as the fault shows.
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::NotSent | Self::Rejected | Self::OtherEndpoint => Outcome::NotRun,
@@ -44,19 +44,19 @@
         }
     }
 
-    /// Whether the fault speaks against the endpoint: not where it couldn't be reached from here,
-    /// and not where it is full, of which its load tells.
+    /// Whether the fault counts against the endpoint's health: not if it couldn't be reached from
+    /// here, and not if it is full, which its reported load shows.
     pub const fn is_failure(self) -> bool {
         !matches!(self, Self::NotSent | Self::Rejected | Self::OtherEndpoint)
     }
 
-    /// Whether the connection ended while the endpoint had the request, as it does where the
-    /// endpoint itself ends.
+    /// Whether the connection was lost while the endpoint had the request, as happens when the
+    /// endpoint's process ends.
     pub const fn is_loss(self) -> bool {
         matches!(self, Self::Lost | Self::Cut)
     }
 
-    /// Short name, for counters and logs.
+    /// Short name, for metrics and logs.
     pub const fn code(self) -> &'static str {
         match self {
             Self::NotSent => "not-sent",
--- a/crates/core/src/routing/fingerprint.rs
+++ b/crates/core/src/routing/fingerprint.rs
@@ -1,7 +1,7 @@
-//! What makes two requests the same one.
+//! Recognises retries of the same request by its content.
 //!
-//! A caller that sends a request again gives it a new id and may reach another
-//! daemon. What stays is what it asks for: host, path, account and body.
+//! A caller that retries a request gives it a new id and may reach another
+//! daemon, but its host, path, client account and body stay the same.
 
 use std::num::ParseIntError;
 use std::str::FromStr;
@@ -11,7 +11,7 @@
 
 use crate::ids::AccountId;
 
-/// Hash of what a request asks for.
+/// Hash of a request's host, path, client account and body.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Debug, Display)]
 #[debug("{self}")]
@@ -24,7 +24,7 @@
         let account = account.map_or("", AccountId::as_str);
         let mut hash = Xxh3::new();
         for part in [host.as_bytes(), path.as_bytes(), account.as_bytes(), body] {
-            // Lengths keep apart what would be alike when joined.
+            // Hashing the lengths distinguishes parts that are equal when concatenated.
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/core/src/routing/request.rs
+++ b/crates/core/src/routing/request.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of a request from its head.
+//! The decoded head of a caller's request.
 
 use derive_more::Debug;
 use xxhash_rust::xxh3::Xxh3;
@@ -6,33 +6,33 @@
 use crate::clock::Millis;
 use crate::units::Tokens;
 
-/// One part of a prompt; prompts share their first parts.
+/// One part of a prompt. Prompts may start with the same parts.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct PromptPart {
-    /// Its identity.
+    /// Id of its content.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: Tokens,
 }
 
-/// The shared start of a prompt: all parts but the last, which is the request's own.
+/// The shared prefix of a prompt: all parts but the last, which is specific to the request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug)]
 pub struct SharedPrefix {
-    /// Hash of the model and the parts, in order.
+    /// Hash of the model and the parts in order.
     pub key: u64,
-    /// Length of the parts together.
+    /// Total length in tokens.
     pub tokens: Tokens,
 }
 
-/// A request's head, decoded.
+/// Headers of a request, decoded.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct RequestHead {
-    /// Identity of this attempt of the caller.
+    /// The caller's id of this attempt.
     pub attempt: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Millis>,
     /// The caller's key.
     #[debug(skip)]
@@ -41,12 +41,12 @@
     pub model: String,
     /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
-    /// Last event that the caller has of a stream.
+    /// Id of the last event of a stream that the caller has received.
     pub last_event: Option<u64>,
 }
 
 impl RequestHead {
-    /// The shared start of the prompt, if it has one.
+    /// The shared prefix of the prompt, if it has one.
     pub fn shared(&self) -> Option<SharedPrefix> {
         let (_, shared) = self.parts.split_last()?;
         if shared.is_empty() {
