--- a/crates/core/src/routing/directory.rs
+++ b/crates/core/src/routing/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the platform lists, by pool.
+//! Endpoints that the platform lists, indexed by id and by pool.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::ids::{EndpointId, PoolId};
 use crate::routing::endpoint::{Endpoint, InstanceId};
 
-/// Listed endpoints by pool.
+/// Index of the listed endpoints.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct Directory {
@@ -20,7 +20,7 @@
 }
 
 impl Directory {
-    /// Endpoints of a pool, leaving ones included, in the order of their ids.
+    /// Endpoints of a pool sorted by id, including those that are leaving.
     pub fn pool(&self, pool: &PoolId) -> &[Arc<Endpoint>] {
         self.pools.get(pool).map_or(&[], Vec::as_slice)
     }
@@ -35,12 +35,12 @@
         self.endpoints.values().map(|(endpoint, _)| endpoint)
     }
 
-    /// The instance of an endpoint that is listed.
+    /// The listed instance of an endpoint.
     pub fn instance(&self, id: &EndpointId) -> Option<&InstanceId> {
         self.endpoints.get(id).map(|(endpoint, _)| &endpoint.id)
     }
 
-    /// A listed instance.
+    /// The endpoint of this instance, if the instance is listed.
     pub fn get(&self, id: &InstanceId) -> Option<&Arc<Endpoint>> {
         let (endpoint, _) = self.endpoints.get(&id.endpoint)?;
         (endpoint.id == *id).then_some(endpoint)
@@ -51,40 +51,40 @@
         self.instance(&id.endpoint) == Some(id)
     }
 
-    /// When an instance was first listed.
+    /// When an instance was first listed; none if it isn't listed.
     pub fn listed_since(&self, id: &InstanceId) -> Option<Millis> {
-        let (endpoint, joined) = self.endpoints.get(&id.endpoint)?;
-        (endpoint.id == *id).then_some(*joined)
+        let (endpoint, since) = self.endpoints.get(&id.endpoint)?;
+        (endpoint.id == *id).then_some(*since)
     }
 
-    /// How many endpoints are listed.
+    /// Number of listed endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether there are none.
+    /// Whether no endpoints are listed.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Takes one entry; says whether it is new or changed.
+    /// Inserts or replaces an endpoint; returns whether it is new or changed.
     pub fn insert(&mut self, endpoint: Endpoint, now: Millis) -> bool {
         let name = endpoint.id.endpoint.clone();
         let known = self.endpoints.get(&name);
         if known.is_some_and(|(known, _)| **known == endpoint) {
             return false;
         }
-        let joined = self.listed_since(&endpoint.id).unwrap_or(now);
+        let since = self.listed_since(&endpoint.id).unwrap_or(now);
         self.remove(&name);
         let endpoint = Arc::new(endpoint);
         let pool = self.pools.entry(endpoint.pool.clone()).or_default();
         let at = pool.partition_point(|other| other.id < endpoint.id);
         pool.insert(at, Arc::clone(&endpoint));
-        self.endpoints.insert(name, (endpoint, joined));
+        self.endpoints.insert(name, (endpoint, since));
         true
     }
 
-    /// Notes that a listed instance takes no new work, whatever its entry says.
+    /// Marks a listed instance as taking no new work, whatever its entry says.
     pub fn set_leaving(&mut self, id: &InstanceId, now: Millis) {
         if let Some(known) = self.get(id).filter(|known| !known.leaving) {
             let endpoint = Endpoint {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Drops an entry; says whether it was there.
+    /// Removes an endpoint; returns whether it was listed.
     pub fn remove(&mut self, id: &EndpointId) -> bool {
         let Some((old, _)) = self.endpoints.remove(id) else {
             return false;
--- a/crates/core/src/routing/endpoint.rs
+++ b/crates/core/src/routing/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the platform's list says of an endpoint.
+//! Endpoints as the platform lists them.
 
 use std::net::SocketAddr;
 
@@ -8,44 +8,44 @@
 use crate::clock::Millis;
 use crate::ids::{DataCentreId, EndpointId, PoolId};
 
-/// When an endpoint's process started: milliseconds since the Unix epoch, by its own clock.
+/// Start time of an endpoint's process, in milliseconds since the Unix epoch by its own clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[derive(Debug, Display, FromStr)]
 pub struct StartTime(pub u64);
 
-/// One start of an endpoint's process. An endpoint that starts again under its id has lost its
-/// cache, its queue and its connections; nothing that is known of one instance counts for another.
+/// One run of an endpoint's process. An endpoint that restarts under the same id has lost its
+/// cache, queue and connections, so that no state of one instance applies to another.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 #[debug("{self}")]
-#[display("{endpoint}{}", started.map_or_else(String::new, |born| format!("@{born}")))]
+#[display("{endpoint}{}", started.map_or_else(String::new, |started| format!("@{started}")))]
 pub struct InstanceId {
     /// The id in the platform's list.
     pub endpoint: EndpointId,
-    /// When it started; none where the endpoint doesn't say.
+    /// When it started; none if the endpoint doesn't report it.
     pub started: Option<StartTime>,
 }
 
 impl InstanceId {
-    /// An instance of an endpoint.
+    /// The instance of an endpoint with a start time.
     pub const fn new(endpoint: EndpointId, started: Option<StartTime>) -> Self {
         Self { endpoint, started }
     }
 }
 
-/// An endpoint as it is listed.
+/// An endpoint and where to reach it.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Endpoint {
-    /// The instance.
+    /// Its id and start time.
     pub id: InstanceId,
     /// The pool that it serves.
     pub pool: PoolId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Data centre that it runs in.
     pub data_centre: DataCentreId,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it will stop, and takes no new work.
     pub leaving: bool,
@@ -57,6 +57,6 @@
 pub struct Listing {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// For how long it still has to be spared after its start, as of the entry.
+    /// Remaining time of its slow start when the entry was written.
     pub slow_start: Millis,
 }
--- a/crates/core/src/routing/instance.rs
+++ b/crates/core/src/routing/instance.rs
@@ -1,9 +1,9 @@
-//! Which instance of an endpoint an entry speaks of.
+//! Decides which instance of an endpoint a listed entry belongs to.
 //!
-//! The platform may carry out a write seconds after it was sent, so that the
-//! last word of an instance that crashed may follow the first one of the
-//! instance after it. Anyone may write entries, too: where endpoints tell when
-//! they started, an entry that doesn't isn't an endpoint's.
+//! The platform may apply a write seconds after it was sent, so that the last
+//! entry of a crashed instance may arrive after the first entry of its
+//! successor. Besides, anyone may write entries: where endpoints give their
+//! start time, an entry without one wasn't written by an endpoint.
 
 use std::collections::HashMap;
 
@@ -11,60 +11,63 @@
 
 use crate::clock::Millis;
 use crate::ids::EndpointId;
-use crate::routing::endpoint::{StartTime, InstanceId};
+use crate::routing::endpoint::{InstanceId, StartTime};
 
-/// Time after the last word of an instance in which an entry of an earlier start is taken for a
-/// late write. Writes were seen to take effect up to 6 s late; endpoints write about each second,
-/// so that one whose clock was set back before it started again is known after this.
-const LATE: Millis = Millis::from_secs(8);
+/// Time after the last entry of an instance in which an entry with an earlier start time counts as
+/// a late write. Writes were seen to take effect up to 6 s late. Endpoints write about once a
+/// second, so that one whose clock was set back before a restart is accepted after this time.
+const LATE_WRITE: Millis = Millis::from_secs(8);
 
-/// What an entry stands for.
+/// What a listed entry refers to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum EntryKind {
     /// The endpoint as it is now.
     Current,
-    /// An instance that is gone.
+    /// An instance that has been replaced by a later one.
     Late,
-    /// No endpoint: it doesn't say when it started, and endpoints do.
+    /// No endpoint: it has no start time although endpoints give theirs.
     Foreign,
 }
 
-/// The instances that were heard of last.
+/// The latest start time seen of each endpoint.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct InstanceTracker {
-    /// Whether any endpoint told when it started.
-    told: bool,
-    last: HashMap<EndpointId, (StartTime, Millis)>,
+    /// Whether any entry so far had a start time.
+    has_start_times: bool,
+    /// Latest start time of each endpoint, and when its last entry arrived.
+    latest: HashMap<EndpointId, (StartTime, Millis)>,
 }
 
 impl InstanceTracker {
-    /// Judges an entry.
+    /// Classifies an entry and records its start time.
     pub fn classify(&mut self, id: &InstanceId, now: Millis) -> EntryKind {
-        let Some(born) = id.started else {
-            return match self.told {
+        let Some(started) = id.started else {
+            return match self.has_start_times {
                 true => EntryKind::Foreign,
                 false => EntryKind::Current,
             };
         };
-        self.told = true;
-        match self.last.get_mut(&id.endpoint) {
-            Some((last, at)) if born < *last && now.since(*at) < LATE => return EntryKind::Late,
-            Some(known) => *known = (born, now),
-            None => self.join(id.endpoint.clone(), born, now),
+        self.has_start_times = true;
+        match self.latest.get_mut(&id.endpoint) {
+            Some((latest, at)) if started < *latest && now.since(*at) < LATE_WRITE => {
+                return EntryKind::Late;
+            }
+            Some(known) => *known = (started, now),
+            None => self.insert(id.endpoint.clone(), started, now),
         }
         EntryKind::Current
     }
 
-    /// Whether endpoints tell when they started.
+    /// Whether endpoints give their start time.
     pub const fn has_start_times(&self) -> bool {
-        self.told
+        self.has_start_times
     }
 
-    /// Notes an endpoint that wasn't known, and forgets those that were silent for long.
-    fn join(&mut self, endpoint: EndpointId, born: StartTime, now: Millis) {
-        self.last.retain(|_, (_, at)| now.since(*at) < LATE);
-        self.last.insert(endpoint, (born, now));
+    /// Adds an unknown endpoint, and removes those without a recent entry.
+    fn insert(&mut self, endpoint: EndpointId, started: StartTime, now: Millis) {
+        self.latest.retain(|_, (_, at)| now.since(*at) < LATE_WRITE);
+        self.latest.insert(endpoint, (started, now));
     }
 }
--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -1,12 +1,12 @@
-//! What endpoints say of themselves in their answers: that they leave, or that
-//! they want no requests for a time.
+//! Notices that endpoints send in their responses: that they are leaving, or
+//! that they want no requests for some time.
 //!
-//! Such a notice is newer than what the platform's list says, and no entry
-//! undoes it. It belongs to the process that answered, whoever has the address
-//! later. That process may have started after the one that is listed: whether a
-//! start that the list tells later is the one that spoke follows from its time.
-//! A notice ends with its time, with a new start of the endpoint, or some time
-//! after its entry is gone.
+//! A notice is newer than the endpoint's entry in the platform's list, so that
+//! no entry overrides it. It belongs to the process that sent the response,
+//! whichever process has the address later. That process may be newer than the
+//! listed instance: if the list then shows a later instance, its start time
+//! tells whether that one sent the response. A notice ends when its time is
+//! over, when the endpoint restarts, or some time after its entry was removed.
 
 use std::collections::HashMap;
 
@@ -18,77 +18,84 @@
 use crate::retry::LONGEST_PAUSE;
 use crate::routing::endpoint::InstanceId;
 
-/// For how long an endpoint that isn't listed any more may come back as the same process, as it
-/// does where entries lapse in an outage of the platform.
-const KEPT: Millis = Millis::from_secs(600);
+/// How long notices of an endpoint that is no longer listed are kept. The same process may be
+/// listed again, since entries expire in an outage of the platform.
+const RETENTION: Millis = Millis::from_secs(600);
 
-/// What one answer says of the endpoint that gave it.
+/// What one response says about the availability of its endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Notice {
     /// Whether it will stop, and takes no new work.
     pub leaving: bool,
-    /// For how long it wants no requests from this daemon.
+    /// For how long it wants no requests from this daemon; zero if it accepts them.
     pub pause: Millis,
 }
 
 impl Notice {
-    /// Whether it says anything.
+    /// Whether it neither announces leaving nor asks for a pause.
     pub const fn is_empty(self) -> bool {
         !self.leaving && self.pause.0 == 0
     }
 }
 
-/// What is known of one endpoint by its own word.
+/// The last notice of one endpoint.
 #[derive(Clone)]
 #[derive(Debug)]
 struct Record {
-    /// The instance that was listed when it was heard.
+    /// The instance that was listed when the notice was received.
     id: InstanceId,
     leaving: bool,
     /// The end of its pause.
     until: Millis,
-    /// When it was last heard.
-    heard: Millis,
-    /// When the request was handed over that it answered, since the Unix epoch.
-    handed: Millis,
+    /// When the last notice was received.
+    received: Millis,
+    /// When the request that it answers was sent, in milliseconds since the Unix epoch.
+    sent_at: Millis,
 }
 
 impl Record {
-    /// Whether a listed instance is the one that spoke.
+    /// Whether a listed instance is the one that sent the notice.
     fn is_of(&self, id: &InstanceId) -> bool {
-        answered_by(id, &self.id, self.handed)
+        answered_by(id, &self.id, self.sent_at)
     }
 }
 
-/// Whether a listed instance gave the answer to a request that was handed over at a time since the
-/// Unix epoch, while another instance was listed, or the same. The time of the answer doesn't tell:
-/// a daemon may read it long after the process ended.
-pub fn answered_by(listed: &InstanceId, asked: &InstanceId, handed: Millis) -> bool {
-    if listed == asked {
+/// Whether the instance that is listed now sent the response to a request that was sent to the
+/// instance `sent_to` at `sent_at`, in milliseconds since the Unix epoch. The time of the response
+/// doesn't show this: a daemon may read it long after the process ended.
+pub fn answered_by(listed: &InstanceId, sent_to: &InstanceId, sent_at: Millis) -> bool {
+    if listed == sent_to {
         return true;
     }
-    let had_begun = |born: u64| born <= handed.0;
-    match (asked.started, listed.started) {
-        (Some(before), Some(born)) => born > before && had_begun(born.0),
-        (None, Some(born)) => had_begun(born.0),
+    let was_running = |started: u64| started <= sent_at.0;
+    match (sent_to.started, listed.started) {
+        (Some(before), Some(started)) => started > before && was_running(started.0),
+        (None, Some(started)) => was_running(started.0),
         (_, None) => false,
     }
 }
 
-/// What is known of all endpoints by their own word.
+/// The last notices of all endpoints.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct Notices {
     records: HashMap<EndpointId, Record, RandomState>,
-    /// The end of all pauses.
+    /// When the last pause ends.
     until: Millis,
 }
 
 impl Notices {
-    /// Takes the notice of an endpoint, known as this instance, in the answer to a request that was
-    /// handed over at a time since the Unix epoch; says whether it is news.
-    pub fn record(&mut self, id: &InstanceId, notice: Notice, now: Millis, handed: Millis) -> bool {
+    /// Records the notice of an endpoint, currently listed as instance `id`, in the response to a
+    /// request that was sent at `sent_at` (milliseconds since the Unix epoch); returns whether it
+    /// changes anything.
+    pub fn record(
+        &mut self,
+        id: &InstanceId,
+        notice: Notice,
+        now: Millis,
+        sent_at: Millis,
+    ) -> bool {
         if notice.is_empty() {
             return false;
         }
@@ -100,17 +107,17 @@
         let record = Record {
             id: id.clone(),
             leaving: notice.leaving || was_leaving,
-            // Each answer asks for a time of its own; a shorter one ends none.
+            // Each response asks for its own pause; a shorter one doesn't end a longer one.
             until: before.max(until),
-            heard: now,
-            handed,
+            received: now,
+            sent_at,
         };
         self.until = self.until.max(until);
         self.records.insert(id.endpoint.clone(), record);
         notice.leaving && !was_leaving || until > now && before <= now
     }
 
-    /// Takes an instance that the platform lists: what an earlier one said ends.
+    /// Sets the instance that the platform lists; drops a notice of an earlier one.
     pub fn set_listed(&mut self, id: &InstanceId) {
         let Some(record) = self.records.get_mut(&id.endpoint) else {
             return;
@@ -123,33 +130,33 @@
         }
     }
 
-    /// Whether an instance said that it leaves.
+    /// Whether an instance announced that it is leaving.
     pub fn is_leaving(&self, id: &InstanceId) -> bool {
         let record = self.records.get(&id.endpoint);
         record.is_some_and(|record| record.leaving && record.id == *id)
     }
 
-    /// Whether any endpoint may want no requests now.
+    /// Whether any endpoint may have a pause now.
     pub fn has_pauses(&self, now: Millis) -> bool {
         now < self.until
     }
 
-    /// For how long an instance wants no more requests.
+    /// For how long an instance still wants no requests; zero if it accepts them.
     pub fn pause(&self, id: &InstanceId, now: Millis) -> Millis {
         let record = self.records.get(&id.endpoint);
-        let until = record.filter(|record| record.id == *id);
-        until.map_or(Millis::ZERO, |record| record.until.since(now))
+        let current = record.filter(|record| record.id == *id);
+        current.map_or(Millis::ZERO, |record| record.until.since(now))
     }
 
-    /// Endpoints that want no requests now.
+    /// Number of endpoints that want no requests now.
     pub fn pauses(&self, now: Millis) -> usize {
         let records = self.records.values();
         records.filter(|record| now < record.until).count()
     }
 
-    /// Forgets endpoints that aren't listed any more.
+    /// Removes unlisted endpoints whose last notice is older than the retention time.
     pub fn prune(&mut self, is_listed: impl Fn(&EndpointId) -> bool, now: Millis) {
-        let is_recent = |record: &Record| now.since(record.heard) < KEPT;
+        let is_recent = |record: &Record| now.since(record.received) < RETENTION;
         self.records
             .retain(|name, record| is_listed(name) || is_recent(record));
     }
