--- a/crates/core/src/routing/config.rs
+++ b/crates/core/src/routing/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, pools, accounts and callers' limits.
+//! The configuration in force: routes, pools, client accounts and limits for callers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,90 +10,90 @@
 use crate::routing::slow_start::SlowStart;
 use crate::units::ByteSize;
 
-/// Version of a configuration; versions rise, not always by one.
+/// Version of a configuration; versions increase, not always by one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Debug, Display)]
 #[debug("v{_0}")]
 #[display("{_0}")]
 pub struct Version(pub u64);
 
-/// How urgent a request is; 0 comes first.
+/// Priority of a request; 0 is the most urgent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Debug, Display)]
 pub struct Priority(pub u8);
 
-/// What may be repeated.
+/// Whether and how a request may be retried once it may have run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display)]
 pub enum RetryPolicy {
-    /// Any number of times.
+    /// Idempotent: it may run any number of times.
     #[display("idempotent")]
     Always,
-    /// A stream that goes on elsewhere after the last event received.
+    /// A stream that can resume at another endpoint after the last event received.
     #[display("resumable")]
     Resume,
-    /// Not at all, once it may have run.
+    /// Not retried once it may have run.
     #[display("once")]
     Never,
 }
 
 impl RetryPolicy {
-    /// Whether a second run does no harm.
+    /// Whether running a request twice does no harm.
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Always | Self::Resume)
     }
 }
 
-/// One pool of a route, with its share of the requests.
+/// One of the pools among which a route splits its requests.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct PoolShare {
     /// The pool.
     pub pool: PoolId,
-    /// Its weight against the route's other pools.
+    /// Weight relative to the route's other pools.
     pub weight: f64,
 }
 
-/// Where requests of one host and path prefix go, and how.
+/// How requests of one host and path prefix are routed.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name, used in logs.
     pub name: String,
     /// Host that it matches.
     pub host: String,
-    /// Start of the paths that it matches; ends with a slash.
+    /// Prefix of the paths that it matches; ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub retry: RetryPolicy,
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub stream: bool,
-    /// Whether prompts have cached parts.
+    /// Whether endpoints cache prompt prefixes.
     pub cached: bool,
-    /// Most endpoints that may run one request.
+    /// Maximum number of endpoints that may run one request.
     pub attempts: u32,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time that a caller waits for the response.
     pub timeout: Millis,
-    /// Time within which an answer is worth most: to its end, for streams to the first event.
+    /// Latency target: time to the end of the response, for streams to the first event.
     pub target: Millis,
-    /// Longest pause between events.
+    /// Longest pause between two events of a stream.
     pub gap: Millis,
-    /// Rank against other routes.
+    /// Priority of its requests.
     pub priority: Priority,
-    /// Whether callers need no key.
+    /// Whether callers may omit the key.
     pub auth_exempt: bool,
-    /// Pools and weights.
+    /// The pools that serve it, with their weights.
     pub shares: Vec<PoolShare>,
 }
 
 impl Route {
-    /// The pool for a draw between 0 and 1.
+    /// Picks a pool by weight, for a random number between 0 and 1.
     pub fn pool(&self, draw: f64) -> Option<&PoolId> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for share in &self.shares {
-            left -= share.weight;
-            if left < 0.0 {
+            remaining -= share.weight;
+            if remaining < 0.0 {
                 return Some(&share.pool);
             }
         }
@@ -101,13 +101,13 @@
     }
 }
 
-/// What is configured of a pool.
+/// Configuration of a pool.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
 pub struct Pool {
-    /// Most connections that one endpoint takes from all callers.
+    /// Maximum number of connections that one endpoint accepts from all senders.
     pub connections: u32,
-    /// How its endpoints are spared after a start, if they have to be.
+    /// Slow start of its endpoints, if they need one.
     pub slow_start: Option<SlowStart>,
 }
 
@@ -117,19 +117,19 @@
 pub struct Account {
     /// Its name.
     pub id: AccountId,
-    /// Rank of its requests, before that of the route.
+    /// Priority of its requests; overrides the route's.
     pub priority: Option<Priority>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct CallerLimits {
-    /// Largest head.
+    /// Largest request head.
     pub head: ByteSize,
-    /// Largest body.
+    /// Largest request body.
     pub body: ByteSize,
-    /// Longest time that an idle connection is kept.
+    /// Longest time that an idle connection is kept open.
     pub idle: Millis,
 }
 
@@ -141,11 +141,11 @@
     pub version: Version,
     /// Pools by name.
     pub pools: HashMap<PoolId, Pool>,
-    /// Limits of callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
-    /// Routes of each host, the longest prefix first.
+    /// Routes by host, sorted by descending prefix length.
     routes: HashMap<String, Vec<Arc<Route>>>,
-    /// Accounts by key; `None` if no key is asked for.
+    /// Accounts by key; `None` if no keys are required.
     #[debug(skip)]
     accounts: Option<HashMap<String, Arc<Account>>>,
 }
@@ -163,7 +163,7 @@
 }
 
 impl Configuration {
-    /// A configuration of these parts.
+    /// A configuration without pools and accounts.
     pub fn new(version: Version, limits: CallerLimits, routes: Vec<Route>) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -187,7 +187,7 @@
         Self { pools, ..self }
     }
 
-    /// Sets the accounts by key; from then on callers need one.
+    /// Sets the accounts by key, and requires callers to send a key.
     pub fn with_accounts(self, accounts: HashMap<String, Arc<Account>>) -> Self {
         Self {
             accounts: Some(accounts),
@@ -195,17 +195,17 @@
         }
     }
 
-    /// The route of a host and path.
+    /// The route that matches a host and path; the longest prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The account that may use a route with this key, `None` if no key is needed.
+    /// The account of a key; `None` if the route accepts the request without an account.
     ///
     /// # Errors
     ///
-    /// When the route needs a key that some account has, and this isn't one.
+    /// If the route requires a key and it is missing or unknown.
     pub fn account(
         &self,
         route: &Route,
--- a/crates/core/src/routing/events.rs
+++ b/crates/core/src/routing/events.rs
@@ -1,72 +1,72 @@
-//! Splits a stream of events at event borders, without changing a byte.
+//! Splits an event stream at event boundaries, without changing a byte.
 //!
-//! Only whole events are handed on, so that a stream that breaks off in the
-//! middle of an event can go on elsewhere: the unfinished rest is dropped and
-//! the next endpoint starts after the last whole event.
+//! Only complete events are passed on, so that a stream that breaks off in the
+//! middle of an event can resume at another endpoint: the partial event is
+//! discarded, and the next endpoint starts after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::Debug;
 
-/// Longest event that is held; a longer one is handed on in pieces.
-const EVENT_MAX: usize = 1 << 20;
+/// Longest event that is buffered, in bytes; a longer one is passed on in pieces.
+const MAX_EVENT: usize = 1 << 20;
 
-/// Holds the unfinished end of a stream.
+/// Buffers the partial event at the end of a stream.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct EventSplitter {
-    #[debug("{} bytes", rest.len())]
-    rest: BytesMut,
-    /// Bytes at the start of `rest` that hold no border.
-    seen: usize,
-    last: Option<u64>,
+    #[debug("{} bytes", buffer.len())]
+    buffer: BytesMut,
+    /// Number of bytes at the start of `buffer` without an event boundary.
+    scanned: usize,
+    last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A splitter for a stream that goes on after an event.
-    pub fn new(last: Option<u64>) -> Self {
+    /// A splitter for a stream that starts after the event with this id.
+    pub fn new(last_id: Option<u64>) -> Self {
         Self {
-            last,
+            last_id,
             ..Self::default()
         }
     }
 
-    /// Takes bytes and returns the whole events that they complete.
+    /// Appends bytes and returns the events that are complete now.
     pub fn push(&mut self, bytes: &Bytes) -> Bytes {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut end = 0;
-        while let Some(length) = border(&self.rest, self.seen.max(end)) {
-            let event = &self.rest[end..length];
-            self.last = event_id(event).or(self.last);
-            end = length;
+        while let Some(next) = event_end(&self.buffer, self.scanned.max(end)) {
+            let event = &self.buffer[end..next];
+            self.last_id = event_id(event).or(self.last_id);
+            end = next;
         }
-        let whole = self.rest.split_to(end).freeze();
-        self.seen = self.rest.len().saturating_sub(3);
-        if self.rest.len() > EVENT_MAX {
-            self.seen = 0;
-            return [whole, self.rest.split().freeze()].concat().into();
+        let complete = self.buffer.split_to(end).freeze();
+        self.scanned = self.buffer.len().saturating_sub(3);
+        if self.buffer.len() > MAX_EVENT {
+            self.scanned = 0;
+            return [complete, self.buffer.split().freeze()].concat().into();
         }
-        whole
+        complete
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub const fn last_id(&self) -> Option<u64> {
-        self.last
+        self.last_id
     }
 
-    /// Whether an event is unfinished.
+    /// Whether a partial event is buffered.
     pub fn has_partial(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Drops an unfinished event.
+    /// Discards the partial event.
     pub fn discard_partial(&mut self) {
-        self.rest.clear();
-        self.seen = 0;
+        self.buffer.clear();
+        self.scanned = 0;
     }
 }
 
-/// End of the first event that ends after `from`: an empty line.
-fn border(bytes: &[u8], from: usize) -> Option<usize> {
+/// End of the first event that ends after `from`; events end with an empty line.
+fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = bytes[at..].iter().position(|byte| *byte == b'\n') {
         let next = at + found + 1;
@@ -79,6 +79,7 @@
     None
 }
 
+/// The number in an event's `id:` line.
 fn event_id(event: &[u8]) -> Option<u64> {
     let id = |line: &[u8]| {
         let value = line.strip_prefix(b"id:")?;
