--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -1,15 +1,15 @@
-//! The daemons among which a bound of the whole fleet is divided.
+//! Divides limits of the fleet among its daemons.
 //!
-//! Endpoints count what all daemons send together, in times too short for
-//! daemons to ask each other. So each has a part of its own that it never
-//! exceeds, and needs nobody's word to keep to it. Parts are reckoned from the
-//! list of daemons that the platform keeps, never from those that are heard: a
-//! daemon that hears fewer others has no larger part, and one that isn't on
-//! the list has none. What an earlier process of the same daemon has used
-//! isn't known, so whatever is filled with a part starts empty.
+//! Endpoints count the requests of all daemons together, over times too short
+//! for daemons to coordinate. Each daemon therefore gets a share of the limit
+//! and never exceeds it. Shares are computed from the list of daemons that the
+//! platform stores, never from the daemons that are reachable: a daemon that
+//! receives from fewer others doesn't get a larger share, and one that isn't
+//! listed gets none. How much of its share an earlier process of the same
+//! daemon has used isn't known, so buckets that are filled from a share start empty.
 //!
-//! Lists of different age deal some parts twice, at most those of the daemons
-//! by which they differ.
+//! Daemons with lists of different age may both use a share, at most those of
+//! the daemons by which the lists differ.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -19,65 +19,65 @@
 use crate::clock::Millis;
 use crate::placement::{Node, key_of};
 
-/// Time without word of any other daemon after which this one counts as alone.
-const ALONE: Millis = Millis(3000);
+/// Time without contact with any other daemon after which this one counts as isolated.
+const ISOLATED_AFTER: Millis = Millis(3000);
 
-/// Silence after which a daemon is taken from the list.
-const FORGOTTEN: Millis = Millis::from_secs(3600);
+/// Time without contact after which a daemon is removed from the list.
+const EXPIRY: Millis = Millis::from_secs(3600);
 
-/// What one daemon knows of the list, and whether it hears others.
+/// The list of daemons as one of them knows it, and whether it has contact with others.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Fleet {
     started: Millis,
-    /// Parts of the platform's list.
+    /// The platform's list, which is split into named parts.
     parts: BTreeMap<String, Vec<SocketAddr>>,
     /// This daemon, if the platform lists it.
     me: Option<Node<SocketAddr>>,
     /// All daemons that the platform lists.
     listed: Vec<Node<SocketAddr>>,
-    /// Since when no other daemon was heard of.
-    silent: Option<Millis>,
-    /// Whether it was told of no others and never heard of one.
-    is_sole: bool,
+    /// Since when there has been no contact with any other daemon.
+    isolated_since: Option<Millis>,
+    /// Whether the settings name no other daemons and none has been seen since.
+    is_single: bool,
 }
 
 impl Fleet {
-    /// What a daemon that starts now knows: nothing.
+    /// The state of a daemon that starts now, with an empty list.
     pub fn new(now: Millis) -> Self {
         Self {
             started: now,
             parts: BTreeMap::new(),
             me: None,
             listed: Vec::new(),
-            silent: None,
-            is_sole: false,
+            isolated_since: None,
+            is_single: false,
         }
     }
 
-    /// Notes that this daemon is told of no others. Until it hears of one, or the platform lists
-    /// some, it is the whole fleet.
+    /// Marks this daemon as configured without others. It counts as the complete fleet until it
+    /// has contact with another one or the platform lists some.
     pub const fn set_single(&mut self) {
-        self.is_sole = true;
+        self.is_single = true;
     }
 
-    /// Sets a part of the platform's list, of which `me` is this daemon.
+    /// Sets one part of the platform's list; `me` is the address of this daemon.
     pub fn set_listed(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.parts.insert(part.to_owned(), daemons);
-        // Several parts may name a daemon.
+        // A daemon may be in several parts.
         let all: BTreeSet<SocketAddr> = self.parts.values().flatten().copied().collect();
         let node = |daemon: SocketAddr| Node::new(daemon, &daemon.to_string());
         self.listed = all.into_iter().map(node).collect();
         self.me = self.listed.iter().find(|node| node.id == me).cloned();
     }
 
-    /// Notes how many daemons live, this one included.
+    /// Sets the number of live daemons, this one included.
     pub fn set_live(&mut self, live: usize, now: Millis) {
         match live {
-            0 | 1 => _ = self.silent.get_or_insert(now),
+            0 | 1 => _ = self.isolated_since.get_or_insert(now),
             _ => {
-                self.silent = None;
-                self.is_sole = false;
+                self.isolated_since = None;
+                self.is_single = false;
             }
         }
     }
@@ -87,7 +87,7 @@
         self.listed.iter().any(|node| node.id == *daemon)
     }
 
-    /// How many daemons the platform lists.
+    /// Number of daemons that the platform lists.
     pub const fn size(&self) -> usize {
         self.listed.len()
     }
@@ -97,24 +97,26 @@
         now.since(self.started)
     }
 
-    /// Whether there are others and none was heard of for long, so that all they told may be out
-    /// of date.
+    /// Whether other daemons are listed but there has been no contact with any of them for long, so
+    /// that all they reported may be out of date.
     pub fn is_isolated(&self, now: Millis) -> bool {
-        let is_long = self.silent.is_some_and(|since| now.since(since) >= ALONE);
+        let is_long = self
+            .isolated_since
+            .is_some_and(|since| now.since(since) >= ISOLATED_AFTER);
         is_long && self.listed.len() > 1
     }
 
-    /// This daemon's part of a bound that all share equally.
-    pub fn share(&self, bound: f64) -> f64 {
+    /// This daemon's share of a limit that is divided equally.
+    pub fn share(&self, limit: f64) -> f64 {
         match (&self.me, self.listed.len()) {
-            (Some(_), daemons) => bound / daemons as f64,
-            (None, 0) if self.is_sole => bound,
+            (Some(_), daemons) => limit / daemons as f64,
+            (None, 0) if self.is_single => limit,
             (None, _) => 0.0,
         }
     }
 
-    /// This daemon's part of a whole number of units; who has one more is drawn by the name of
-    /// what the bound is for.
+    /// This daemon's share of an integral number of units. Rendezvous hashing of `name`, which
+    /// identifies the limited resource, decides which daemons get the remaining units.
     pub fn unit_share(&self, name: &str, units: usize) -> usize {
         let Some(me) = &self.me else {
             return 0;
@@ -128,21 +130,21 @@
     }
 }
 
-/// When daemons were last known to live, as one that writes the list knows.
+/// When each daemon was last known to be live, as seen by a daemon that writes the list.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct LastSeen(HashMap<SocketAddr, Millis>);
 
 impl LastSeen {
-    /// Notes daemons that live.
+    /// Records daemons as live.
     pub fn mark_live(&mut self, daemons: &[SocketAddr], now: Millis) {
         self.0.extend(daemons.iter().map(|daemon| (*daemon, now)));
     }
 
-    /// Whether a daemon that is listed stays so. One that wasn't seen yet counts as seen now: a
-    /// process that is new to this task doesn't know who has lived.
+    /// Whether a listed daemon stays on the list. One without a record counts as seen now: a
+    /// process that has just taken over the list doesn't know which daemons were live.
     pub fn is_retained(&mut self, daemon: SocketAddr, now: Millis) -> bool {
         let seen = self.0.entry(daemon).or_insert(now);
-        now.since(*seen) < FORGOTTEN
+        now.since(*seen) < EXPIRY
     }
 }
--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -1,9 +1,8 @@
-//! Slow start: endpoints that bear few requests a second for a while.
+//! Slow start: limits the request rate of endpoints that have just started.
 //!
-//! The rate that such an endpoint bears holds for the whole fleet, within each
-//! second. Its units are dealt to the daemons by rank ([`Fleet`]): as many
-//! daemons as the endpoint bears requests a second may send it one each, the
-//! others none.
+//! The limit applies to all daemons together, in each second. It is divided
+//! among them by rank ([`Fleet`]): with a limit of n requests a second, n
+//! daemons may send one request each, the others none.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -16,37 +15,37 @@
 use crate::routing::request::SharedPrefix;
 use crate::units::Rate;
 
-/// Time in which a daemon sends its share: a second, and what the ways of two requests usually
-/// differ by.
+/// Time in which a daemon may send its share: a second, plus the usual difference between the
+/// transmission times of two requests.
 const WINDOW: Millis = Millis(1020);
 
-/// How endpoints of a pool are spared.
+/// Slow-start settings of a pool.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
 pub struct SlowStart {
-    /// Requests that a starting endpoint bears from the whole fleet.
+    /// Request rate that a starting endpoint accepts from all daemons together.
     pub rate: Rate,
-    /// How long it is spared after a start.
+    /// How long the slow start lasts.
     pub duration: Millis,
 }
 
-/// What a daemon may send to an endpoint now.
+/// What a daemon may send to an endpoint at the moment.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
 pub enum Allowance {
-    /// Anything.
+    /// All requests.
     All,
-    /// This part of all prefixes, since it has started a short time ago.
+    /// Requests with this fraction of all prefixes, since its slow start ended a short time ago.
     Part(f64),
-    /// One request.
+    /// A single request.
     One,
     /// Nothing.
     Nothing,
 }
 
 impl Allowance {
-    /// Whether a request may be sent that could go elsewhere as well. What a starting endpoint is
-    /// given should fill its cache; short prompts go elsewhere.
+    /// Whether a request that could also go to another endpoint may be sent here. The few requests
+    /// to a starting endpoint should fill its cache, so that only long prefixes are accepted.
     pub fn accepts(
         self,
         shared: Option<&SharedPrefix>,
@@ -54,34 +53,34 @@
     ) -> bool {
         match (self, shared) {
             (Self::All, _) | (Self::Part(_), None) => true,
-            (Self::Part(part), Some(prefix)) => part >= fraction(prefix.key),
+            (Self::Part(fraction), Some(prefix)) => fraction >= position(prefix.key),
             (Self::One, Some(prefix)) => is_long(prefix),
             (Self::One, None) | (Self::Nothing, _) => false,
         }
     }
 
-    /// Whether a request may be sent at all.
+    /// Whether any request may be sent.
     pub const fn is_open(self) -> bool {
         !matches!(self, Self::Nothing)
     }
 }
 
-/// A key's place among all keys, 0 to 1.
-fn fraction(key: u64) -> f64 {
+/// Position of a key in the range of all keys, 0 to 1.
+fn position(key: u64) -> f64 {
     key as f64 / u64::MAX as f64
 }
 
-/// Endpoints that are spared, as one daemon sees it.
+/// Endpoints in slow start, as one daemon sees them.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct SlowStarts {
     pools: HashMap<PoolId, SlowStart>,
-    /// Until when each endpoint is spared.
-    spared: HashMap<InstanceId, Millis>,
-    /// When this daemon sent to endpoints that were spared, within the window.
+    /// When the slow start of each endpoint ends.
+    ends: HashMap<InstanceId, Millis>,
+    /// When this daemon sent requests to endpoints in slow start, within the window.
     sent: HashMap<InstanceId, VecDeque<Millis>>,
-    /// Requests that this daemon may send to each endpoint in a window, as far as they were
-    /// reckoned since the list of daemons changed.
+    /// Cached number of requests that this daemon may send to each endpoint in a window; cleared
+    /// when the list of daemons changes.
     shares: HashMap<InstanceId, usize>,
 }
 
@@ -92,50 +91,50 @@
         self.shares.clear();
     }
 
-    /// Notes that the list of daemons has changed.
+    /// Clears the cached shares, since the list of daemons has changed.
     pub fn clear_shares(&mut self) {
         self.shares.clear();
     }
 
-    /// Spares an endpoint for some time. What was known of a longer time stays, since word of it
-    /// may be late.
-    pub fn begin(&mut self, id: &InstanceId, left: Millis, now: Millis) {
-        if left == Millis::ZERO {
+    /// Puts an endpoint in slow start for the time `remaining`, or extends its slow start. A
+    /// shorter time doesn't shorten it, since reports may be late.
+    pub fn begin(&mut self, id: &InstanceId, remaining: Millis, now: Millis) {
+        if remaining == Millis::ZERO {
             return;
         }
-        let until = self.spared.entry(id.clone()).or_default();
-        *until = (*until).max(now + left);
+        let end = self.ends.entry(id.clone()).or_default();
+        *end = (*end).max(now + remaining);
     }
 
-    /// Spares an endpoint of a pool for as long as after a start.
+    /// Puts an endpoint of a pool in slow start for the pool's complete duration.
     pub fn begin_full(&mut self, id: &InstanceId, pool: &PoolId, now: Millis) {
         if let Some(slow) = self.pools.get(pool) {
-            let span = slow.duration;
-            self.begin(id, span, now);
+            let duration = slow.duration;
+            self.begin(id, duration, now);
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn forget(&mut self, id: &InstanceId) {
-        self.spared.remove(id);
+        self.ends.remove(id);
         self.sent.remove(id);
         self.shares.remove(id);
     }
 
-    /// Endpoints that are spared now.
+    /// Endpoints that are in slow start now.
     pub fn active(&self, now: Millis) -> impl Iterator<Item = &InstanceId> {
-        let spared = self.spared.iter().filter(move |(_, until)| now < **until);
-        spared.map(|(id, _)| id)
+        let active = self.ends.iter().filter(move |(_, end)| now < **end);
+        active.map(|(id, _)| id)
     }
 
-    /// Whether there may be an endpoint of a pool to which not all may be sent.
+    /// Whether requests to some endpoint of a pool may be limited.
     pub fn may_limit(&self, pool: &PoolId, fleet: &Fleet, now: Millis) -> bool {
-        let is_any = !self.spared.is_empty() || fleet.is_isolated(now);
+        let is_any = !self.ends.is_empty() || fleet.is_isolated(now);
         is_any && self.pools.contains_key(pool)
     }
 
-    /// What may be sent to an endpoint of a pool. A daemon that is alone takes each as starting,
-    /// since its list of endpoints may be out of date.
+    /// What may be sent to an endpoint of a pool. An isolated daemon treats every endpoint as
+    /// starting, since its list of endpoints may be out of date.
     pub fn allowance(
         &mut self,
         id: &InstanceId,
@@ -146,42 +145,42 @@
         let Some(slow) = self.pools.get(pool).copied() else {
             return Allowance::All;
         };
-        let until = self.spared.get(id).copied();
-        if until.is_some_and(|until| now < until) || fleet.is_isolated(now) {
-            return match self.has_left(id, slow.rate, fleet, now) {
+        let end = self.ends.get(id).copied();
+        if end.is_some_and(|end| now < end) || fleet.is_isolated(now) {
+            return match self.has_share_left(id, slow.rate, fleet, now) {
                 true => Allowance::One,
                 false => Allowance::Nothing,
             };
         }
-        match until.map(|until| now.since(until)) {
-            Some(warm) if warm < slow.duration => {
-                Allowance::Part(warm.as_secs_f64() / slow.duration.as_secs_f64())
+        match end.map(|end| now.since(end)) {
+            Some(elapsed) if elapsed < slow.duration => {
+                Allowance::Part(elapsed.as_secs_f64() / slow.duration.as_secs_f64())
             }
             _ => Allowance::All,
         }
     }
 
-    /// Notes that a request is sent to an endpoint that is spared.
+    /// Records that a request is sent to an endpoint in slow start.
     pub fn record_sent(&mut self, id: &InstanceId, now: Millis) {
         self.sent.entry(id.clone()).or_default().push_back(now);
     }
 
-    /// Drops what has no effect any more.
+    /// Removes records that no longer have any effect.
     pub fn prune(&mut self, now: Millis) {
-        let spans = self.pools.values().map(|slow| slow.duration).max();
+        let durations = self.pools.values().map(|slow| slow.duration).max();
         let windows = self.pools.values().map(|slow| window(slow.rate)).max();
-        let (span, window) = (spans.unwrap_or_default(), windows.unwrap_or_default());
-        self.spared.retain(|_, until| now < *until + span);
+        let (duration, window) = (durations.unwrap_or_default(), windows.unwrap_or_default());
+        self.ends.retain(|_, end| now < *end + duration);
         for sent in self.sent.values_mut() {
             sent.retain(|at| now.since(*at) < window);
         }
         self.sent.retain(|_, sent| !sent.is_empty());
     }
 
-    /// Whether this daemon's share of an endpoint's rate isn't used up.
-    fn has_left(&mut self, id: &InstanceId, rate: Rate, fleet: &Fleet, now: Millis) -> bool {
+    /// Whether this daemon may still send a request within its share of an endpoint's rate.
+    fn has_share_left(&mut self, id: &InstanceId, rate: Rate, fleet: &Fleet, now: Millis) -> bool {
         let window = window(rate);
-        // What an earlier process of this daemon has sent isn't known.
+        // Requests sent by an earlier process of this daemon aren't known.
         if fleet.age(now) < window {
             return false;
         }
@@ -197,7 +196,7 @@
     }
 }
 
-/// The time in which a share is sent; longer where an endpoint bears less than one a second.
+/// The window for a rate; longer than usual for rates below one request a second.
 fn window(rate: Rate) -> Millis {
     Millis((WINDOW.0 as f64 / rate.0.min(1.0)) as u64)
 }
