--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -1,10 +1,11 @@
-//! Which endpoints to avoid, judged from how their answers went.
+//! Outlier detection: which endpoints to avoid because their requests fail.
 //!
-//! Each answer moves a failure share towards 0 or 1. An endpoint whose share
-//! is well above its pool's is avoided, as is one that can't be connected to.
-//! Both are given a request now and then, to see whether they are well again.
-//! A whole pool that fails is not avoided: failures that all endpoints share
-//! are no reason to choose between them.
+//! Each response moves the endpoint's failure rate, an exponentially weighted
+//! moving average, towards 0 or 1. An endpoint whose rate is well above its
+//! pool's is avoided, as is one that can't be connected to. Both get occasional
+//! probe requests, to see whether they have recovered. If a complete pool
+//! fails, no endpoint of it is avoided: failures that all endpoints share give
+//! no reason to prefer one.
 
 use std::collections::HashMap;
 
@@ -16,46 +17,46 @@
 use crate::routing::attempt::Fault;
 use crate::routing::endpoint::InstanceId;
 
-/// Weight of the newest answer in the failure share. Three bad answers in a row lift a good
+/// Weight of the newest response in the failure rate. Three failures in a row lift a healthy
 /// endpoint over [`MARGIN`], a single one doesn't.
-const NEWEST: f64 = 0.15;
-/// Failure share above the mean of the pool's others at which an endpoint is avoided. Failures that
-/// all of them share must not count against one.
+const NEWEST_WEIGHT: f64 = 0.15;
+/// An endpoint is avoided if its failure rate exceeds the mean of the pool's others by this.
+/// Failures that all of them share must not count against a single one.
 const MARGIN: f64 = 0.30;
-/// Time in which a failure share falls by half without answers. An endpoint that is well again is
-/// found sooner by trials; where time alone clears one that isn't, all daemons send to it at once.
+/// Time in which a failure rate halves without responses. Probes detect recovery sooner; if time
+/// alone cleared an endpoint that still fails, all daemons would send to it at once.
 const HALF_LIFE: Millis = Millis::from_secs(10);
-/// Pause after a first failed connection; doubles with each further one.
-const PAUSE: Millis = Millis(250);
+/// Pause after the first failed connection; doubles with each further one.
+const FIRST_PAUSE: Millis = Millis(250);
 /// Longest pause after failed connections.
-const PAUSE_MAX: Millis = Millis(2000);
-/// Between two requests of the fleet that try an endpoint that is avoided for its failure share.
-const TRIAL: Millis = Millis(100);
-/// Between two such requests of one daemon at the least.
-const OWN_TRIAL: Millis = Millis(700);
+const MAX_PAUSE: Millis = Millis(2000);
+/// Interval between two probes of the fleet to an endpoint avoided for its failure rate.
+const FLEET_PROBE_INTERVAL: Millis = Millis(100);
+/// Minimum interval between two such probes of one daemon.
+const MIN_PROBE_INTERVAL: Millis = Millis(700);
 
-/// How an endpoint stands.
+/// Health of an endpoint. The variants' names are written to the log.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Debug)]
 pub enum HealthStatus {
-    /// As good as any.
+    /// Healthy: not avoided.
     Good,
-    /// Worth a request that may be repeated, to see whether it is well again.
+    /// Avoided, but due for a probe with a request that may be retried.
     Trial,
-    /// Fails much more than others.
+    /// Avoided: fails much more than others.
     Bad,
-    /// Can't be connected to.
+    /// Avoided: connections to it fail.
     Down,
 }
 
 impl HealthStatus {
-    /// Whether other endpoints are preferred.
+    /// Whether healthy endpoints are preferred over it.
     pub const fn is_avoided(self) -> bool {
         !matches!(self, Self::Good)
     }
 }
 
-/// Failure shares of the endpoints of a pool, added up.
+/// Sum of the failure rates of a pool's endpoints.
 #[derive(Clone, Copy, PartialEq, Default)]
 #[derive(Debug)]
 pub struct PoolFailures {
@@ -64,8 +65,8 @@
 }
 
 impl PoolFailures {
-    /// Mean share of the others than an endpoint with this share; its own where it is alone. In
-    /// a pool of three, one that fails all would lift the mean of all to 0.33.
+    /// Mean failure rate of all endpoints but one with the rate `own`; `own` if it is the only one.
+    /// A mean over all wouldn't do: in a pool of three, one that fails everything lifts it to 0.33.
     pub fn others(&self, own: f64) -> f64 {
         match self.count {
             0 | 1 => own,
@@ -75,25 +76,28 @@
 }
 
 impl FromIterator<HealthSnapshot> for PoolFailures {
-    fn from_iter<I: IntoIterator<Item = HealthSnapshot>>(looks: I) -> Self {
+    fn from_iter<I: IntoIterator<Item = HealthSnapshot>>(endpoints: I) -> Self {
         let mut pool = Self::default();
-        for look in looks {
-            pool.sum += look.failures;
+        for endpoint in endpoints {
+            pool.sum += endpoint.failures;
             pool.count += 1;
         }
         pool
     }
 }
 
-/// What is remembered of one endpoint.
+/// Recent failures of one endpoint.
 #[derive(Clone, Copy, Default)]
 #[derive(Debug)]
 struct Record {
+    /// Failure rate at `at`, 0 to 1.
     failures: f64,
     at: Millis,
+    /// Consecutive failed connections.
     refused: u32,
-    until: Millis,
-    tried: Millis,
+    /// End of the pause after a failed connection.
+    down_until: Millis,
+    last_probe: Millis,
 }
 
 impl Record {
@@ -104,30 +108,32 @@
         self.failures * now.since(self.at).fading(HALF_LIFE)
     }
 
-    fn answer(&mut self, failure: f64, now: Millis) {
-        self.answers(1, failure, now);
+    /// Records one response; `failure` is 0 or 1.
+    fn add(&mut self, failure: f64, now: Millis) {
+        self.add_many(1, failure, now);
     }
 
-    /// Takes several answers at once, of which a share failed.
-    fn answers(&mut self, count: u32, failed: f64, now: Millis) {
+    /// Records several responses, of which the fraction `failed` failed.
+    fn add_many(&mut self, count: u32, failed: f64, now: Millis) {
         let old = (1.0 - NEWEST).powf(f64::from(count));
         self.failures = self.failures(now) * old + failed * (1.0 - old);
         self.at = now;
     }
 }
 
-/// What is remembered of one endpoint, as of a moment.
+/// Health of one endpoint at a point in time.
 #[derive(Clone, Copy, PartialEq, Default)]
 #[derive(Debug)]
 pub struct HealthSnapshot {
-    /// Its failure share, 0 to 1.
+    /// Its failure rate, 0 to 1.
     pub failures: f64,
     is_down: bool,
-    tried: Millis,
+    last_probe: Millis,
 }
 
 impl HealthSnapshot {
-    /// How the endpoint stands against the mean of its pool's others, at one of some daemons.
+    /// Health status, given the mean failure rate of the pool's others and the number of live
+    /// daemons, which share the probes.
     pub fn status(&self, others: f64, daemons: u32, now: Millis) -> HealthStatus {
         if self.is_down {
             return HealthStatus::Down;
@@ -135,15 +141,15 @@
         if self.failures <= others + MARGIN || !is_on(Mechanism::FailureShare) {
             return HealthStatus::Good;
         }
-        let pause = OWN_TRIAL.max(Millis(TRIAL.0 * u64::from(daemons)));
-        match now.since(self.tried) >= pause && is_on(Mechanism::Trials) {
+        let interval = MIN_PROBE_INTERVAL.max(Millis(FLEET_PROBE_INTERVAL.0 * u64::from(daemons)));
+        match now.since(self.last_probe) >= interval && is_on(Mechanism::Trials) {
             true => HealthStatus::Trial,
             false => HealthStatus::Bad,
         }
     }
 }
 
-/// What is remembered of all endpoints.
+/// Health of all endpoints as one daemon knows it.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct Health {
@@ -151,69 +157,69 @@
 }
 
 impl Health {
-    /// Notes a good answer, or the good start of one.
+    /// Records a successful response, or the successful start of a stream.
     pub fn record_success(&mut self, id: &InstanceId, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
         record.refused = 0;
-        record.answer(0.0, now);
+        record.add(0.0, now);
     }
 
-    /// Notes a failed attempt.
+    /// Records a failed attempt.
     pub fn record_failure(&mut self, id: &InstanceId, fault: Fault, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
         match fault {
             Fault::NotSent => {
-                let pause = PAUSE.0 << record.refused.min(8);
-                record.until = now + Millis(pause.min(PAUSE_MAX.0));
+                let pause = FIRST_PAUSE.0 << record.refused.min(8);
+                record.down_until = now + Millis(pause.min(MAX_PAUSE.0));
                 record.refused += 1;
             }
-            Fault::OtherEndpoint => record.until = now + PAUSE_MAX,
-            _ if fault.is_failure() => record.answer(1.0, now),
+            Fault::OtherEndpoint => record.down_until = now + MAX_PAUSE,
+            _ if fault.is_failure() => record.add(1.0, now),
             _ => {}
         }
     }
 
-    /// Notes how requests of other daemons went.
+    /// Records outcomes that other daemons reported.
     pub fn record_others(&mut self, id: &InstanceId, good: u32, bad: u32, now: Millis) {
         let count = good + bad;
         if count > 0 {
             let record = self.records.entry(id.clone()).or_default();
-            record.answers(count, f64::from(bad) / f64::from(count), now);
+            record.add_many(count, f64::from(bad) / f64::from(count), now);
         }
     }
 
-    /// Notes that an endpoint is given a request on trial.
+    /// Records that an endpoint was sent a probe.
     pub fn record_probe(&mut self, id: &InstanceId, now: Millis) {
-        self.records.entry(id.clone()).or_default().tried = now;
+        self.records.entry(id.clone()).or_default().last_probe = now;
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn forget(&mut self, id: &InstanceId) {
         self.records.remove(id);
     }
 
-    /// Failure shares of the endpoints of a pool.
+    /// Sum of the failure rates of a pool's endpoints.
     pub fn pool<'a>(&self, ids: impl Iterator<Item = &'a InstanceId>, now: Millis) -> PoolFailures {
         ids.map(|id| self.snapshot(id, now)).collect()
     }
 
-    /// How an endpoint stands against the mean of its pool's others, at one of some daemons.
+    /// Health status of an endpoint; see [`HealthSnapshot::status`].
     pub fn status(&self, id: &InstanceId, others: f64, daemons: u32, now: Millis) -> HealthStatus {
         self.snapshot(id, now).status(others, daemons, now)
     }
 
-    /// Failure share of an endpoint, 0 to 1.
+    /// Failure rate of an endpoint, 0 to 1.
     pub fn failures(&self, id: &InstanceId, now: Millis) -> f64 {
         self.snapshot(id, now).failures
     }
 
-    /// What is remembered of an endpoint, as of now.
+    /// Health of an endpoint now.
     pub fn snapshot(&self, id: &InstanceId, now: Millis) -> HealthSnapshot {
         let record = self.records.get(id);
         record.map_or_else(HealthSnapshot::default, |record| HealthSnapshot {
             failures: record.failures(now),
-            is_down: now < record.until,
-            tried: record.tried,
+            is_down: now < record.down_until,
+            last_probe: record.last_probe,
         })
     }
 }
