--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -1,11 +1,11 @@
-//! How much work each endpoint has, as one daemon sees it.
+//! Estimates the load of each endpoint as seen by one daemon.
 //!
-//! A daemon knows its own requests exactly. What the others have there it
-//! learns from the others, and from the load that endpoints tell in their
-//! answers, less its own requests at that time; the older that is, the less it
-//! counts. Work that grows is carried on: an endpoint that ranks first for more
-//! than its share of prefixes would otherwise be filled far over the bound before
-//! anybody hears of it.
+//! A daemon knows its own requests exactly. The requests of other daemons come
+//! from their reports, and from the load that endpoints report in their
+//! responses, minus its own requests at that time; the older they are, the less
+//! they count. Growing load is extrapolated: an endpoint that ranks first for more
+//! than its share of prefixes would otherwise be filled far over the load bound
+//! before any daemon learns of it.
 
 use std::collections::HashMap;
 
@@ -15,180 +15,183 @@
 use crate::clock::Millis;
 use crate::routing::endpoint::InstanceId;
 
-/// Age at which a report of others' work counts half: about the length of a model's answer.
+/// Age at which the reported load of other daemons counts half: about the duration of a model's
+/// response.
 const HALF_LIFE: Millis = Millis(1500);
 
-/// Shortest time over which the growth of others' work is told: shorter ones show the chance of
-/// single requests.
-const GROWTH_SPAN: Millis = Millis(200);
-/// Longest such time; what came before a longer silence says nothing of now.
-const GROWTH_SPAN_MAX: Millis = Millis(800);
-/// Age of others' work when a daemon hears of it: a report waits for half a beat in the mean, and
-/// half a beat again at its hub.
-const LATE: Millis = Millis(100);
-/// Longest time for which others' work is taken to go on growing.
-const AHEAD_MAX: Millis = Millis(600);
-
-/// What an endpoint tells of its work.
+/// Shortest time over which the growth of others' load is measured: over shorter ones, single
+/// requests dominate.
+const MIN_GROWTH_TIME: Millis = Millis(200);
+/// Longest such time; a report from before a longer gap says nothing about the current growth.
+const MAX_GROWTH_TIME: Millis = Millis(800);
+/// Age of a report when a daemon receives it: on average it waits half an interval at the sender,
+/// and half an interval again at the hub.
+const REPORT_DELAY: Millis = Millis(100);
+/// Longest time over which the growth of others' load is extrapolated.
+const MAX_EXTRAPOLATION: Millis = Millis(600);
+
+/// Load that an endpoint reports in a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Requests that can run concurrently.
     pub slots: u32,
 }
 
-/// The work of one endpoint.
+/// Requests at one endpoint.
 #[derive(Clone, Copy, PartialEq, Default)]
 #[derive(Debug)]
-struct Work {
+struct Load {
+    /// Requests of this daemon.
     own: u32,
+    /// Requests of other daemons, as reported at `at`.
     others: u32,
     at: Millis,
     growth: Growth,
-    /// Whether the endpoint is gone, so that this is dropped with its last request.
-    gone: bool,
+    /// Whether the endpoint was removed, so that this is dropped with its last request.
+    removed: bool,
 }
 
-/// How fast others' work grows.
+/// How fast the load of other daemons grows.
 #[derive(Clone, Copy, PartialEq, Default)]
 #[derive(Debug)]
 struct Growth {
-    /// Others' work as it was told at `at`.
-    told: u32,
+    /// Others' requests as reported at `at`.
+    reported: u32,
     at: Millis,
-    /// Requests a millisecond; not less than none.
-    pace: f64,
+    /// Requests per millisecond; never negative.
+    rate: f64,
 }
 
 impl Growth {
-    /// Takes others' work.
-    fn note(&mut self, told: u32, now: Millis) {
-        let span = now.since(self.at);
-        if span < GROWTH_SPAN {
+    /// Records a report of others' requests.
+    fn record(&mut self, reported: u32, now: Millis) {
+        let elapsed = now.since(self.at);
+        if elapsed < MIN_GROWTH_TIME {
             return;
         }
-        let is_known = self.at > Millis::ZERO && span <= GROWTH_SPAN_MAX;
+        let is_known = self.at > Millis::ZERO && elapsed <= MAX_GROWTH_TIME;
         let more = match is_known {
-            true => told.saturating_sub(self.told),
+            true => reported.saturating_sub(self.reported),
             false => 0,
         };
         *self = Self {
-            told,
+            reported,
             at: now,
-            pace: f64::from(more) / span.0 as f64,
+            rate: f64::from(more) / elapsed.0 as f64,
         };
     }
 
-    /// Requests that came since others' work was told so long ago.
+    /// Requests expected to have been added since a report that is `age` old.
     fn since(&self, age: Millis) -> f64 {
-        self.pace * (age + LATE).min(AHEAD_MAX).0 as f64
+        self.rate * (age + REPORT_DELAY).min(MAX_EXTRAPOLATION).0 as f64
     }
 }
 
-/// Requests at an endpoint, estimated.
+/// Estimated number of requests at an endpoint.
 #[derive(Clone, Copy, PartialEq, Default)]
 #[derive(Debug)]
 pub struct Estimate {
-    /// As they were told.
+    /// From the reports alone.
     pub reported: f64,
-    /// With those that came since.
+    /// Including the extrapolated growth since the last report.
     pub extrapolated: f64,
-    /// Time since others' work was last heard of, none if never.
+    /// Time since the last report of others' requests; none if there was none.
     pub age: Option<Millis>,
 }
 
-/// The work of all endpoints.
+/// Requests at all endpoints.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct LoadTracker {
-    work: HashMap<InstanceId, Work, RandomState>,
+    loads: HashMap<InstanceId, Load, RandomState>,
 }
 
 impl LoadTracker {
-    /// Counts a request that is sent.
+    /// Counts a request that this daemon sends.
     pub fn begin(&mut self, id: &InstanceId) {
-        let work = self.work.entry(id.clone()).or_default();
-        work.own += 1;
-        work.gone = false;
+        let load = self.loads.entry(id.clone()).or_default();
+        load.own += 1;
+        load.removed = false;
     }
 
-    /// Counts a request that has ended.
+    /// Discounts a request that has ended.
     pub fn end(&mut self, id: &InstanceId) {
-        let Some(work) = self.work.get_mut(id) else {
+        let Some(load) = self.loads.get_mut(id) else {
             return;
         };
-        work.own = work.own.saturating_sub(1);
-        if work.gone && work.own == 0 {
-            self.work.remove(id);
+        load.own = load.own.saturating_sub(1);
+        if load.removed && load.own == 0 {
+            self.loads.remove(id);
         }
     }
 
-    /// Takes what an endpoint tells.
+    /// Records the load that an endpoint reported.
     pub fn report(&mut self, id: &InstanceId, report: LoadReport, now: Millis) {
-        let work = self.work.entry(id.clone()).or_default();
+        let load = self.loads.entry(id.clone()).or_default();
         let total = report.running + report.waiting;
-        work.others = total.saturating_sub(work.own);
-        work.at = now;
+        load.others = total.saturating_sub(load.own);
+        load.at = now;
     }
 
-    /// Takes what other daemons have at an endpoint.
+    /// Sets the requests that other daemons have in flight at an endpoint.
     pub fn set_others(&mut self, id: &InstanceId, in_flight: u32, now: Millis) {
-        if in_flight == 0 && !self.work.contains_key(id) {
+        if in_flight == 0 && !self.loads.contains_key(id) {
             return;
         }
-        let work = self.work.entry(id.clone()).or_default();
-        work.others = in_flight;
-        work.at = now;
-        work.growth.note(in_flight, now);
+        let load = self.loads.entry(id.clone()).or_default();
+        load.others = in_flight;
+        load.at = now;
+        load.growth.record(in_flight, now);
     }
 
-    /// Forgets an endpoint, once this daemon's last request there has ended.
+    /// Removes an endpoint, once this daemon's last request there has ended.
     pub fn forget(&mut self, id: &InstanceId) {
-        match self.work.get_mut(id) {
-            Some(work) if work.own > 0 => work.gone = true,
+        match self.loads.get_mut(id) {
+            Some(load) if load.own > 0 => load.removed = true,
             _ => {
-                self.work.remove(id);
+                self.loads.remove(id);
             }
         }
     }
 
-    /// Endpoints and this daemon's requests there.
+    /// Endpoints, with the number of this daemon's requests in flight there.
     pub fn in_flight(&self) -> impl Iterator<Item = (&InstanceId, u32)> {
-        self.work.iter().map(|(id, work)| (id, work.own))
+        self.loads.iter().map(|(id, load)| (id, load.own))
     }
 
-    /// Requests of this daemon at an endpoint.
+    /// Number of this daemon's requests in flight at an endpoint.
     pub fn own(&self, id: &InstanceId) -> u32 {
-        self.work.get(id).map_or(0, |work| work.own)
+        self.loads.get(id).map_or(0, |load| load.own)
     }
 
-    /// Time since others' work at an endpoint was last heard of, none if never.
+    /// Time since the last report of others' requests at an endpoint; none if there was none.
     pub fn age(&self, id: &InstanceId, now: Millis) -> Option<Millis> {
         self.estimate(id, now).age
     }
 
-    /// Requests at an endpoint, estimated, with those that came since others' work was told.
+    /// Estimated number of requests at an endpoint, including extrapolated growth.
     pub fn total(&self, id: &InstanceId, now: Millis) -> f64 {
         self.estimate(id, now).extrapolated
     }
 
-    /// What is known of the requests at an endpoint.
+    /// Estimates the requests at an endpoint.
     pub fn estimate(&self, id: &InstanceId, now: Millis) -> Estimate {
-        let Some(work) = self.work.get(id) else {
+        let Some(load) = self.loads.get(id) else {
             return Estimate::default();
         };
-        let age = now.since(work.at);
-        let (own, others) = (f64::from(work.own), f64::from(work.others));
+        let age = now.since(load.at);
+        let (own, others) = (f64::from(load.own), f64::from(load.others));
         let fading = age.fading(HALF_LIFE);
-        let heard = work.at > Millis::ZERO;
+        let has_report = load.at > Millis::ZERO;
         Estimate {
             reported: own + others * fading,
-            extrapolated: own + (others + work.growth.since(age)) * fading,
-            age: heard.then_some(age),
+            extrapolated: own + (others + load.growth.since(age)) * fading,
+            age: has_report.then_some(age),
         }
     }
 }
--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -1,9 +1,10 @@
-//! Which endpoints were sent a shared prefix lately.
+//! Index of the endpoints that were recently sent a shared prefix.
 //!
-//! By rank alone a daemon can't know of prompts that were passed on for load,
-//! or while their place was away: their prefix lies elsewhere, and where they
-//! go next would read it again. Daemons remember their own requests, and tell
-//! the others of those that went elsewhere than rank and age say.
+//! Rendezvous hashing alone doesn't show where a prefix is cached if a prompt
+//! was sent to a lower-ranked endpoint, because of load or while the first was
+//! unavailable; the next endpoint would compute the prefix again. Each daemon
+//! records its own requests, and announces those that went to another endpoint
+//! than rank and age indicate.
 
 use std::collections::HashMap;
 
@@ -11,78 +12,84 @@
 
 use crate::clock::Millis;
 
-/// Endpoints that are remembered for one prefix: the one that had it, the one that took it on
-/// for load, and one more while a prefix is spread.
-const PLACES: usize = 3;
-/// Time for which an endpoint is taken to keep a prefix. Prefixes in use return within about
-/// 25 s; engines' memory holds what was read in the last half minute several times over.
-const KEPT: Millis = Millis::from_secs(30);
-/// Prefixes that are remembered; at 40 bytes each about half a megabyte.
-const PREFIXES: usize = 8192;
+/// Maximum number of endpoints recorded for one prefix: the one that had it, the one that took over
+/// because of load, and one more while a hot prefix is being spread.
+const MAX_LOCATIONS: usize = 3;
+/// Time for which an endpoint is assumed to keep a prefix in its cache. Prefixes in use recur
+/// within about 25 s; engines' caches hold several times the prompts of the last 30 s.
+const RETENTION: Millis = Millis::from_secs(30);
+/// Maximum number of prefixes in the index; at 40 bytes each about half a megabyte.
+const MAX_PREFIXES: usize = 8192;
 
-/// An endpoint that was sent a prefix.
+/// An endpoint that was sent a prefix, and when.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-struct Place {
-    /// Short form of the instance's id.
+struct Location {
+    /// Short id of the instance.
     endpoint: u32,
     at: Millis,
 }
 
-/// Endpoints by prefix, both in their short forms.
+/// Endpoints by prefix; endpoints by their short ids, prefixes by their short keys.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct PrefixIndex {
-    prefixes: HashMap<u32, Vec<Place>>,
+    prefixes: HashMap<u32, Vec<Location>>,
 }
 
 impl PrefixIndex {
-    /// Notes that an endpoint was sent a prefix; says whether that wasn't known.
+    /// Records that an endpoint was sent a prefix; returns whether that is new.
     pub fn record(&mut self, prefix: u32, endpoint: u32, now: Millis) -> bool {
-        if !self.prefixes.contains_key(&prefix) && self.prefixes.len() >= PREFIXES {
-            self.make_room(now);
+        if !self.prefixes.contains_key(&prefix) && self.prefixes.len() >= MAX_PREFIXES {
+            self.evict(now);
         }
-        let places = self.prefixes.entry(prefix).or_default();
-        places.retain(|place| now.since(place.at) < KEPT);
-        if let Some(place) = places.iter_mut().find(|place| place.endpoint == endpoint) {
-            place.at = now;
+        let locations = self.prefixes.entry(prefix).or_default();
+        locations.retain(|location| now.since(location.at) < RETENTION);
+        if let Some(location) = locations
+            .iter_mut()
+            .find(|location| location.endpoint == endpoint)
+        {
+            location.at = now;
             return false;
         }
-        if places.len() >= PLACES
-            && let Some(oldest) = (0..places.len()).min_by_key(|at| places[*at].at)
+        if locations.len() >= MAX_LOCATIONS
+            && let Some(oldest) = (0..locations.len()).min_by_key(|at| locations[*at].at)
         {
-            places.swap_remove(oldest);
+            locations.swap_remove(oldest);
         }
-        places.push(Place { endpoint, at: now });
+        locations.push(Location { endpoint, at: now });
         true
     }
 
-    /// Takes back that an endpoint was sent a prefix: it hasn't read it.
+    /// Removes an endpoint from a prefix that it hasn't processed.
     pub fn remove(&mut self, prefix: u32, endpoint: u32) {
-        if let Some(places) = self.prefixes.get_mut(&prefix) {
-            places.retain(|place| place.endpoint != endpoint);
+        if let Some(locations) = self.prefixes.get_mut(&prefix) {
+            locations.retain(|location| location.endpoint != endpoint);
         }
     }
 
-    /// Whether any endpoint is known to have a prefix.
+    /// Whether the index has an entry for a prefix.
     pub fn is_known(&self, prefix: u32) -> bool {
         self.prefixes.contains_key(&prefix)
     }
 
-    /// Time since an endpoint was sent a prefix; none if it wasn't, or long ago.
+    /// Time since an endpoint was last sent a prefix; none if it wasn't within the retention time.
     pub fn age(&self, prefix: u32, endpoint: u32, now: Millis) -> Option<Millis> {
-        let places = self.prefixes.get(&prefix)?;
-        let place = places.iter().find(|place| place.endpoint == endpoint)?;
-        let age = now.since(place.at);
-        (age < KEPT).then_some(age)
+        let locations = self.prefixes.get(&prefix)?;
+        let location = locations
+            .iter()
+            .find(|location| location.endpoint == endpoint)?;
+        let age = now.since(location.at);
+        (age < RETENTION).then_some(age)
     }
 
-    /// Drops what is old, or all where nothing is: what is lost costs reading a prefix again.
-    fn make_room(&mut self, now: Millis) {
-        let is_recent = |place: &Place| now.since(place.at) < KEPT;
+    /// Removes expired entries, or all entries if none has expired. A lost entry only means that a
+    /// prefix is computed again.
+    fn evict(&mut self, now: Millis) {
+        let is_recent = |location: &Location| now.since(location.at) < RETENTION;
         self.prefixes
-            .retain(|_, places| places.iter().any(is_recent));
-        if self.prefixes.len() >= PREFIXES {
+            .retain(|_, locations| locations.iter().any(is_recent));
+        if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.clear();
         }
     }
