--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -1,13 +1,14 @@
-//! A copy of the platform's objects of one kind, fed from several sources.
+//! A local copy of the platform's objects of one kind, updated from several sources.
 //!
-//! Sources are the platform itself and other daemons' copies; they run ahead
-//! of each other and repeat themselves. Each object carries the revision of
-//! its last change, and so does each removal: the higher one wins, in any
-//! order.
+//! Sources are the platform itself and the copies of other daemons; they may be
+//! ahead of each other and send the same change more than once. Each object and
+//! each removal carries the revision of its last change: the higher revision
+//! wins, in whatever order they arrive.
 //!
-//! Entries of endpoints lapse while the platform is away, although what they
-//! stand for lives. After such a time a removal waits for [`REMOVAL_GRACE`], in which a
-//! living endpoint lists itself again. What operators write doesn't lapse.
+//! Entries of endpoints expire while the platform is unavailable, although the
+//! endpoints are still running. After such an outage a removal is delayed by
+//! [`REMOVAL_GRACE`], in which a running endpoint lists itself again. Objects that
+//! operators write don't expire.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -16,18 +17,18 @@
 
 use crate::clock::Millis;
 
-/// How long a removal waits after the platform's return: living endpoints are back within about
-/// two seconds, as the platform's operators say.
+/// How long removals are delayed after an outage of the platform: according to the platform's
+/// operators, running endpoints list themselves again within about two seconds.
 pub const REMOVAL_GRACE: Millis = Millis(2000);
-/// After an outage of this length entries may have lapsed: they do after three heartbeats of
-/// silence, and one heartbeat is a safe lower bound.
-const LAPSE: Millis = Millis(1000);
-/// A copy that wasn't known to be up to date for this long has seen an outage, whoever met it.
-/// Longer than the platform holds a call for changes and the pause after one (2.4 s together);
-/// entries lapse after 3.6 s of silence at the shortest that was seen.
-const OUT_OF_DATE: Millis = Millis(2800);
-/// Removals that are remembered for daemons that lag.
-const REMOVALS: usize = 1024;
+/// After an outage of this length entries may have expired: they do after three missed heartbeats,
+/// and one heartbeat is a safe lower bound.
+const MIN_OUTAGE: Millis = Millis(1000);
+/// A copy that wasn't confirmed up to date for this long has been through an outage, whichever
+/// daemon was affected. Longer than the platform holds a watch call and the pause after one (2.4 s
+/// together); entries were seen to expire after 3.6 s without heartbeats at the earliest.
+const STALE_AFTER: Millis = Millis(2800);
+/// Number of removals that are kept for daemons whose copies lag.
+const MAX_REMOVALS: usize = 1024;
 
 /// An object of the platform.
 #[derive(Clone, PartialEq, Eq)]
@@ -37,7 +38,7 @@
     pub name: String,
     /// The platform's revision of its last change.
     pub revision: u64,
-    /// Its contents, as the platform codes them.
+    /// Its contents, as encoded by the platform.
     #[debug("{} bytes", spec.len())]
     pub spec: Bytes,
 }
@@ -46,53 +47,54 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Change {
-    /// It was made or replaced.
+    /// It was created or replaced.
     Put(Object),
-    /// It is gone.
+    /// It was removed.
     Removed {
         /// Its name.
         name: String,
-        /// A revision at which it was gone.
+        /// A revision at which it no longer existed.
         revision: u64,
     },
 }
 
-/// Time by which a copy has to be newer for its followers to be told at once. An age leaves out the
-/// way of its message: copies that follow each other would take each other's word for news, again
-/// and again, and never grow old.
-const NEWS: Millis = Millis(100);
+/// Time by which a copy has to be newer for its followers to be notified at once. Ages don't
+/// include the transmission time of their message: without this minimum, copies that follow each
+/// other would keep notifying each other and never become stale.
+const MIN_ADVANCE: Millis = Millis(100);
 
 /// Changes that bring a copy up to a revision.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Update {
-    /// Whether these are all objects, so that others are gone.
+    /// Whether these are all objects, so that others have been removed.
     pub complete: bool,
     /// The changes.
     pub changes: Vec<Change>,
-    /// The revision up to which they reach.
+    /// The revision that they lead to.
     pub revision: u64,
 }
 
-/// The copy.
+/// The local copy.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct Mirror {
-    /// Whether its objects stay until someone removes them.
-    lasts: bool,
+    /// Whether its objects stay until they are explicitly removed, instead of expiring.
+    is_persistent: bool,
     revision: Option<u64>,
     objects: BTreeMap<String, Object>,
+    /// Latest removals: the revision and the object's name.
     removals: VecDeque<(u64, String)>,
-    /// Removals up to this revision aren't all remembered.
-    floor: u64,
-    /// Objects that are missing: when they are dropped, and at which revision they were gone.
-    missing: BTreeMap<String, (Millis, u64)>,
+    /// Removals up to this revision are no longer all in `removals`.
+    compacted: u64,
+    /// Delayed removals: when each takes effect, and the revision of the removal.
+    pending: BTreeMap<String, (Millis, u64)>,
     /// When the copy was last known to be up to date.
-    heard: Option<Millis>,
-    /// Since when calls to the platform fail, and when one last did, here or at a source.
-    failing: Option<(Millis, Millis)>,
-    /// When the platform was last reached after an outage.
-    back: Option<Millis>,
+    confirmed: Option<Millis>,
+    /// Since when calls to the platform fail, and when the last one failed, here or at a source.
+    outage: Option<(Millis, Millis)>,
+    /// When the platform was last reached again after an outage.
+    recovered: Option<Millis>,
 }
 
 impl Change {
@@ -106,29 +108,29 @@
 }
 
 /// The last change of each object, in order. The revision of a removal is an upper bound, so that
-/// an entry that lapsed and came back within one update would otherwise seem to be gone.
+/// an entry that expired and came back within one update would otherwise count as removed.
 fn last_of_each(changes: Vec<Change>) -> Vec<Change> {
     let mut names = HashSet::new();
     let from_last = changes.iter().rev();
     let is_last: Vec<bool> = from_last
         .map(|change| names.insert(change.name()))
         .collect();
-    let judged = changes.into_iter().zip(is_last.into_iter().rev());
-    judged
+    let flagged = changes.into_iter().zip(is_last.into_iter().rev());
+    flagged
         .filter_map(|(change, is_last)| is_last.then_some(change))
         .collect()
 }
 
 impl Mirror {
-    /// A copy of objects that don't lapse.
+    /// A copy of objects that don't expire.
     pub fn persistent() -> Self {
         Self {
-            lasts: true,
+            is_persistent: true,
             ..Self::default()
         }
     }
 
-    /// The revision that it has reached, none before the first list.
+    /// The revision that it has reached; none before the first list.
     pub const fn revision(&self) -> Option<u64> {
         self.revision
     }
@@ -138,66 +140,67 @@
         self.objects.get(name)
     }
 
-    /// Time since it was last known to be up to date, none before the first list.
+    /// Time since it was last known to be up to date; none before the first list.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.heard.map(|heard| now.since(heard))
+        self.confirmed.map(|confirmed| now.since(confirmed))
     }
 
-    /// Whether a copy that was up to date at `heard` is enough newer for followers to be told
-    /// before the next beat.
-    pub fn should_notify(&self, heard: Millis) -> bool {
-        self.heard.is_none_or(|before| heard >= before + NEWS)
+    /// Whether a copy that was up to date at `confirmed` is enough newer for followers to be
+    /// notified before the next heartbeat.
+    pub fn should_notify(&self, confirmed: Millis) -> bool {
+        self.confirmed
+            .is_none_or(|before| confirmed >= before + MIN_ADVANCE)
     }
 
-    /// Notes that the platform answers again after an outage of this length.
+    /// Records that the platform responds again after an outage of this length.
     pub fn platform_recovered(&mut self, outage: Millis, now: Millis) {
-        if outage >= LAPSE {
-            self.back = Some(now);
+        if outage >= MIN_OUTAGE {
+            self.recovered = Some(now);
         }
     }
 
-    /// Notes that calls to the platform fail, here or at a source.
+    /// Records that calls to the platform have failed since a time, here or at a source.
     pub fn record_failure(&mut self, since: Millis, now: Millis) {
-        let (first, _) = self.failing.unwrap_or((since, now));
-        self.failing = Some((first.min(since), now));
+        let (first, _) = self.outage.unwrap_or((since, now));
+        self.outage = Some((first.min(since), now));
     }
 
-    /// For how long calls to the platform have failed, none if they don't.
+    /// For how long calls to the platform have been failing; none if they succeed.
     pub fn outage(&self, now: Millis) -> Option<Millis> {
-        self.failing.map(|(first, _)| now.since(first))
+        self.outage.map(|(first, _)| now.since(first))
     }
 
-    /// Takes an update that was up to date at `heard`, if that is known; returns what changes
-    /// here.
-    pub fn apply(&mut self, update: Update, heard: Option<Millis>, now: Millis) -> Vec<Change> {
-        if let Some(heard) = heard {
-            self.hear(heard, now);
+    /// Applies an update that was up to date at `confirmed`, if that is known; returns the changes
+    /// to this copy.
+    pub fn apply(&mut self, update: Update, confirmed: Option<Millis>, now: Millis) -> Vec<Change> {
+        if let Some(confirmed) = confirmed {
+            self.confirm(confirmed, now);
         }
-        self.take(update, now)
+        self.merge(update, now)
     }
 
-    /// Notes that the copy was up to date at `heard`.
-    fn hear(&mut self, heard: Millis, now: Millis) {
-        if let Some((first, last)) = self.failing
-            && heard > last
+    /// Records that the copy was up to date at `confirmed`.
+    fn confirm(&mut self, confirmed: Millis, now: Millis) {
+        if let Some((first, last)) = self.outage
+            && confirmed > last
         {
-            self.failing = None;
-            let since = self.heard.map_or(first, |before| before.max(first));
-            self.platform_recovered(heard.since(since), now);
+            self.outage = None;
+            let since = self.confirmed.map_or(first, |before| before.max(first));
+            self.platform_recovered(confirmed.since(since), now);
         }
         let gap = self
-            .heard
-            .map_or(Millis::ZERO, |before| heard.since(before));
-        if gap >= OUT_OF_DATE && self.grace(now).is_none() {
-            self.back = Some(now);
+            .confirmed
+            .map_or(Millis::ZERO, |before| confirmed.since(before));
+        if gap >= STALE_AFTER && self.grace(now).is_none() {
+            self.recovered = Some(now);
         }
-        self.heard = self.heard.max(Some(heard));
+        self.confirmed = self.confirmed.max(Some(confirmed));
     }
 
-    fn take(&mut self, update: Update, now: Millis) -> Vec<Change> {
+    fn merge(&mut self, update: Update, now: Millis) -> Vec<Change> {
         let mut changed = Vec::new();
         if update.complete {
-            changed.extend(self.remove_others(&update, now));
+            changed.extend(self.remove_unlisted(&update, now));
         }
         let revision = update.revision;
         for change in last_of_each(update.changes) {
@@ -207,26 +210,26 @@
             });
         }
         if update.complete && self.revision.is_none() {
-            self.floor = revision;
+            self.compacted = revision;
         }
         self.revision = self.revision.max(Some(revision));
         changed
     }
 
-    /// Drops objects that were missing for too long; returns the removals.
+    /// Applies delayed removals that are due; returns them.
     pub fn tick(&mut self, now: Millis) -> Vec<Change> {
         let due = |(name, (until, at)): (&String, &(Millis, u64))| {
             (*until <= now).then(|| (name.clone(), *at))
         };
-        let due: Vec<(String, u64)> = self.missing.iter().filter_map(due).collect();
+        let due: Vec<(String, u64)> = self.pending.iter().filter_map(due).collect();
         let drop = |(name, at)| self.drop_object(name, at);
         due.into_iter().map(drop).collect()
     }
 
-    /// What brings a copy of a revision up to this one.
+    /// The changes since a revision; a complete list if they aren't all known.
     pub fn since(&self, revision: Option<u64>) -> Option<Update> {
         let reached = self.revision?;
-        let after = revision.filter(|revision| *revision >= self.floor);
+        let after = revision.filter(|revision| *revision >= self.compacted);
         let newer = |at: u64| after.is_none_or(|revision| at > revision);
         let puts = self
             .objects
@@ -234,12 +237,12 @@
             .filter(|object| newer(object.revision));
         let mut changes: Vec<Change> = puts.cloned().map(Change::Put).collect();
         if after.is_some() {
-            // A removal that waited bears a revision that the other copy may have reached before.
-            // One that is there again is told as it is now.
-            let is_gone = |name: &String| !self.objects.contains_key(name);
-            let removals = self.removals.iter().filter(|(_, name)| is_gone(name));
-            let gone = removals.filter(|(at, _)| newer(at + 1));
-            changes.extend(gone.map(|(at, name)| Change::Removed {
+            // A delayed removal has a revision that the other copy may have passed already. An
+            // object that exists again is sent as it is now.
+            let is_removed = |name: &String| !self.objects.contains_key(name);
+            let removals = self.removals.iter().filter(|(_, name)| is_removed(name));
+            let removed = removals.filter(|(at, _)| newer(at + 1));
+            changes.extend(removed.map(|(at, name)| Change::Removed {
                 name: name.clone(),
                 revision: *at,
             }));
@@ -254,15 +257,15 @@
     fn put(&mut self, object: Object) -> Option<Change> {
         let known = self.objects.get(&object.name);
         let is_old = known.is_some_and(|known| known.revision >= object.revision);
-        let same = |(at, name): &(u64, String)| *name == object.name && *at >= object.revision;
+        let removes = |(at, name): &(u64, String)| *name == object.name && *at >= object.revision;
         if self
-            .missing
+            .pending
             .get(&object.name)
             .is_some_and(|(_, at)| object.revision > *at)
         {
-            self.missing.remove(&object.name);
+            self.pending.remove(&object.name);
         }
-        if is_old || self.removals.iter().any(same) {
+        if is_old || self.removals.iter().any(removes) {
             return None;
         }
         self.objects.insert(object.name.clone(), object.clone());
@@ -275,14 +278,14 @@
             return None;
         }
         if let Some(until) = self.grace(now) {
-            self.missing.entry(name).or_insert((until, revision));
+            self.pending.entry(name).or_insert((until, revision));
             return None;
         }
         Some(self.drop_object(name, revision))
     }
 
-    /// Removes what a whole list doesn't hold.
-    fn remove_others(&mut self, update: &Update, now: Millis) -> Vec<Change> {
+    /// Removes the objects that a complete list doesn't contain.
+    fn remove_unlisted(&mut self, update: &Update, now: Millis) -> Vec<Change> {
         let listed = |name: &String| {
             let same =
                 |change: &Change| matches!(change, Change::Put(object) if object.name == *name);
@@ -299,24 +302,23 @@
     }
 
     fn drop_object(&mut self, name: String, revision: u64) -> Change {
-        self.missing.remove(&name);
+        self.pending.remove(&name);
         self.objects.remove(&name);
         let revision = self
             .revision
             .map_or(revision, |reached| reached.max(revision));
         self.removals.push_back((revision, name.clone()));
-        if self.removals.len() > REMOVALS
+        if self.removals.len() > MAX_REMOVALS
             && let Some((at, _)) = self.removals.pop_front()
         {
-            self.floor = self.floor.max(at);
+            self.compacted = self.compacted.max(at);
         }
         Change::Removed { name, revision }
     }
 
-    /// Until when an object that is missing now may be back, none where a removal takes effect at
-    /// once.
+    /// Until when removals are delayed; none if they take effect at once.
     pub fn grace(&self, now: Millis) -> Option<Millis> {
-        let until = self.back? + REMOVAL_GRACE;
-        (now < until && !self.lasts).then_some(until)
+        let until = self.recovered? + REMOVAL_GRACE;
+        (now < until && !self.is_persistent).then_some(until)
     }
 }
