--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -1,11 +1,12 @@
-//! Picks the endpoint of a request.
+//! Picks the endpoint for a request.
 //!
-//! A prompt goes where its shared parts rank first by rendezvous hashing, so
-//! that all daemons send it to the same place without a word, also right after
-//! a start. It passes on to the next in rank while the load there is over the
-//! bound, and takes the cached parts along from the first, or from whoever is
-//! known to have got them since. Requests without shared parts go to an endpoint
-//! drawn by load, mostly of the same data centre.
+//! A prompt goes to the endpoint that ranks first for its shared prefix by
+//! rendezvous hashing, so that all daemons send it to the same endpoint without
+//! coordination, even right after a start. While the load of that endpoint is
+//! over the bound, the prompt goes to the next in rank, which fetches the cached
+//! prefix from the first, or from an endpoint that is known to have been sent
+//! the prefix since. Requests without a shared prefix go to a random endpoint,
+//! weighted by load and with preference for the same data centre.
 
 use std::sync::Arc;
 
@@ -22,48 +23,48 @@
 use crate::routing::request::SharedPrefix;
 use crate::routing::slow_start::Allowance;
 
-/// Load bound, as a multiple of the pool's mean. Lies below what endpoints may be given at most,
-/// since loads are known with a lag.
-const BOUND: f64 = 1.5;
-/// The same against the mean of all endpoints, those in drained data centres included: these have
-/// next to no load and yet count in the multiple of the mean that endpoints may be given.
-const BOUND_OF_ALL: f64 = 1.75;
-/// Load allowed beyond the bound, in requests; lets a nearly idle pool keep its places.
-const GRAIN: f64 = 2.0;
-/// Bound where the mechanism is switched off: more requests than any endpoint has.
+/// Load bound as a multiple of the pool's mean load. Lower than the load that endpoints are allowed
+/// to reach, since loads are known with a delay.
+const BOUND_FACTOR: f64 = 1.5;
+/// The same for the mean of all endpoints, including those in drained data centres: these have
+/// almost no load, yet they count in the mean that limits the load of endpoints.
+const BOUND_FACTOR_ALL: f64 = 1.75;
+/// Requests allowed on top of the bound; lets prefixes keep their endpoints in a nearly idle pool.
+const BOUND_MARGIN: f64 = 2.0;
+/// Bound if the mechanism is switched off: more requests than any endpoint has.
 const UNBOUNDED: f64 = 1e9;
-/// Times that an idle endpoint of the same data centre is picked as often as one elsewhere. Not
-/// many, since a full queue costs more time than the longer way.
-const NEAR: f64 = 6.0;
-/// Part of its slots by which an idle endpoint counts as busy. Loads are known late, many times as
-/// long as a run takes: sharper draws flood the least loaded endpoint, more even ones give too much
-/// to slow endpoints.
-const IDLE: f64 = 0.6;
-/// Load that one hot prefix may bring to each of its places, against the mean load of the pool.
-/// With half of the mean, what the others bring fits beside it under the bound.
+/// How much more often an idle endpoint of the same data centre is picked than one elsewhere. Kept
+/// low, since a full queue costs more time than the longer network path.
+const LOCAL_WEIGHT: f64 = 6.0;
+/// Fraction of its slots that is added to the load of every endpoint. Loads are known with a delay
+/// of many times the duration of a run: a lower value floods the least loaded endpoint, a higher
+/// one gives too much to slow endpoints.
+const BASE_LOAD: f64 = 0.6;
+/// Load that a hot prefix may add to each of its endpoints, as a fraction of the pool's mean load.
+/// With half of the mean, the load of the other prefixes still fits under the bound.
 const HOT_LOAD: f64 = 0.5;
-/// Shortest prefix worth a transfer between engines, in tokens; below, the transfer's set-up takes
-/// as long as reading them again.
-const FETCH_MIN: u64 = 400;
+/// Shortest prefix worth a transfer between engines, in tokens; for shorter ones, setting up the
+/// transfer takes as long as computing them again.
+const MIN_FETCH_TOKENS: u64 = 400;
 
-/// Time after which an endpoint that joined holds the prefixes that it ranks first for: longer than
-/// most pauses of prefixes in use.
-const SETTLED: Millis = Millis::from_secs(30);
-/// Endpoints that joined together, as at the start of a pool, within this time: none of them
-/// held anything before the others.
-const COHORT: Millis = Millis::from_secs(5);
+/// Time after which a newly listed endpoint holds the prefixes that it ranks first for: longer than
+/// most intervals between uses of a prefix.
+const SETTLE_TIME: Millis = Millis::from_secs(30);
+/// Endpoints that were first listed within this time count as started together, as at the start of
+/// a pool: none of them holds prefixes from before the others.
+const JOIN_WINDOW: Millis = Millis::from_secs(5);
 
-/// An endpoint that may be picked, or takes no new work but may hold cached parts.
+/// An endpoint that may be picked, or that takes no new work but may hold a cached prefix.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Requests that it has, estimated.
+    /// Estimated number of its requests.
     pub load: f64,
-    /// How old the part of the load is that others brought, if it was ever heard of.
+    /// Age of the last report of other daemons' requests there; none if there was none.
     pub load_age: Option<Millis>,
-    /// How it stands.
+    /// Its health.
     pub health: HealthStatus,
     /// Whether this request was sent there before.
     pub tried: bool,
@@ -73,12 +74,12 @@
     pub allowance: Allowance,
     /// How long it has been listed.
     pub age: Millis,
-    /// Time since it was sent the prompt's shared parts, as far as that is known.
+    /// Time since it was last sent the prompt's shared prefix, if known.
     pub prefix_age: Option<Millis>,
 }
 
 impl Candidate {
-    /// Whether it takes new work, be it little.
+    /// Whether it takes new work, even if its rate is limited.
     pub fn takes_work(&self) -> bool {
         !self.endpoint.leaving && !self.drained
     }
@@ -88,13 +89,13 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display)]
 pub enum ChoiceReason {
-    /// First in rank for the prompt.
+    /// It ranks first for the prompt.
     #[display("first-ranked")]
     First,
-    /// Further in rank, those before being over the bound or avoided.
+    /// Higher-ranked endpoints are over the bound or avoided.
     #[display("next-ranked")]
     Next,
-    /// Drawn by load.
+    /// Picked at random, weighted by load.
     #[display("drawn")]
     Drawn,
 }
@@ -105,55 +106,56 @@
 pub struct Choice {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Where cached parts of the prompt can be fetched from.
+    /// Where the cached prefix of the prompt can be fetched from.
     pub source: Option<Arc<Endpoint>>,
-    /// ChoiceReason it was picked.
+    /// Why it was picked.
     pub reason: ChoiceReason,
-    /// Its load when picked.
+    /// Its load when it was picked.
     pub load: f64,
-    /// How old the part of the load is that others brought, if it was ever heard of.
+    /// Age of the last report of other daemons' requests there; none if there was none.
     pub load_age: Option<Millis>,
-    /// Load up to which it would have been given more.
+    /// The load bound when it was picked.
     pub bound: f64,
-    /// Whether it was picked on trial.
+    /// Whether the request is a probe of an avoided endpoint.
     pub probe: bool,
-    /// What could be sent there when it was picked.
+    /// What was allowed to be sent there when it was picked.
     pub allowance: Allowance,
-    /// Whether other daemons can't tell by rank and age that the prompt goes here.
+    /// Whether the prompt goes to another endpoint than other daemons expect by rank and age.
     pub moved: bool,
 }
 
-/// Picks an endpoint for a request that has shared prompt parts, or none.
+/// Picks an endpoint for a request; none if no candidate is usable.
 ///
-/// `share` is the prefix's share of the pool's traffic, as far as it is known to be large.
-/// `trial` says whether the request may be spent on an endpoint that is avoided.
+/// `share` is the prefix's share of the pool's traffic if it is known to be large, otherwise 0.
+/// `local` is this daemon's data centre. `may_probe` tells whether the request may be sent to an
+/// avoided endpoint as a probe.
 pub fn choose(
     candidates: &[Candidate],
     shared: Option<&SharedPrefix>,
     share: f64,
-    near: &DataCentreId,
-    trial: bool,
+    local: &DataCentreId,
+    may_probe: bool,
     rng: &mut Pcg32,
 ) -> Option<Choice> {
     let ranked: Vec<Ranked<'_>> = candidates.iter().map(|c| Ranked::new(c, shared)).collect();
-    let usable = usable(&ranked, shared, trial);
+    let usable = usable(&ranked, shared, may_probe);
     let bound = bound(candidates);
     let choice = match shared {
         Some(prefix) => {
             let ready = candidates.iter().filter(|c| c.takes_work()).count();
-            let places = places(share, ready);
-            by_rank(&ranked, &usable, prefix, bound, places, rng)
+            let spread = spread(share, ready);
+            by_rank(&ranked, &usable, prefix, bound, spread, rng)
         }
-        None => by_load(&usable, near, rng),
+        None => by_load(&usable, local, rng),
     };
     choice.map(|choice| Choice { bound, ..choice })
 }
 
-/// A candidate and its rank for a prefix.
+/// A candidate with its rank for the prefix.
 #[derive(Clone, Copy)]
 struct Ranked<'a> {
     candidate: &'a Candidate,
-    /// The highest is first.
+    /// The candidate with the highest value ranks first.
     rank: u64,
 }
 
@@ -165,7 +167,7 @@
     }
 }
 
-/// The first in rank.
+/// The candidate that ranks first.
 fn first<'a>(ranked: impl Iterator<Item = Ranked<'a>>) -> Option<&'a Candidate> {
     let first = ranked.reduce(|first, next| match next.rank > first.rank {
         true => next,
@@ -174,18 +176,19 @@
     first.map(|first| first.candidate)
 }
 
-/// The best group of candidates that isn't empty. One that was tried isn't tried again: it is
-/// full or failing, and a second answer would cost a repeat that others need.
+/// The best group of candidates that isn't empty. An endpoint that was tried isn't tried again: it
+/// is full or failing, and a second attempt there would use up a retry that other requests need.
 fn usable<'a>(
     ranked: &[Ranked<'a>],
     shared: Option<&SharedPrefix>,
-    trial: bool,
+    may_probe: bool,
 ) -> Vec<Ranked<'a>> {
-    let is_well =
-        |c: &Candidate| c.health == HealthStatus::Good || trial && c.health == HealthStatus::Trial;
+    let is_healthy = |c: &Candidate| {
+        c.health == HealthStatus::Good || may_probe && c.health == HealthStatus::Trial
+    };
     let groups: [&dyn Fn(&Candidate) -> bool; 4] = [
-        &|c| is_well(c) && c.allowance.accepts(shared, is_worth_fetching),
-        &is_well,
+        &|c| is_healthy(c) && c.allowance.accepts(shared, is_worth_fetching),
+        &is_healthy,
         &|c| c.health != HealthStatus::Down,
         &|_| true,
     ];
@@ -202,24 +205,26 @@
         .unwrap_or_default()
 }
 
+/// Picks an endpoint for a prefix: one of the first `spread` in rank under the bound, or the least
+/// loaded one if all are over it.
 fn by_rank(
     all: &[Ranked<'_>],
     usable: &[Ranked<'_>],
     prefix: &SharedPrefix,
     bound: f64,
-    places: usize,
+    spread: usize,
     rng: &mut Pcg32,
 ) -> Option<Choice> {
-    let open = open_places(usable, bound, places);
-    let least = || {
+    let under = first_under_bound(usable, bound, spread);
+    let least_loaded = || {
         let order = |a: &&Ranked<'_>, b: &&Ranked<'_>| {
             let by_load = a.candidate.load.total_cmp(&b.candidate.load);
             by_load.then(b.rank.cmp(&a.rank))
         };
-        usable.iter().min_by(order).map(|least| least.candidate)
+        usable.iter().min_by(order).map(|r| r.candidate)
     };
-    let room = |c: &Candidate| bound - c.load + 1.0;
-    let picked = draw(&open, room, rng).or_else(least)?;
+    let headroom = |c: &Candidate| bound - c.load + 1.0;
+    let picked = draw(&under, headroom, rng).or_else(least_loaded)?;
     let is_first = first(usable.iter().copied()).is_some_and(|first| std::ptr::eq(first, picked));
     let reason = match is_first {
         true => ChoiceReason::First,
@@ -239,24 +244,24 @@
     })
 }
 
-/// The first in rank that are under the bound, as many as a prefix has places.
-fn open_places<'a>(usable: &[Ranked<'a>], bound: f64, places: usize) -> Vec<&'a Candidate> {
+/// The first `count` candidates in rank whose load is under the bound.
+fn first_under_bound<'a>(usable: &[Ranked<'a>], bound: f64, count: usize) -> Vec<&'a Candidate> {
     let under = usable.iter().copied().filter(|r| r.candidate.load <= bound);
-    if places == 1 {
+    if count == 1 {
         return first(under).into_iter().collect();
     }
     let mut under: Vec<Ranked<'a>> = under.collect();
     under.sort_by_key(|r| std::cmp::Reverse(r.rank));
-    under.truncate(places);
+    under.truncate(count);
     under.into_iter().map(|r| r.candidate).collect()
 }
 
 /// Whether a prefix is long enough for a transfer between engines.
 pub const fn is_worth_fetching(prefix: &SharedPrefix) -> bool {
-    prefix.tokens.0 >= FETCH_MIN
+    prefix.tokens.0 >= MIN_FETCH_TOKENS
 }
 
-/// The endpoint that was sent the prompt's shared parts last, other than this one.
+/// The endpoint that was most recently sent the prompt's shared prefix, other than `picked`.
 fn other_holder<'a>(all: &[Ranked<'a>], picked: &Candidate) -> Option<&'a Candidate> {
     let candidates = all.iter().map(|r| r.candidate);
     let reachable = candidates.filter(|c| c.health != HealthStatus::Down && !c.tried);
@@ -264,56 +269,57 @@
     others.min_by_key(|c| c.prefix_age)
 }
 
-/// Places among which a prefix with a share of the pool's traffic is spread.
-fn places(share: f64, endpoints: usize) -> usize {
+/// Number of endpoints over which a prefix is spread, by its share of the pool's traffic.
+fn spread(share: f64, endpoints: usize) -> usize {
     if !is_on(Mechanism::HotSpread) {
         return 1;
     }
-    let places = (share * endpoints as f64 / HOT_LOAD).ceil();
-    (places as usize).clamp(1, endpoints.max(1))
+    let count = (share * endpoints as f64 / HOT_LOAD).ceil();
+    (count as usize).clamp(1, endpoints.max(1))
 }
 
-/// Where a prefix was read before, most likely: the first in rank that has been there for a
-/// while, or as long as any other, be it leaving.
+/// The endpoint that most likely holds a prefix: the first in rank that has been listed for some
+/// time, or about as long as any other, even if it is leaving.
 fn holder<'a>(all: &[Ranked<'a>]) -> Option<&'a Candidate> {
     let oldest = all.iter().map(|r| r.candidate.age).max()?;
     let settled = |c: &Candidate| {
-        !is_on(Mechanism::Settled) || c.age >= SETTLED || oldest.since(c.age) <= COHORT
+        !is_on(Mechanism::Settled) || c.age >= SETTLE_TIME || oldest.since(c.age) <= JOIN_WINDOW
     };
     let reachable = |c: &Candidate| c.health != HealthStatus::Down;
     let holders = all.iter().copied();
     first(holders.filter(|r| reachable(r.candidate) && settled(r.candidate)))
 }
 
-/// One of some endpoints without cached parts to go by, drawn by how little each has to do.
-fn by_load(usable: &[Ranked<'_>], near: &DataCentreId, rng: &mut Pcg32) -> Option<Choice> {
+/// Picks an endpoint for a request without a shared prefix, at random with higher weights for lower
+/// loads.
+fn by_load(usable: &[Ranked<'_>], local: &DataCentreId, rng: &mut Pcg32) -> Option<Choice> {
     let weight = |c: &Candidate| {
-        let busy = c.load / f64::from(c.endpoint.slots.max(1));
-        let way = match c.endpoint.data_centre == *near && is_on(Mechanism::Near) {
-            true => NEAR,
+        let load = c.load / f64::from(c.endpoint.slots.max(1));
+        let locality = match c.endpoint.data_centre == *local && is_on(Mechanism::Near) {
+            true => LOCAL_WEIGHT,
             false => 1.0,
         };
-        way / (busy + IDLE).powi(2)
+        locality / (load + BASE_LOAD).powi(2)
     };
     let usable: Vec<&Candidate> = usable.iter().map(|r| r.candidate).collect();
     let picked = draw(&usable, weight, rng)?;
     Some(choice(picked, ChoiceReason::Drawn))
 }
 
-/// One of some endpoints, drawn by their weights, so that daemons that see the same loads don't
-/// all fill the same one.
+/// Picks one of some endpoints at random by weight, so that daemons that see the same loads don't
+/// all pick the same one.
 fn draw<'a>(
-    open: &[&'a Candidate],
+    candidates: &[&'a Candidate],
     weight: impl Fn(&Candidate) -> f64,
     rng: &mut Pcg32,
 ) -> Option<&'a Candidate> {
-    let total: f64 = open.iter().map(|c| weight(c)).sum();
-    let mut left = rng.random::<f64>() * total;
-    let drawn = open.iter().find(|c| {
-        left -= weight(c);
-        left < 0.0
+    let total: f64 = candidates.iter().map(|c| weight(c)).sum();
+    let mut remaining = rng.random::<f64>() * total;
+    let drawn = candidates.iter().find(|c| {
+        remaining -= weight(c);
+        remaining < 0.0
     });
-    drawn.or(open.first()).copied()
+    drawn.or(candidates.first()).copied()
 }
 
 fn choice(picked: &Candidate, reason: ChoiceReason) -> Choice {
@@ -330,7 +336,7 @@
     }
 }
 
-/// Load up to which an endpoint is given more.
+/// Load up to which an endpoint is given further requests.
 fn bound(candidates: &[Candidate]) -> f64 {
     if !is_on(Mechanism::Bound) {
         return UNBOUNDED;
@@ -338,7 +344,7 @@
     let staying = candidates.iter().filter(|c| !c.endpoint.leaving);
     let open = mean_load(staying.clone().filter(|c| !c.drained));
     let all = mean_load(staying);
-    (BOUND * open).min(BOUND_OF_ALL * all) + GRAIN
+    (BOUND_FACTOR * open).min(BOUND_FACTOR_ALL * all) + BOUND_MARGIN
 }
 
 fn mean_load<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> f64 {
--- a/crates/core/src/routing/plan.rs
+++ b/crates/core/src/routing/plan.rs
@@ -1,4 +1,4 @@
-//! What follows from a failed attempt: another one, or the final answer.
+//! Decides whether a failed attempt is followed by a retry or by the final response.
 
 use derive_more::{Debug, Display};
 
@@ -10,74 +10,75 @@
 use crate::routing::endpoint::InstanceId;
 use crate::routing::fingerprint::Fingerprint;
 
-/// Attempts that certainly didn't run and aren't counted against the route's own limit.
-const UNRUN_MAX: u32 = 2;
-/// Time that must be left for another attempt to be of use; about a round trip and a short run.
-const LEFT_MIN: Millis = Millis(40);
-/// Part of the target after which an attempt that may be repeated counts as stuck. Answers of
-/// endpoints that are well but busy stay under it on the heaviest days measured.
-const STUCK: f64 = 2.0;
+/// Maximum number of retries after attempts that certainly didn't run; these don't count towards
+/// the route's limit.
+const MAX_UNRUN: u32 = 2;
+/// Minimum time left for a retry to be useful: about a round trip and a short run.
+const MIN_TIME_LEFT: Millis = Millis(40);
+/// Multiple of the target after which an attempt that may be retried counts as stuck. Response
+/// times of healthy but busy endpoints stay below it under the highest load measured.
+const STUCK_FACTOR: f64 = 2.0;
 /// Shortest time after which an attempt counts as stuck.
-const STUCK_MIN: Millis = Millis(600);
+const MIN_STUCK_TIME: Millis = Millis(600);
 
-/// Why a request gets no answer of an endpoint.
+/// Why a request is answered without a response of an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug, Display)]
 pub enum Refusal {
-    /// It didn't run and won't; the caller may come back.
+    /// It didn't run and won't; the caller may retry.
     #[display("not-run")]
     NotRun,
-    /// Its pool is asked for more than it can run; it didn't run and won't.
+    /// Its pool is overloaded; it didn't run and won't.
     #[display("overloaded")]
     Overloaded {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         wait: Millis,
     },
-    /// No endpoint of its pool takes work; it didn't run and won't.
+    /// No endpoint of its pool accepts requests; it didn't run and won't.
     #[display("unavailable")]
     Unavailable {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         wait: Millis,
     },
-    /// Requests that ask for the same have ended the endpoints that ran them; this one didn't run
+    /// Requests with the same fingerprint crashed the endpoints that ran them; this one didn't run
     /// and won't.
     #[display("quarantined")]
     Quarantined {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         wait: Millis,
     },
-    /// It may have run, and no whole answer came.
+    /// It may have run, but no complete response arrived.
     #[display("unknown")]
     Unknown,
-    /// It may have run, and time is up.
+    /// It may have run, and its deadline has passed.
     #[display("timeout")]
     Timeout,
 }
 
-/// What follows from a failure.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Next {
-    /// Another attempt, at an endpoint that wasn't tried if there is one.
+    /// Send the request again, to an endpoint that wasn't tried.
     Retry,
-    /// The final answer.
+    /// Answer the caller with a refusal.
     GiveUp(Refusal),
 }
 
-/// The attempts of one request.
+/// The attempts of one request so far, and its limits on further ones.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct RetryPlan {
     retry: RetryPolicy,
-    attempts: u32,
+    max_attempts: u32,
     target: Millis,
     stream: bool,
-    /// When the caller or the route's timeout ends the wait.
+    /// When the caller's or the route's timeout expires.
     deadline: Millis,
-    /// What it asks for, if that is known.
+    /// Fingerprint of the request, if known.
     fingerprint: Option<Fingerprint>,
     /// Attempts that ran, or may have.
-    ran: u32,
+    possibly_run: u32,
     sent: u32,
     tried: Vec<InstanceId>,
 }
@@ -86,36 +87,36 @@
     /// A plan for a request on a route.
     pub fn new(route: &Route, deadline: Millis) -> Self {
         Self {
-            repeat: route.retry,
-            attempts: route.attempts.max(1),
+            retry: route.retry,
+            max_attempts: route.attempts.max(1),
             target: route.target,
             stream: route.stream,
             deadline,
             fingerprint: None,
-            ran: 0,
+            possibly_run: 0,
             sent: 0,
             tried: Vec::new(),
         }
     }
 
-    /// Sets what the request asks for.
+    /// Sets the fingerprint of the request.
     pub const fn with_fingerprint(mut self, fingerprint: Fingerprint) -> Self {
         self.fingerprint = Some(fingerprint);
         self
     }
 
-    /// What the request asks for, if that is known.
+    /// Fingerprint of the request, if known.
     pub const fn fingerprint(&self) -> Option<Fingerprint> {
         self.fingerprint
     }
 
-    /// Whether a second run does no harm.
+    /// Whether running the request twice does no harm.
     pub const fn is_idempotent(&self) -> bool {
-        self.repeat.is_idempotent()
+        self.retry.is_idempotent()
     }
 
-    /// Time within which a request that wasn't sent yet should be answered; none for streams,
-    /// since engines share their time among all requests and queue by urgency.
+    /// Latency target of a request that wasn't sent yet; none for streams, since engines share
+    /// their time among all requests and queue by priority.
     pub const fn queue_target(&self) -> Option<Millis> {
         match self.stream || self.sent > 0 {
             true => None,
@@ -123,32 +124,33 @@
         }
     }
 
-    /// When the wait ends.
+    /// When the caller stops waiting.
     pub const fn deadline(&self) -> Millis {
         self.deadline
     }
 
-    /// Attempts so far.
+    /// Number of attempts that have failed.
     pub const fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Whether the request was sent to an endpoint.
+    /// Whether the request was sent to an endpoint before.
     pub fn has_tried(&self, id: &InstanceId) -> bool {
         self.tried.contains(id)
     }
 
-    /// How long this attempt may take to begin its answer.
+    /// Time within which the response to an attempt that starts now must begin.
     pub fn attempt_timeout(&self, now: Millis) -> Millis {
         let left = self.deadline.since(now);
         if !self.may_run_again() || !is_on(Mechanism::Stuck) {
             return left;
         }
-        let stuck = Millis((self.target.0 as f64 * STUCK) as u64);
-        left.min(stuck.max(STUCK_MIN))
+        let stuck = Millis((self.target.0 as f64 * STUCK_FACTOR) as u64);
+        left.min(stuck.max(MIN_STUCK_TIME))
     }
 
-    /// Decides what follows from a failure; `spend` takes one repeat from the budget.
+    /// Records a failed attempt and decides what to do next; `spend` takes a retry from the budget,
+    /// and returns false if none is left.
     pub fn record_failure(
         &mut self,
         endpoint: &InstanceId,
@@ -159,40 +161,40 @@
         self.sent += 1;
         self.tried.push(endpoint.clone());
         if fault.outcome() != Outcome::NotRun {
-            self.ran += 1;
+            self.possibly_run += 1;
         }
-        let late = self.deadline.since(now) < LEFT_MIN;
-        if !late && self.may_repeat(fault) && (fault == Fault::NotSent || spend()) {
+        let late = self.deadline.since(now) < MIN_TIME_LEFT;
+        if !late && self.may_retry(fault) && (fault == Fault::NotSent || spend()) {
             return Next::Retry;
         }
         Next::GiveUp(self.refusal(late))
     }
 
-    /// What to say when there is no endpoint to send to.
+    /// The refusal if there is no endpoint to send the request to; `late` if the deadline is over.
     pub fn refusal(&self, late: bool) -> Refusal {
-        match (self.ran > 0, late) {
+        match (self.possibly_run > 0, late) {
             (false, _) => Refusal::NotRun,
             (true, true) => Refusal::Timeout,
             (true, false) => Refusal::Unknown,
         }
     }
 
-    /// What to say when no endpoint is to be sent the request for a while.
+    /// The refusal if the request is quarantined.
     pub fn quarantined(&self, wait: Millis) -> Refusal {
-        match self.ran {
+        match self.possibly_run {
             0 => Refusal::Quarantined { wait },
             _ => Refusal::Unknown,
         }
     }
 
-    fn may_repeat(&self, fault: Fault) -> bool {
-        let harmless = fault.outcome() == Outcome::NotRun || self.repeat.is_idempotent();
-        let unrun = self.sent - self.ran;
-        harmless && self.ran < self.attempts && unrun <= UNRUN_MAX
+    fn may_retry(&self, fault: Fault) -> bool {
+        let is_safe = fault.outcome() == Outcome::NotRun || self.retry.is_idempotent();
+        let unrun = self.sent - self.possibly_run;
+        is_safe && self.possibly_run < self.max_attempts && unrun <= MAX_UNRUN
     }
 
-    /// Whether an attempt that is abandoned may be followed by another.
+    /// Whether an abandoned attempt may be followed by another.
     pub const fn may_run_again(&self) -> bool {
-        self.repeat.is_idempotent() && self.ran + 1 < self.attempts
+        self.retry.is_idempotent() && self.possibly_run + 1 < self.max_attempts
     }
 }
