--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// ChoiceReason an endpoint was picked.
+/// Why an endpoint was picked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display)]
 pub enum ChoiceReason {
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -23,7 +23,6 @@
 use crate::ids::{DataCentreId, PoolId};
 use crate::routing::ablation::{Mechanism, is_on};
 use crate::routing::attempt::Fault;
-use crate::routing::instance::InstanceTracker;
 use crate::routing::budget::{self, RetryBudget};
 use crate::routing::choose::{Candidate, Choice, choose, is_worth_fetching};
 use crate::routing::directory::Directory;
@@ -31,11 +30,12 @@
 use crate::routing::exchange;
 use crate::routing::fleet::Fleet;
 use crate::routing::health::{Health, HealthSnapshot, PoolFailures};
-use crate::routing::prefix_index::PrefixIndex;
-use crate::routing::load::{LoadTracker, LoadReport};
+use crate::routing::instance::InstanceTracker;
+use crate::routing::load::{LoadReport, LoadTracker};
 use crate::routing::notices::Notices;
-use crate::routing::overload::{self, ResponseRates, AdmissionControl};
+use crate::routing::overload::{self, AdmissionControl, ResponseRates};
 use crate::routing::plan::RetryPlan;
+use crate::routing::prefix_index::PrefixIndex;
 use crate::routing::quarantine::{Change, Quarantine};
 use crate::routing::request::SharedPrefix;
 use crate::routing::slow_start::{Allowance, SlowStarts};
@@ -173,7 +173,13 @@
     }
 
     /// Whether a pool has an endpoint that takes new work and wasn't tried, other than this one.
-    pub fn has_other(&mut self, pool: &PoolId, plan: &RetryPlan, id: &InstanceId, now: Millis) -> bool {
+    pub fn has_other(
+        &mut self,
+        pool: &PoolId,
+        plan: &RetryPlan,
+        id: &InstanceId,
+        now: Millis,
+    ) -> bool {
         let allowances = self.allowances(pool, now);
         let ready = |(endpoint, allowance): &(&Arc<Endpoint>, Allowance)| {
             self.takes_work(endpoint) && allowance.is_open()
@@ -357,7 +363,9 @@
         now: Millis,
     ) -> Option<Overload> {
         let target = plan.queue_target().filter(|_| is_on(Mechanism::Valve))?;
-        let expected = self.paces.response_time(&choice.endpoint.id, choice.load, now)?;
+        let expected = self
+            .paces
+            .response_time(&choice.endpoint.id, choice.load, now)?;
         let valve = self.valves.entry(pool.clone()).or_default();
         let share = valve.update(expected, target, now);
         let may_refuse = overload::may_refuse(choice.load, choice.endpoint.slots);
@@ -398,27 +406,28 @@
             .collect();
         let ready = listed.iter().zip(&looks).filter(|(e, _)| !e.leaving);
         let failures: PoolFailures = ready.map(|(_, look)| *look).collect();
-        let candidate = |((endpoint, look), allowance): ((&Arc<Endpoint>, &HealthSnapshot), Allowance)| {
-            let estimate = self.loads.estimate(&endpoint.id, now);
-            // Where requests are drawn by load, all daemons would carry on each chance of others'
-            // choices, and shun and fill the same endpoints together.
-            let load = match shared {
-                Some(_) => estimate.extrapolated,
-                None => estimate.reported,
+        let candidate =
+            |((endpoint, look), allowance): ((&Arc<Endpoint>, &HealthSnapshot), Allowance)| {
+                let estimate = self.loads.estimate(&endpoint.id, now);
+                // Where requests are drawn by load, all daemons would carry on each chance of others'
+                // choices, and shun and fill the same endpoints together.
+                let load = match shared {
+                    Some(_) => estimate.extrapolated,
+                    None => estimate.reported,
+                };
+                let others = failures.mean_of_others(look.failures);
+                Candidate {
+                    load,
+                    load_age: estimate.age,
+                    health: look.status(others, self.daemons, now),
+                    tried: plan.has_tried(&endpoint.id),
+                    drained: self.is_drained(endpoint),
+                    allowance,
+                    age: self.age(&endpoint.id, now),
+                    prefix_age: sent(&endpoint.id),
+                    endpoint: Arc::clone(endpoint),
+                }
             };
-            let others = failures.mean_of_others(look.failures);
-            Candidate {
-                load,
-                load_age: estimate.age,
-                health: look.status(others, self.daemons, now),
-                tried: plan.has_tried(&endpoint.id),
-                drained: self.is_drained(endpoint),
-                allowance,
-                age: self.age(&endpoint.id, now),
-                prefix_age: sent(&endpoint.id),
-                endpoint: Arc::clone(endpoint),
-            }
-        };
         let listed = listed.iter().zip(&looks).zip(allowances);
         listed.map(candidate).collect()
     }
--- a/crates/core/src/routing/view/drains.rs
+++ b/crates/core/src/routing/view/drains.rs
@@ -39,7 +39,8 @@
         }
         let there = |endpoint: &&Arc<Endpoint>| endpoint.data_centre == *data_centre;
         for endpoint in self.directory.all().filter(there) {
-            self.slow_starts.begin_full(&endpoint.id, &endpoint.pool, now);
+            self.slow_starts
+                .begin_full(&endpoint.id, &endpoint.pool, now);
         }
         true
     }
--- a/crates/core/src/routing/view/entries.rs
+++ b/crates/core/src/routing/view/entries.rs
@@ -5,8 +5,8 @@
 use super::View;
 use crate::clock::Millis;
 use crate::ids::EndpointId;
-use crate::routing::instance::EntryKind;
 use crate::routing::endpoint::{Endpoint, InstanceId};
+use crate::routing::instance::EntryKind;
 
 /// What an endpoint's entry changed.
 #[derive(Clone, PartialEq, Eq)]
@@ -67,7 +67,10 @@
 
     /// Drops entries that don't say when their endpoint started, now that endpoints do.
     fn remove_unborn(&mut self) {
-        let unborn = self.directory.all().filter(|known| known.id.started.is_none());
+        let unborn = self
+            .directory
+            .all()
+            .filter(|known| known.id.started.is_none());
         let names: Vec<EndpointId> = unborn.map(|known| known.id.endpoint.clone()).collect();
         for name in names {
             self.remove(&name);
--- a/crates/core/src/routing/view/judge.rs
+++ b/crates/core/src/routing/view/judge.rs
@@ -7,7 +7,7 @@
 use super::View;
 use crate::clock::Millis;
 use crate::routing::endpoint::{Endpoint, InstanceId};
-use crate::routing::health::{PoolFailures, HealthStatus};
+use crate::routing::health::{HealthStatus, PoolFailures};
 
 /// How an endpoint is judged.
 #[derive(Debug)]
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -2,7 +2,6 @@
 
 mod routing {
     mod backoff;
-    mod instance;
     mod bound;
     mod budget;
     mod centres;
@@ -17,7 +16,7 @@
     mod fingerprint;
     mod fleet;
     mod health;
-    mod prefix_index;
+    mod instance;
     mod keeper;
     mod load;
     mod mirror;
@@ -25,6 +24,7 @@
     mod overload;
     mod plain;
     mod plan;
+    mod prefix_index;
     mod prompts;
     mod quarantine;
     mod repeats;
--- a/crates/core/tests/routing/budget.rs
+++ b/crates/core/tests/routing/budget.rs
@@ -20,7 +20,9 @@
 }
 
 fn spent(budget: &mut RetryBudget, now: Millis) -> usize {
-    (0..1000).take_while(|_| budget.try_spend(&pool(), now)).count()
+    (0..1000)
+        .take_while(|_| budget.try_spend(&pool(), now))
+        .count()
 }
 
 /// Spends all that is left after each request of a window; returns how many repeats.
--- a/crates/core/tests/routing/choose_plain.rs
+++ b/crates/core/tests/routing/choose_plain.rs
@@ -92,7 +92,9 @@
     let reachable = all.iter().filter(|c| c.health != HealthStatus::Down);
     let reachable = sorted(reachable, shared.key);
     let holder = reachable.iter().find(settled).copied();
-    let holders = reachable.iter().filter(|c| !c.tried && c.prefix_age.is_some());
+    let holders = reachable
+        .iter()
+        .filter(|c| !c.tried && c.prefix_age.is_some());
     let mut others: Vec<&Candidate> = holders.copied().collect();
     others.retain(|c| !std::ptr::eq(*c, picked));
     others.sort_by_key(|c| (c.prefix_age, c.endpoint.id.clone()));
--- a/crates/core/tests/routing/config.rs
+++ b/crates/core/tests/routing/config.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{
-    Account, CallerLimits, Configuration, Denied, RetryPolicy, Route, PoolShare, Version,
+    Account, CallerLimits, Configuration, Denied, PoolShare, RetryPolicy, Route, Version,
 };
 use medlarrill_core::units::ByteSize;
 
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -57,7 +57,10 @@
     let start = Millis(10 * HOUR.0);
     let mut seen = LastSeen::default();
     expect_that!(seen.is_retained(address(1), start), eq(true));
-    expect_that!(seen.is_retained(address(1), start + HOUR - Millis(1)), eq(true));
+    expect_that!(
+        seen.is_retained(address(1), start + HOUR - Millis(1)),
+        eq(true)
+    );
     expect_that!(seen.is_retained(address(1), start + HOUR), eq(false));
 }
 
@@ -66,6 +69,9 @@
     let mut seen = LastSeen::default();
     seen.mark_live(&[address(1)], Millis(0));
     seen.mark_live(&[address(1)], HOUR);
-    expect_that!(seen.is_retained(address(1), HOUR + HOUR - Millis(1)), eq(true));
+    expect_that!(
+        seen.is_retained(address(1), HOUR + HOUR - Millis(1)),
+        eq(true)
+    );
     expect_that!(seen.is_retained(address(1), HOUR + HOUR), eq(false));
 }
--- a/crates/core/tests/routing/instance.rs
+++ b/crates/core/tests/routing/instance.rs
@@ -1,19 +1,25 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::instance::{InstanceTracker, EntryKind};
 use medlarrill_core::routing::exchange::short_id;
+use medlarrill_core::routing::instance::{EntryKind, InstanceTracker};
 
 use super::support::{born, id};
 
 #[gtest]
 fn an_earlier_start_is_a_late_write_until_the_later_one_has_fallen_silent() {
     let mut births = InstanceTracker::default();
-    expect_that!(births.classify(&born("a", 500), Millis(0)), eq(EntryKind::Current));
+    expect_that!(
+        births.classify(&born("a", 500), Millis(0)),
+        eq(EntryKind::Current)
+    );
     expect_that!(
         births.classify(&born("a", 900), Millis(100)),
         eq(EntryKind::Current)
     );
-    expect_that!(births.classify(&born("a", 500), Millis(6000)), eq(EntryKind::Late));
+    expect_that!(
+        births.classify(&born("a", 500), Millis(6000)),
+        eq(EntryKind::Late)
+    );
     expect_that!(
         births.classify(&born("a", 900), Millis(7000)),
         eq(EntryKind::Current)
@@ -34,7 +40,10 @@
     let mut births = InstanceTracker::default();
     expect_that!(births.classify(&id("a"), Millis(0)), eq(EntryKind::Current));
     expect_that!(births.has_start_times(), eq(false));
-    expect_that!(births.classify(&born("b", 500), Millis(0)), eq(EntryKind::Current));
+    expect_that!(
+        births.classify(&born("b", 500), Millis(0)),
+        eq(EntryKind::Current)
+    );
     expect_that!(births.has_start_times(), eq(true));
     expect_that!(births.classify(&id("a"), Millis(1)), eq(EntryKind::Foreign));
 }
--- a/crates/core/tests/routing/load.rs
+++ b/crates/core/tests/routing/load.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::load::{LoadTracker, LoadReport};
+use medlarrill_core::routing::load::{LoadReport, LoadTracker};
 
 use super::support::id;
 
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -1,7 +1,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::mirror::{Change, REMOVAL_GRACE, Mirror, Object, Update};
+use medlarrill_core::routing::mirror::{Change, Mirror, Object, REMOVAL_GRACE, Update};
 
 fn object(name: &str, revision: u64) -> Object {
     Object {
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -4,7 +4,9 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::overload::{ResponseRates, AdmissionControl, retry_after, may_refuse};
+use medlarrill_core::routing::overload::{
+    AdmissionControl, ResponseRates, may_refuse, retry_after,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -190,7 +192,10 @@
     }
     let time = paces.response_time(&id("e"), 50.0, Millis(2900));
     expect_that!(time, some(near(500.0, 50.0)));
-    expect_that!(paces.response_time(&id("other"), 50.0, Millis(2900)), none());
+    expect_that!(
+        paces.response_time(&id("other"), 50.0, Millis(2900)),
+        none()
+    );
 }
 
 #[gtest]
--- a/crates/core/tests/routing/plan.rs
+++ b/crates/core/tests/routing/plan.rs
@@ -3,7 +3,7 @@
 use medlarrill_core::outcome::Outcome;
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::config::RetryPolicy;
-use medlarrill_core::routing::plan::{Next, RetryPlan, Refusal};
+use medlarrill_core::routing::plan::{Next, Refusal, RetryPlan};
 
 use super::support::{id, route};
 
@@ -68,24 +68,34 @@
 fn attempts_that_did_not_run_end_too() {
     let mut plan = plan(RetryPolicy::Never, 1);
     let again = (0..10)
-        .take_while(|_| plan.record_failure(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Retry)
+        .take_while(|_| {
+            plan.record_failure(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Retry
+        })
         .count();
     expect_that!(again, eq(2));
 }
 
 #[gtest]
 fn an_attempt_without_connection_costs_no_repeat() {
-    let next = plan(RetryPolicy::Never, 1).record_failure(&id("a"), Fault::NotSent, || false, Millis(0));
+    let next =
+        plan(RetryPolicy::Never, 1).record_failure(&id("a"), Fault::NotSent, || false, Millis(0));
     expect_that!(next, eq(Next::Retry));
-    let next = plan(RetryPolicy::Never, 1).record_failure(&id("a"), Fault::Rejected, || false, Millis(0));
+    let next =
+        plan(RetryPolicy::Never, 1).record_failure(&id("a"), Fault::Rejected, || false, Millis(0));
     expect_that!(next, eq(Next::GiveUp(Refusal::NotRun)));
 }
 
 #[gtest]
 fn at_the_deadline_nothing_is_sent_again() {
-    let next = plan(RetryPolicy::Always, 3).record_failure(&id("a"), Fault::Lost, || true, Millis(2990));
+    let next =
+        plan(RetryPolicy::Always, 3).record_failure(&id("a"), Fault::Lost, || true, Millis(2990));
     expect_that!(next, eq(Next::GiveUp(Refusal::Timeout)));
-    let next = plan(RetryPolicy::Always, 3).record_failure(&id("a"), Fault::NotSent, || true, Millis(2990));
+    let next = plan(RetryPolicy::Always, 3).record_failure(
+        &id("a"),
+        Fault::NotSent,
+        || true,
+        Millis(2990),
+    );
     expect_that!(next, eq(Next::GiveUp(Refusal::NotRun)));
 }
 
@@ -99,7 +109,10 @@
         plan(RetryPolicy::Always, 1).attempt_timeout(Millis(0)),
         eq(Millis(3000))
     );
-    expect_that!(plan(RetryPolicy::Never, 2).attempt_timeout(Millis(0)), eq(Millis(3000)));
+    expect_that!(
+        plan(RetryPolicy::Never, 2).attempt_timeout(Millis(0)),
+        eq(Millis(3000))
+    );
     expect_that!(
         plan(RetryPolicy::Always, 2).attempt_timeout(Millis(2500)),
         eq(Millis(500))
--- a/crates/core/tests/routing/request.rs
+++ b/crates/core/tests/routing/request.rs
@@ -1,5 +1,5 @@
 use googletest::prelude::*;
-use medlarrill_core::routing::request::{RequestHead, PromptPart};
+use medlarrill_core::routing::request::{PromptPart, RequestHead};
 use medlarrill_core::units::Tokens;
 
 fn call(model: &str, parts: &[(u64, u64)]) -> RequestHead {
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::routing::answer::AnswerHead;
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::plan::{Next, RetryPlan, Refusal};
+use medlarrill_core::routing::plan::{Next, Refusal, RetryPlan};
 use medlarrill_core::routing::view::NoPlace;
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
@@ -176,7 +176,13 @@
 }
 
 /// Takes note of a failed attempt and says what follows.
-fn fail(order: &Order, plan: &mut RetryPlan, id: &InstanceId, failed: &Failed, trace: &Trace) -> Next {
+fn fail(
+    order: &Order,
+    plan: &mut RetryPlan,
+    id: &InstanceId,
+    failed: &Failed,
+    trace: &Trace,
+) -> Next {
     let next = order.fail(plan, id, failed.fault, now());
     let repeats = order.shared.placement.repeats(&order.pool, now());
     trace.fault(failed.fault, &failed.cause, next == Next::Retry, &repeats);
--- a/crates/router/src/entry/handler.rs
+++ b/crates/router/src/entry/handler.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{Account, Configuration};
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::plan::{RetryPlan, Refusal};
+use medlarrill_core::routing::plan::{Refusal, RetryPlan};
 use medlarrill_core::routing::stop::Stage;
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
--- a/crates/router/src/store/effect.rs
+++ b/crates/router/src/store/effect.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use medlarrill_core::ids::EndpointId;
-use medlarrill_core::routing::instance::EntryKind;
 use medlarrill_core::routing::config::Configuration;
 use medlarrill_core::routing::endpoint::{Endpoint, Listing};
+use medlarrill_core::routing::instance::EntryKind;
 use medlarrill_core::routing::mirror::{Change, Object};
 use medlarrill_core::routing::view::Listed;
 use medlarrill_net::now::now;
@@ -171,7 +171,10 @@
     /// Takes an endpoint's entry. Anyone may write entries: one that can't be read, or that isn't
     /// the endpoint's own, names no endpoint to use, whatever stood there before.
     fn list(&self, object: &Object) -> Option<Known> {
-        let Listing { endpoint, slow_start } = match objects::endpoint(object) {
+        let Listing {
+            endpoint,
+            slow_start,
+        } = match objects::endpoint(object) {
             Ok(listing) => listing,
             Err(error) => {
                 self.unreadable
