--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -67,7 +67,7 @@
 impl PoolFailures {
     /// Mean failure rate of all endpoints but one with the rate `own`; `own` if it is the only one.
     /// A mean over all wouldn't do: in a pool of three, one that fails everything lifts it to 0.33.
-    pub fn others(&self, own: f64) -> f64 {
+    pub fn mean_of_others(&self, own: f64) -> f64 {
         match self.count {
             0 | 1 => own,
             count => (self.sum - own).max(0.0) / f64::from(count - 1),
@@ -115,7 +115,7 @@
 
     /// Records several responses, of which the fraction `failed` failed.
     fn add_many(&mut self, count: u32, failed: f64, now: Millis) {
-        let old = (1.0 - NEWEST).powf(f64::from(count));
+        let old = (1.0 - NEWEST_WEIGHT).powf(f64::from(count));
         self.failures = self.failures(now) * old + failed * (1.0 - old);
         self.at = now;
     }
--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -55,7 +55,7 @@
     since: Millis,
 }
 
-impl Count {
+impl ResponseCount {
     fn responses(&self, now: Millis) -> f64 {
         self.responses * decay(now.since(self.at))
     }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -327,7 +327,7 @@
     }
 
     /// Takes what the other daemons have at endpoints, all of them together.
-    pub fn record_others(&mut self, heard: exchange::Heard, daemons: usize, now: Millis) {
+    pub fn others(&mut self, heard: exchange::Heard, daemons: usize, now: Millis) {
         let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
         self.daemons = daemons;
         self.hot = heard.hot;
--- a/crates/router/tests/relay_properties.rs
+++ b/crates/router/tests/relay_properties.rs
@@ -54,7 +54,7 @@
         revision: u64,
         age in 0_u64..1 << 40,
     ) {
-        let update = Update { whole, changes, revision };
+        let update = Update { complete: whole, changes, revision };
         let packed = Packed::new(&update);
         let sent = Tell::new(Kind::Endpoints, Some(packed), Millis(age), None).encode();
         let tell = Tell::read(&sent).expect("a message");
