--- a/crates/core/src/routing/answer.rs
+++ b/crates/core/src/routing/answer.rs
@@ -58,7 +58,7 @@
             return Some((Fault::OtherEndpoint, "another endpoint has the address"));
         }
         if self.not_run {
-            return Some((Fault::Rejected, "the endpoint takes no more"));
+            return Some((Fault::Rejected, "the endpoint refused the request"));
         }
         if self.attempt.is_none() {
             return Some((Fault::Foreign, "an answer without the attempt's id"));
--- a/crates/core/src/routing/fleet.rs
+++ b/crates/core/src/routing/fleet.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Marks this daemon as configured without others. It counts as the complete fleet until it
-    /// has contact with another one or the platform lists some.
+    /// Marks this daemon as configured without others. It counts as the only one until it has
+    /// contact with another or the platform lists some.
     pub const fn set_single(&mut self) {
         self.is_single = true;
     }
--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -61,9 +61,9 @@
     }
 }
 
-/// Whether the instance that is listed now sent the response to a request that was sent to the
-/// instance `sent_to` at `sent_at`, in milliseconds since the Unix epoch. The time of the response
-/// doesn't show this: a daemon may read it long after the process ended.
+/// Whether the instance that is listed now answered a request that was sent at `sent_at`, in
+/// milliseconds since the Unix epoch, while `sent_to` was listed. The time of the response doesn't
+/// show this: a daemon may read it long after the process ended.
 pub fn answered_by(listed: &InstanceId, sent_to: &InstanceId, sent_at: Millis) -> bool {
     if listed == sent_to {
         return true;
--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -72,7 +72,7 @@
     (-age.as_secs_f64() / WINDOW.as_secs_f64()).exp()
 }
 
-/// Response rates of all endpoints, for requests of the complete fleet.
+/// Response rates of all endpoints, for the requests of all daemons.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct ResponseRates {
