--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -23,19 +23,19 @@
 use crate::ids::{DataCentreId, PoolId};
 use crate::routing::ablation::{Mechanism, is_on};
 use crate::routing::attempt::Fault;
-use crate::routing::birth::Births;
-use crate::routing::budget::{self, Budget};
+use crate::routing::budget::{self, RetryBudget};
 use crate::routing::choose::{Candidate, Choice, choose, is_worth_fetching};
 use crate::routing::directory::Directory;
 use crate::routing::endpoint::{Endpoint, InstanceId};
 use crate::routing::exchange;
 use crate::routing::fleet::Fleet;
-use crate::routing::health::{Health, Look, PoolFailures};
-use crate::routing::holders::Holders;
-use crate::routing::load::{Loads, Report};
+use crate::routing::health::{Health, HealthSnapshot, PoolFailures};
+use crate::routing::instance::InstanceTracker;
+use crate::routing::load::{LoadReport, LoadTracker};
 use crate::routing::notices::Notices;
-use crate::routing::overload::{self, Paces, Valve};
-use crate::routing::plan::Plan;
+use crate::routing::overload::{self, AdmissionControl, ResponseRates};
+use crate::routing::plan::RetryPlan;
+use crate::routing::prefix_index::PrefixIndex;
 use crate::routing::quarantine::{Change, Quarantine};
 use crate::routing::request::SharedPrefix;
 use crate::routing::slow_start::{Allowance, SlowStarts};
@@ -54,21 +54,21 @@
     /// Data centre of this daemon.
     data_centre: DataCentreId,
     directory: Directory,
-    start_times: Births,
-    loads: Loads,
+    start_times: InstanceTracker,
+    loads: LoadTracker,
     health: Health,
     /// Endpoints that were avoided at the last review.
     avoided: HashSet<InstanceId>,
     /// Live daemons as of the last update, this one included.
     daemons: u32,
-    budget: Budget,
-    paces: Paces,
+    budget: RetryBudget,
+    paces: ResponseRates,
     /// Admission to pools of plain services.
-    valves: HashMap<PoolId, Valve>,
+    valves: HashMap<PoolId, AdmissionControl>,
     outcomes: HashMap<InstanceId, Outcomes>,
     /// Requests sent with each shared prefix since the last report.
     prefix_counts: HashMap<u32, u32>,
-    holders: Holders,
+    holders: PrefixIndex,
     /// Prefixes sent elsewhere than to the endpoint that rank and age give, since the last report.
     prefix_moves: Vec<exchange::PrefixMove>,
     /// Shares of hot prefixes in the fleet's traffic, 0 to 1.
@@ -135,17 +135,17 @@
         Self {
             data_centre,
             directory: Directory::default(),
-            start_times: Births::default(),
-            loads: Loads::default(),
+            start_times: InstanceTracker::default(),
+            loads: LoadTracker::default(),
             health: Health::default(),
             avoided: HashSet::new(),
             daemons: 1,
-            budget: Budget::new(repeats, now),
-            paces: Paces::default(),
+            budget: RetryBudget::new(repeats, now),
+            paces: ResponseRates::default(),
             valves: HashMap::new(),
             outcomes: HashMap::new(),
             prefix_counts: HashMap::new(),
-            holders: Holders::default(),
+            holders: PrefixIndex::default(),
             prefix_moves: Vec::new(),
             hot_shares: HashMap::new(),
             quarantine: Quarantine::default(),
@@ -174,12 +174,18 @@
     }
 
     /// The budget for retries of the whole fleet.
-    pub const fn budget(&mut self) -> &mut Budget {
+    pub const fn budget(&mut self) -> &mut RetryBudget {
         &mut self.budget
     }
 
     /// Whether a pool has an untried endpoint other than `id` that takes new work.
-    pub fn has_other(&mut self, pool: &PoolId, plan: &Plan, id: &InstanceId, now: Millis) -> bool {
+    pub fn has_other(
+        &mut self,
+        pool: &PoolId,
+        plan: &RetryPlan,
+        id: &InstanceId,
+        now: Millis,
+    ) -> bool {
         let allowances = self.allowances(pool, now);
         let ready = |(endpoint, allowance): &(&Arc<Endpoint>, Allowance)| {
             self.takes_work(endpoint) && allowance.is_open()
@@ -198,7 +204,7 @@
         &mut self,
         pool: &PoolId,
         shared: Option<&SharedPrefix>,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Result<Choice> {
         // Checked before each attempt: the loss of the previous one may have reached the threshold.
@@ -221,10 +227,10 @@
         let id = &choice.endpoint.id;
         self.loads.begin(id);
         if choice.allowance == Allowance::One {
-            self.slow_starts.sent(id, now);
+            self.slow_starts.record_sent(id, now);
         }
-        if choice.trial {
-            self.health.trial(id, now);
+        if choice.probe {
+            self.health.record_probe(id, now);
         }
         Ok(choice)
     }
@@ -236,7 +242,7 @@
         }
         let prefix = exchange::short_key(prefix.key);
         let endpoint = exchange::short_id(&choice.endpoint.id);
-        let is_new = self.holders.note(prefix, endpoint, now);
+        let is_new = self.holders.record(prefix, endpoint, now);
         if is_new && choice.moved && self.prefix_moves.len() < exchange::MOVES_MAX {
             self.prefix_moves
                 .push(exchange::PrefixMove { prefix, endpoint });
@@ -246,7 +252,7 @@
     /// Records that an endpoint to which a prefix was sent hasn't processed it.
     pub fn retract_prefix(&mut self, prefix: &SharedPrefix, id: &InstanceId) {
         let prefix = exchange::short_key(prefix.key);
-        self.holders.take_back(prefix, exchange::short_id(id));
+        self.holders.remove(prefix, exchange::short_id(id));
     }
 
     /// Ends the count of a request at an endpoint that [`Self::choose`] started.
@@ -255,7 +261,7 @@
     }
 
     /// Applies an endpoint's report of its load.
-    pub fn report(&mut self, id: &InstanceId, report: Report, now: Millis) {
+    pub fn report(&mut self, id: &InstanceId, report: LoadReport, now: Millis) {
         if self.directory.is_listed(id) {
             self.loads.report(id, report, now);
         }
@@ -266,8 +272,8 @@
         if !self.directory.is_listed(id) {
             return;
         }
-        self.health.good(id, now);
-        self.paces.answers(id, 1, now);
+        self.health.record_success(id, now);
+        self.paces.record(id, 1, now);
         self.outcomes.entry(id.clone()).or_default().good += 1;
     }
 
@@ -276,13 +282,13 @@
         if !self.directory.is_listed(id) {
             return;
         }
-        self.health.bad(id, fault, now);
+        self.health.record_failure(id, fault, now);
         if fault.is_loss() || fault == Fault::NotSent {
             // It may have restarted.
             self.presume_restart(id, now);
         }
         if fault == Fault::Failed {
-            self.paces.answers(id, 1, now);
+            self.paces.record(id, 1, now);
         }
         if fault.is_failure() {
             self.outcomes.entry(id.clone()).or_default().bad += 1;
@@ -291,7 +297,7 @@
 
     /// Records that an endpoint was lost with a request, even if it isn't listed any more. Returns
     /// changes of the quarantine.
-    pub fn record_loss(&mut self, plan: &Plan, id: &InstanceId, now: Millis) -> Vec<Change> {
+    pub fn record_loss(&mut self, plan: &RetryPlan, id: &InstanceId, now: Millis) -> Vec<Change> {
         let lost = plan.fingerprint();
         let lost = lost.map(|lost| {
             self.quarantine
@@ -337,18 +343,18 @@
         self.daemons = daemons;
         self.hot_shares = update.hot;
         for exchange::PrefixMove { prefix, endpoint } in update.moved {
-            self.holders.note(prefix, endpoint, now);
+            self.holders.record(prefix, endpoint, now);
         }
         for endpoint in self.directory.all() {
             let short = exchange::short_id(&endpoint.id);
             let others = update.endpoints.get(&short).copied().unwrap_or_default();
             if is_on(Mechanism::ToldLoads) {
-                self.loads.others(&endpoint.id, others.in_flight, now);
+                self.loads.set_others(&endpoint.id, others.in_flight, now);
             }
             let health = &mut self.health;
-            health.others(&endpoint.id, others.good, others.bad, now);
+            health.record_others(&endpoint.id, others.good, others.bad, now);
             let answers = others.good + others.bad;
-            self.paces.answers(&endpoint.id, answers, now);
+            self.paces.record(&endpoint.id, answers, now);
         }
     }
 
@@ -365,13 +371,15 @@
         &mut self,
         pool: &PoolId,
         choice: &Choice,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Option<Overload> {
         let target = plan.queue_target().filter(|_| is_on(Mechanism::Valve))?;
-        let expected = self.paces.time(&choice.endpoint.id, choice.load, now)?;
+        let expected = self
+            .paces
+            .response_time(&choice.endpoint.id, choice.load, now)?;
         let valve = self.valves.entry(pool.clone()).or_default();
-        let share = valve.take(expected, target, now);
+        let share = valve.update(expected, target, now);
         let may_refuse = overload::may_refuse(choice.load, choice.endpoint.slots);
         if !may_refuse || self.rng.random::<f64>() < share {
             return None;
@@ -380,13 +388,13 @@
             choice: choice.clone(),
             expected,
             share,
-            wait: overload::come_back(target, self.rng.random()),
+            wait: overload::retry_after(target, self.rng.random()),
         })
     }
 
     /// Time since an instance was first listed.
     fn age(&self, id: &InstanceId, now: Millis) -> Millis {
-        let joined = self.directory.joined(id);
+        let joined = self.directory.listed_since(id);
         joined.map_or(Millis::MAX, |joined| now.since(joined))
     }
 
@@ -394,7 +402,7 @@
         &mut self,
         pool: &PoolId,
         shared: Option<&SharedPrefix>,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Vec<Candidate> {
         let allowances = self.allowances(pool, now);
@@ -405,33 +413,34 @@
             self.holders.age(prefix, exchange::short_id(id), now)
         };
         let listed = self.directory.pool(pool);
-        let looks: Vec<Look> = listed
+        let looks: Vec<HealthSnapshot> = listed
             .iter()
-            .map(|endpoint| self.health.look(&endpoint.id, now))
+            .map(|endpoint| self.health.snapshot(&endpoint.id, now))
             .collect();
         let ready = listed.iter().zip(&looks).filter(|(e, _)| !e.leaving);
         let failures: PoolFailures = ready.map(|(_, look)| *look).collect();
-        let candidate = |((endpoint, look), allowance): ((&Arc<Endpoint>, &Look), Allowance)| {
-            let estimate = self.loads.look(&endpoint.id, now);
-            // Requests without a shared prefix are placed by load. If all daemons extrapolated
-            // random changes of load, they would avoid and fill the same endpoints together.
-            let load = match shared {
-                Some(_) => estimate.grown,
-                None => estimate.told,
+        let candidate =
+            |((endpoint, look), allowance): ((&Arc<Endpoint>, &HealthSnapshot), Allowance)| {
+                let estimate = self.loads.estimate(&endpoint.id, now);
+                // Requests without a shared prefix are placed by load. If all daemons extrapolated
+                // random changes of load, they would avoid and fill the same endpoints together.
+                let load = match shared {
+                    Some(_) => estimate.extrapolated,
+                    None => estimate.reported,
+                };
+                let others = failures.mean_of_others(look.failures);
+                Candidate {
+                    load,
+                    load_age: estimate.age,
+                    health: look.status(others, self.daemons, now),
+                    tried: plan.has_tried(&endpoint.id),
+                    drained: self.is_drained(endpoint),
+                    allowance,
+                    age: self.age(&endpoint.id, now),
+                    prefix_age: sent(&endpoint.id),
+                    endpoint: Arc::clone(endpoint),
+                }
             };
-            let others = failures.others(look.failures);
-            Candidate {
-                load,
-                load_age: estimate.age,
-                standing: look.standing(others, self.daemons, now),
-                tried: plan.has_tried(&endpoint.id),
-                drained: self.is_drained(endpoint),
-                allowance,
-                age: self.age(&endpoint.id, now),
-                sent: sent(&endpoint.id),
-                endpoint: Arc::clone(endpoint),
-            }
-        };
         let listed = listed.iter().zip(&looks).zip(allowances);
         listed.map(candidate).collect()
     }
--- a/crates/core/src/routing/view/notices.rs
+++ b/crates/core/src/routing/view/notices.rs
@@ -4,7 +4,7 @@
 use crate::clock::Millis;
 use crate::ids::PoolId;
 use crate::routing::endpoint::InstanceId;
-use crate::routing::notices::{Notice, is_speaker};
+use crate::routing::notices::{Notice, answered_by};
 
 /// Time after which a request for a pool without endpoints is retried: about what a new endpoint
 /// takes from its start until the platform lists it and daemons have read the list.
@@ -23,13 +23,13 @@
     ) -> bool {
         // A later instance may have been listed while the request was in flight.
         let listed = self.directory.instance(&id.endpoint).unwrap_or(id).clone();
-        if !is_speaker(&listed, id, handed) {
+        if !answered_by(&listed, id, handed) {
             return false;
         }
         if notice.leaving {
             self.directory.set_leaving(&listed, now);
         }
-        self.notices.note(&listed, notice, now, handed)
+        self.notices.record(&listed, notice, now, handed)
     }
 
     /// Time for which no endpoint of a pool takes new work: until the first pause ends, or a new
@@ -51,6 +51,6 @@
     pub fn prune_notices(&mut self, now: Millis) {
         let directory = &self.directory;
         let is_listed = |name: &_| directory.instance(name).is_some();
-        self.notices.tidy(is_listed, now);
+        self.notices.prune(is_listed, now);
     }
 }
--- a/crates/core/tests/routing/budget.rs
+++ b/crates/core/tests/routing/budget.rs
@@ -1,6 +1,6 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::budget::{Budget, Settings};
+use medlarrill_core::routing::budget::{RetryBudget, Settings};
 
 use super::support::pool;
 
@@ -13,22 +13,24 @@
 /// Some time after the daemon's start.
 const NOW: Millis = Millis(60_000);
 
-fn budget(daemons: u32) -> Budget {
-    let mut budget = Budget::new(FLEET, Millis(0));
-    budget.set_part(1.0 / f64::from(daemons));
+fn budget(daemons: u32) -> RetryBudget {
+    let mut budget = RetryBudget::new(FLEET, Millis(0));
+    budget.set_share(1.0 / f64::from(daemons));
     budget
 }
 
-fn spent(budget: &mut Budget, now: Millis) -> usize {
-    (0..1000).take_while(|_| budget.spend(&pool(), now)).count()
+fn spent(budget: &mut RetryBudget, now: Millis) -> usize {
+    (0..1000)
+        .take_while(|_| budget.try_spend(&pool(), now))
+        .count()
 }
 
 /// Spends all that is left after each request of a window; returns how many repeats.
-fn spent_along(budget: &mut Budget, from: Millis, requests: u64) -> usize {
+fn spent_along(budget: &mut RetryBudget, from: Millis, requests: u64) -> usize {
     let gap = FLEET.window.0 / requests;
     let spend = |number| {
         let now = from + Millis(number * gap);
-        budget.request(&pool(), now);
+        budget.record_request(&pool(), now);
         spent(budget, now)
     };
     (0..requests).map(spend).sum()
@@ -47,7 +49,7 @@
 fn what_a_window_has_not_used_may_be_sent_at_once() {
     let mut budget = budget(9);
     for number in 0..100 {
-        budget.request(&pool(), NOW + Millis(number * 99));
+        budget.record_request(&pool(), NOW + Millis(number * 99));
     }
     // 0.5 x 54 / 9 + 0.15 x 0.2 x 100 = 6
     expect_that!(spent(&mut budget, NOW + Millis(9900)), eq(6));
@@ -77,7 +79,7 @@
 #[gtest]
 fn a_daemon_that_has_just_started_spends_what_its_requests_have_earned() {
     // What it spent before it was killed still counts for the fleet.
-    let mut budget = Budget::new(FLEET, Millis(5000));
+    let mut budget = RetryBudget::new(FLEET, Millis(5000));
     expect_that!(spent(&mut budget, Millis(5500)), eq(1));
     // 0.8 x 0.2 x 100 = 16
     let unlisted = spent_along(&mut budget, Millis(6000), 100);
@@ -88,7 +90,7 @@
 fn with_fewer_daemons_each_may_spend_more() {
     let mut budget = budget(100);
     expect_that!(spent(&mut budget, NOW), eq(1));
-    budget.set_part(0.5);
+    budget.set_share(0.5);
     // 0.5 x 54 / 2 = 13.5
     expect_that!(spent(&mut budget, NOW + Millis(100_000)), eq(13));
 }
--- a/crates/core/tests/routing/choose_plain.rs
+++ b/crates/core/tests/routing/choose_plain.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::placement::Node;
 use medlarrill_core::routing::choose::{Candidate, choose};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::health::Standing;
+use medlarrill_core::routing::health::HealthStatus;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::Allowance;
 use proptest::collection::vec;
@@ -48,15 +48,15 @@
     };
     let open: Vec<&Candidate> = all.iter().filter(open).collect();
     let well =
-        |c: &&Candidate| c.standing == Standing::Good || trial && c.standing == Standing::Trial;
+        |c: &&Candidate| c.health == HealthStatus::Good || trial && c.health == HealthStatus::Trial;
     let well: Vec<&Candidate> = open.iter().copied().filter(well).collect();
     let is_long = |prefix: &SharedPrefix| prefix.tokens.0 >= 400;
-    let suits = |c: &&Candidate| c.allowance.suits(Some(shared), is_long);
+    let suits = |c: &&Candidate| c.allowance.accepts(Some(shared), is_long);
     let suited: Vec<&Candidate> = well.iter().copied().filter(suits).collect();
     let up = open
         .iter()
         .copied()
-        .filter(|c| c.standing != Standing::Down);
+        .filter(|c| c.health != HealthStatus::Down);
     let groups = [suited, well, up.collect(), open];
     let group = groups.into_iter().find(|group| !group.is_empty());
     group.unwrap_or_default()
@@ -89,18 +89,20 @@
     let picked = *drawn.or(open.first()).or(least)?;
     let oldest = all.iter().map(|c| c.age).max()?;
     let settled = |c: &&&Candidate| c.age >= SETTLED || oldest.since(c.age) <= COHORT;
-    let reachable = all.iter().filter(|c| c.standing != Standing::Down);
+    let reachable = all.iter().filter(|c| c.health != HealthStatus::Down);
     let reachable = sorted(reachable, shared.key);
     let holder = reachable.iter().find(settled).copied();
-    let holders = reachable.iter().filter(|c| !c.tried && c.sent.is_some());
+    let holders = reachable
+        .iter()
+        .filter(|c| !c.tried && c.prefix_age.is_some());
     let mut others: Vec<&Candidate> = holders.copied().collect();
     others.retain(|c| !std::ptr::eq(*c, picked));
-    others.sort_by_key(|c| (c.sent, c.endpoint.id.clone()));
+    others.sort_by_key(|c| (c.prefix_age, c.endpoint.id.clone()));
     let other = others.first().copied();
     let moved = !holder.is_some_and(|holder| std::ptr::eq(holder, picked));
     let source = match shared.tokens.0 >= 400 {
         true if moved => other.or(holder),
-        true if picked.sent.is_none() => other,
+        true if picked.prefix_age.is_none() => other,
         _ => None,
     };
     let id = |c: &Candidate| c.endpoint.id.clone();
@@ -111,21 +113,21 @@
     fn any_candidate()(
         (leaving, drained, tried) in (prop::bool::weighted(0.1), prop::bool::weighted(0.2), prop::bool::weighted(0.1)),
         load in 0_u32..12,
-        standing in 0_usize..8,
+        status in 0_usize..8,
         allowance in 0_usize..8,
         age in 0_u64..60_000,
         sent in proptest::option::weighted(0.2, 0_u64..9000),
     ) -> Candidate {
-        let standings = [Standing::Trial, Standing::Bad, Standing::Down];
+        let statuses = [HealthStatus::Trial, HealthStatus::Bad, HealthStatus::Down];
         let allowances = [Allowance::Part(0.5), Allowance::One, Allowance::Nothing];
         Candidate {
             drained,
             tried,
             endpoint: std::sync::Arc::new(Endpoint { leaving, ..endpoint("e") }),
-            standing: standings.get(standing).copied().unwrap_or(Standing::Good),
+            health: statuses.get(status).copied().unwrap_or(HealthStatus::Good),
             allowance: allowances.get(allowance).copied().unwrap_or(Allowance::All),
             age: Millis(age),
-            sent: sent.map(Millis),
+            prefix_age: sent.map(Millis),
             ..candidate("e", f64::from(load) / 2.0)
         }
     }
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -3,10 +3,10 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::DataCentreId;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::Endpoint;
-use medlarrill_core::routing::load::Report;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::load::LoadReport;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::slow_start::SlowStart;
 use medlarrill_core::routing::view::View;
 use medlarrill_core::units::Rate;
@@ -33,8 +33,8 @@
     view
 }
 
-fn plan() -> Plan {
-    Plan::new(&route(Repeat::Always, 2), Millis(90_000))
+fn plan() -> RetryPlan {
+    RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
 }
 
 /// Where requests go, with and without a shared prefix.
@@ -91,7 +91,7 @@
 #[gtest]
 fn what_is_left_is_weighed_against_the_work_at_hand() {
     let mut view = settled();
-    let report = Report {
+    let report = LoadReport {
         running: 8,
         waiting: 4,
         slots: 8,
@@ -125,7 +125,7 @@
     let mut view = settled();
     let slow = SlowStart {
         rate: Rate(8.9),
-        span: SPAN,
+        duration: SPAN,
     };
     view.configure_slow_starts([(pool(), slow)].into());
     view.drain(data_centre("near"), START);
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -4,9 +4,9 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::config::{Repeat, Route};
+use medlarrill_core::routing::config::{RetryPolicy, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::view::{ChooseError, View};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -91,7 +91,7 @@
     }
 }
 
-fn plain(repeat: Repeat) -> Route {
+fn plain(repeat: RetryPolicy) -> Route {
     Route {
         target: TARGET,
         ..route(repeat, 1)
@@ -188,10 +188,10 @@
             daemon -= daemon % DATA_CENTRES.len();
         }
         let repeat = match caller.is_safe {
-            true => Repeat::Always,
-            false => Repeat::Never,
+            true => RetryPolicy::Always,
+            false => RetryPolicy::Never,
         };
-        let plan = Plan::new(&plain(repeat), Millis(asked + 1500));
+        let plan = RetryPlan::new(&plain(repeat), Millis(asked + 1500));
         let view = &mut self.daemons[daemon];
         let choice = match view.choose(&pool(), None, &plan, Millis(now)) {
             Ok(choice) => choice,
--- a/crates/core/tests/routing/slow_start_ways.rs
+++ b/crates/core/tests/routing/slow_start_ways.rs
@@ -72,7 +72,7 @@
 fn drawn(_: Parts) -> May {
     let slow = SlowStart {
         rate: Rate(RATE),
-        span: Millis(3000),
+        duration: Millis(3000),
     };
     let ids: Vec<InstanceId> = (0..ENDPOINTS).map(|e| id(&format!("e-{e}"))).collect();
     let daemon = |number| {
@@ -80,7 +80,7 @@
         daemon.configure([(pool(), slow)].into());
         daemon.deal(address(number), "near", (0..DAEMONS).map(address).collect());
         for id in &ids {
-            daemon.spare(id, Millis(SPAN * 2), Millis(START));
+            daemon.begin(id, Millis(SPAN * 2), Millis(START));
         }
         daemon
     };
@@ -89,7 +89,7 @@
         let (daemon, id) = (&mut daemons[daemon], &ids[endpoint]);
         let may = daemon.allowance(id, &pool(), Millis(now)) == Allowance::One;
         if may {
-            daemon.sent(id, Millis(now));
+            daemon.record_sent(id, Millis(now));
         }
         may
     })
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -9,11 +9,11 @@
 use medlarrill_core::ids::PoolId;
 use medlarrill_core::routing::budget;
 use medlarrill_core::routing::choose::Candidate;
-use medlarrill_core::routing::config::{Priority, Repeat, Route, Share};
-use medlarrill_core::routing::endpoint::{Born, Endpoint, InstanceId};
+use medlarrill_core::routing::config::{PoolShare, Priority, RetryPolicy, Route};
+use medlarrill_core::routing::endpoint::{Endpoint, InstanceId, StartTime};
 use medlarrill_core::routing::exchange::{PeerCounts, PeerUpdate, Report, ReportEntry};
 use medlarrill_core::routing::fleet::Fleet;
-use medlarrill_core::routing::health::Standing;
+use medlarrill_core::routing::health::HealthStatus;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::slow_start::{Allowance, SlowStarts};
 use medlarrill_core::routing::view::View;
@@ -26,7 +26,7 @@
 
 /// An endpoint that started at a time.
 pub fn born(name: &str, at: u64) -> InstanceId {
-    InstanceId::new(name.parse().expect("a name"), Some(Born(at)))
+    InstanceId::new(name.parse().expect("a name"), Some(StartTime(at)))
 }
 
 pub fn pool() -> PoolId {
@@ -49,12 +49,12 @@
         endpoint: Arc::new(endpoint(name)),
         load,
         load_age: None,
-        standing: Standing::Good,
+        health: HealthStatus::Good,
         tried: false,
         drained: false,
         allowance: Allowance::All,
         age: Millis(60_000),
-        sent: None,
+        prefix_age: None,
     }
 }
 
@@ -86,8 +86,8 @@
     }
 
     pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
-        self.fleet.deal(me, part, daemons);
-        self.starts.deal_anew();
+        self.fleet.set_listed(me, part, daemons);
+        self.starts.clear_shares();
     }
 
     pub fn allowance(&mut self, id: &InstanceId, pool: &PoolId, now: Millis) -> Allowance {
@@ -120,21 +120,21 @@
     View::new(near, repeats, seed, Millis(0))
 }
 
-pub fn route(repeat: Repeat, attempts: u32) -> Route {
+pub fn route(retry: RetryPolicy, attempts: u32) -> Route {
     Route {
         name: "route".into(),
         host: "host".into(),
         prefix: "/a/".into(),
-        repeat,
-        stream: repeat == Repeat::Resume,
+        retry,
+        stream: retry == RetryPolicy::Resume,
         cached: false,
         attempts,
         timeout: Millis(10_000),
         target: Millis(1000),
         gap: Millis(600),
         priority: Priority(1),
-        open: false,
-        shares: vec![Share {
+        auth_exempt: false,
+        shares: vec![PoolShare {
             pool: pool(),
             weight: 1.0,
         }],
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -3,13 +3,13 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::birth::Entry;
 use medlarrill_core::routing::choose::Choice;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::exchange::{PeerCounts, PeerUpdate, short_id};
-use medlarrill_core::routing::load::Report;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::instance::EntryKind;
+use medlarrill_core::routing::load::LoadReport;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::view::{ListingChange, View};
 
 use super::support::{born, endpoint, id, pool, prefix, route, view};
@@ -24,8 +24,8 @@
     }
 }
 
-fn plan() -> Plan {
-    Plan::new(&route(Repeat::Always, 2), Millis(90_000))
+fn plan() -> RetryPlan {
+    RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
 }
 
 fn pick(view: &mut View, key: u64, now: Millis) -> Choice {
@@ -34,8 +34,8 @@
 }
 
 /// What an endpoint tells whose slots are taken, while so many requests wait.
-const fn busy(waiting: u32) -> Report {
-    Report {
+const fn busy(waiting: u32) -> LoadReport {
+    LoadReport {
         running: 8,
         waiting,
         slots: 8,
@@ -77,7 +77,7 @@
     expect_that!(picked.endpoint.id, eq(&new));
     expect_that!(picked.load, eq(0.0));
     expect_that!(picked.load_age, none());
-    expect_that!(picked.trial, eq(false));
+    expect_that!(picked.probe, eq(false));
 }
 
 #[gtest]
@@ -136,7 +136,7 @@
     expect_that!(view.endpoints(), eq(1));
     expect_that!(
         view.upsert(endpoint("a"), Millis(20)),
-        eq(&ListingChange::Ignored(Entry::Foreign))
+        eq(&ListingChange::Ignored(EntryKind::Foreign))
     );
     view.upsert(instance(born("a", 700)), Millis(30));
     expect_that!(view.endpoints(), eq(2));
@@ -147,7 +147,7 @@
     let mut view = settled();
     view.upsert(instance(born("a", 900)), START);
     let late = view.upsert(instance(born("a", 500)), START + Millis(3000));
-    expect_that!(late, eq(&ListingChange::Ignored(Entry::Late)));
+    expect_that!(late, eq(&ListingChange::Ignored(EntryKind::Late)));
     let again = view.upsert(instance(born("a", 900)), START + Millis(3500));
     expect_that!(again, eq(&ListingChange::Same));
 }
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::events::Splitter;
+use medlarrill_core::routing::events::EventSplitter;
 use medlarrill_core::routing::exchange::{
     Delta, Exchange, Message, OutcomeCounts, PrefixCount, PrefixMove, Report, ReportEntry,
     SumsCopy, VersionedSums,
@@ -141,7 +141,7 @@
         let mut ends: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len() + 1)).collect();
         ends.push(text.len());
         ends.sort_unstable();
-        let mut splitter = Splitter::new(None);
+        let mut splitter = EventSplitter::new(None);
         let mut handed = Vec::new();
         let mut from = 0;
         for end in ends {
@@ -150,12 +150,12 @@
             from = end;
         }
         prop_assert!(text.as_bytes().starts_with(&handed));
-        prop_assert_eq!(splitter.is_unfinished(), handed.len() < text.len());
+        prop_assert_eq!(splitter.has_partial(), handed.len() < text.len());
     }
 
     #[test]
     fn any_bytes_of_a_stream_are_taken(pieces in vec(vec(any::<u8>(), 0..64), 0..16)) {
-        let mut splitter = Splitter::new(None);
+        let mut splitter = EventSplitter::new(None);
         let taken: usize = pieces.iter().map(Vec::len).sum();
         let handed = pieces.into_iter().map(|piece| splitter.push(&piece.into()).len());
         prop_assert!(handed.sum::<usize>() <= taken);
--- a/crates/router/src/entry/request.rs
+++ b/crates/router/src/entry/request.rs
@@ -15,8 +15,8 @@
 use medlarrill_core::routing::config::{Account, Configuration, Priority, Route};
 use medlarrill_core::routing::endpoint::InstanceId;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::plan::{Next, Plan};
-use medlarrill_core::routing::request::Call;
+use medlarrill_core::routing::plan::{Next, RetryPlan};
+use medlarrill_core::routing::request::RequestHead;
 use medlarrill_platform::headers::{self, Outgoing};
 
 use crate::endpoints::idle_limit;
@@ -38,7 +38,7 @@
     /// Pool that serves it.
     pub pool: PoolId,
     /// Decoded head.
-    pub call: Call,
+    pub call: RequestHead,
     /// Fingerprint, equal for requests that ask for the same.
     pub fingerprint: Fingerprint,
     /// HTTP method.
@@ -72,7 +72,7 @@
     /// try, the retry budget isn't charged.
     pub fn record_failure(
         &self,
-        plan: &mut Plan,
+        plan: &mut RetryPlan,
         id: &InstanceId,
         fault: Fault,
         now: Millis,
@@ -81,11 +81,11 @@
         let placement = &self.shared.placement;
         let has_other = placement.has_alternative(&self.pool, plan, id, now);
         let spend = || has_other && placement.spend_retry(&self.pool, now);
-        plan.fail(id, fault, spend, now)
+        plan.record_failure(id, fault, spend, now)
     }
 
     /// Records a failed attempt, and the loss of its endpoint if it was lost.
-    pub fn record_fault(&self, plan: &Plan, id: &InstanceId, fault: Fault, now: Millis) {
+    pub fn record_fault(&self, plan: &RetryPlan, id: &InstanceId, fault: Fault, now: Millis) {
         let placement = &self.shared.placement;
         placement.record_failure(id, fault, now);
         if fault.is_loss() {
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -13,9 +13,9 @@
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
 use medlarrill_core::routing::exchange;
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::load::Report;
+use medlarrill_core::routing::load::LoadReport;
 use medlarrill_core::routing::notices::Notice;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::quarantine::{
     Change, Evidence, PlatformSync, Snapshot, Step, StoredRequest,
 };
@@ -85,14 +85,14 @@
 
     /// Counts a caller's request towards the retry budget of its pool.
     pub fn record_request(&self, pool: &PoolId, now: Millis) {
-        self.lock().budget().request(pool, now);
+        self.lock().budget().record_request(pool, now);
     }
 
     /// Whether a pool has another endpoint than this one that takes new work and wasn't tried.
     pub fn has_alternative(
         &self,
         pool: &PoolId,
-        plan: &Plan,
+        plan: &RetryPlan,
         id: &InstanceId,
         now: Millis,
     ) -> bool {
@@ -101,7 +101,7 @@
 
     /// Takes one retry from a pool's budget; returns whether the budget allowed it.
     pub fn spend_retry(&self, pool: &PoolId, now: Millis) -> bool {
-        self.lock().budget().spend(pool, now)
+        self.lock().budget().try_spend(pool, now)
     }
 
     /// State of a pool's retry budget, for logs.
@@ -118,7 +118,7 @@
         self: &Arc<Self>,
         pool: &PoolId,
         prefix: Option<&SharedPrefix>,
-        plan: &Plan,
+        plan: &RetryPlan,
         now: Millis,
     ) -> Result<(Choice, InFlight)> {
         let choice = self.lock().choose(pool, prefix, plan, now)?;
@@ -133,7 +133,7 @@
     }
 
     /// Takes the load that an endpoint reported.
-    pub fn update_load(&self, id: &InstanceId, report: Report, now: Millis) {
+    pub fn update_load(&self, id: &InstanceId, report: LoadReport, now: Millis) {
         self.lock().report(id, report, now);
     }
 
@@ -171,13 +171,13 @@
     }
 
     /// Records that an endpoint was lost with a request, which counts against the request.
-    pub fn record_loss(&self, plan: &Plan, id: &InstanceId, now: Millis) {
+    pub fn record_loss(&self, plan: &RetryPlan, id: &InstanceId, now: Millis) {
         let changes = self.lock().record_loss(plan, id, now);
         self.log_quarantine(&changes);
     }
 
     /// Records that a request was answered completely, which counts for the request.
-    pub fn record_served(&self, plan: &Plan, now: Millis) {
+    pub fn record_served(&self, plan: &RetryPlan, now: Millis) {
         if let Some(fingerprint) = plan.fingerprint() {
             let changes = self.lock().quarantine().record_served(fingerprint, now);
             self.log_quarantine(&changes);
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -48,7 +48,7 @@
     /// Begins the graceful stop.
     pub fn request_stop(&self, now: Millis) {
         let mut stop = self.stop.lock().unwrap_or_else(PoisonError::into_inner);
-        stop.ask(now);
+        stop.request(now);
     }
 
     /// Whether the load balancer should send connections to this daemon.
--- a/crates/router/src/store/copies.rs
+++ b/crates/router/src/store/copies.rs
@@ -38,7 +38,7 @@
     /// Creates a copy of objects that are kept until removed; entries of endpoints expire.
     fn persistent() -> Self {
         Self {
-            mirror: Mirror::lasting(),
+            mirror: Mirror::persistent(),
             encoded: None,
         }
     }
@@ -138,7 +138,7 @@
     pub fn update_since(&self, kind: Kind, revision: Option<u64>) -> Option<EncodedUpdate> {
         let mut copy = self.lock(kind);
         let update = copy.mirror.since(revision)?;
-        if !update.whole {
+        if !update.complete {
             return Some(EncodedUpdate::new(&update));
         }
         let encoded = copy
@@ -150,9 +150,9 @@
     /// Applies an update that was up to date at `as_of`, if that is known.
     pub fn apply(&self, kind: Kind, update: Update, as_of: Option<Millis>, now: Millis) {
         let mut copy = self.lock(kind);
-        let should_notify = as_of.is_some_and(|as_of| copy.mirror.is_news(as_of));
+        let should_notify = as_of.is_some_and(|as_of| copy.mirror.should_notify(as_of));
         let (age, was_waiting) = (copy.mirror.age(now), copy.mirror.grace(now).is_some());
-        let outage = copy.mirror.failing(now);
+        let outage = copy.mirror.outage(now);
         let changes = copy.mirror.apply(update, as_of, now);
         if !was_waiting && copy.mirror.grace(now).is_some() {
             log::info!(
@@ -191,7 +191,7 @@
         }
         self.applier.apply(kind, &changes);
         let update = Update {
-            whole: false,
+            complete: false,
             changes,
             revision: copy.mirror.revision().unwrap_or_default(),
         };
@@ -207,12 +207,12 @@
 
     /// Records that calls to the platform fail since `since`, here or at a source.
     pub fn record_failure(&self, kind: Kind, since: Millis, now: Millis) {
-        self.lock(kind).mirror.fail(since, now);
+        self.lock(kind).mirror.record_failure(since, now);
     }
 
     /// How long calls to the platform have been failing, `None` if they don't fail.
     pub fn outage(&self, kind: Kind, now: Millis) -> Option<Millis> {
-        self.lock(kind).mirror.failing(now)
+        self.lock(kind).mirror.outage(now)
     }
 
     /// Sets whether this daemon's calls to the platform fail.
--- a/crates/router/src/store/daemons.rs
+++ b/crates/router/src/store/daemons.rs
@@ -10,7 +10,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::backoff;
-use medlarrill_core::routing::fleet::Sightings;
+use medlarrill_core::routing::fleet::LastSeen;
 use medlarrill_net::now::now;
 use medlarrill_platform::objects;
 use medlarrill_platform::store::{Call, Kind};
@@ -35,7 +35,7 @@
     let mut writer = DaemonListWriter {
         client: Client::new(platform),
         store,
-        last_seen: Sightings::default(),
+        last_seen: LastSeen::default(),
         missing_since: None,
     };
     let mut failures = 0;
@@ -55,7 +55,7 @@
 struct DaemonListWriter {
     client: Client,
     store: StoreContext,
-    last_seen: Sightings,
+    last_seen: LastSeen,
     /// Since when some daemons aren't listed; after a write, the time from which on they count as
     /// missing again.
     missing_since: Option<Millis>,
@@ -71,7 +71,7 @@
         if !is_known || now() < SETTLE_TIME {
             return Ok(());
         }
-        self.last_seen.see(&roster.live_daemons, now());
+        self.last_seen.mark_live(&roster.live_daemons, now());
         if self
             .store
             .placement
@@ -101,7 +101,7 @@
             .as_ref()
             .and_then(|object| objects::daemons(object).ok());
         let retained = listed.into_iter().flatten();
-        let retained = retained.filter(|daemon| self.last_seen.keeps(*daemon, now()));
+        let retained = retained.filter(|daemon| self.last_seen.is_retained(*daemon, now()));
         let all: BTreeSet<SocketAddr> = retained.chain(live.iter().copied()).collect();
         let all: Vec<SocketAddr> = all.into_iter().collect();
         let spec = objects::daemons_spec(&all);
--- a/crates/router/src/store/relay/message.rs
+++ b/crates/router/src/store/relay/message.rs
@@ -158,7 +158,7 @@
     pub fn new(update: &Update) -> Self {
         let mut changes = Changes {
             revision: update.revision,
-            complete: update.whole,
+            complete: update.complete,
             ..Changes::default()
         };
         for change in &update.changes {
@@ -254,7 +254,7 @@
             revision: removal.revision,
         });
         let update = Update {
-            whole: changes.complete,
+            complete: changes.complete,
             changes: puts.chain(removals).collect(),
             revision: changes.revision,
         };
--- a/crates/router/tests/relay_properties.rs
+++ b/crates/router/tests/relay_properties.rs
@@ -54,7 +54,7 @@
         revision: u64,
         age in 0_u64..1 << 40,
     ) {
-        let update = Update { whole, changes, revision };
+        let update = Update { complete: whole, changes, revision };
         let packed = EncodedUpdate::new(&update);
         let sent = Notification::new(Kind::Endpoints, Some(packed), Millis(age), None).encode();
         let tell = Notification::read(&sent).expect("a message");
@@ -72,7 +72,7 @@
         at in any::<prop::sample::Index>(),
         byte: u8,
     ) {
-        let update = Update { whole: true, changes, revision: 9 };
+        let update = Update { complete: true, changes, revision: 9 };
         let sent = Notification::new(Kind::Configuration, Some(EncodedUpdate::new(&update)), Millis(1), None);
         let mut sent = sent.encode().to_vec();
         let place = at.index(sent.len());
