--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -62,13 +62,13 @@
     /// Live daemons as of the last update, this one included.
     daemons: u32,
     budget: RetryBudget,
-    paces: ResponseRates,
+    response_rates: ResponseRates,
     /// Admission to pools of plain services.
-    valves: HashMap<PoolId, AdmissionControl>,
+    admission: HashMap<PoolId, AdmissionControl>,
     outcomes: HashMap<InstanceId, Outcomes>,
     /// Requests sent with each shared prefix since the last report.
     prefix_counts: HashMap<u32, u32>,
-    holders: PrefixIndex,
+    prefix_index: PrefixIndex,
     /// Prefixes sent elsewhere than to the endpoint that rank and age give, since the last report.
     prefix_moves: Vec<exchange::PrefixMove>,
     /// Shares of hot prefixes in the fleet's traffic, 0 to 1.
@@ -141,11 +141,11 @@
             avoided: HashSet::new(),
             daemons: 1,
             budget: RetryBudget::new(repeats, now),
-            paces: ResponseRates::default(),
-            valves: HashMap::new(),
+            response_rates: ResponseRates::default(),
+            admission: HashMap::new(),
             outcomes: HashMap::new(),
             prefix_counts: HashMap::new(),
-            holders: PrefixIndex::default(),
+            prefix_index: PrefixIndex::default(),
             prefix_moves: Vec::new(),
             hot_shares: HashMap::new(),
             quarantine: Quarantine::default(),
@@ -242,7 +242,7 @@
         }
         let prefix = exchange::short_key(prefix.key);
         let endpoint = exchange::short_id(&choice.endpoint.id);
-        let is_new = self.holders.record(prefix, endpoint, now);
+        let is_new = self.prefix_index.record(prefix, endpoint, now);
         if is_new && choice.moved && self.prefix_moves.len() < exchange::MOVES_MAX {
             self.prefix_moves
                 .push(exchange::PrefixMove { prefix, endpoint });
@@ -252,7 +252,7 @@
     /// Records that an endpoint to which a prefix was sent hasn't processed it.
     pub fn retract_prefix(&mut self, prefix: &SharedPrefix, id: &InstanceId) {
         let prefix = exchange::short_key(prefix.key);
-        self.holders.remove(prefix, exchange::short_id(id));
+        self.prefix_index.remove(prefix, exchange::short_id(id));
     }
 
     /// Ends the count of a request at an endpoint that [`Self::choose`] started.
@@ -273,7 +273,7 @@
             return;
         }
         self.health.record_success(id, now);
-        self.paces.record(id, 1, now);
+        self.response_rates.record(id, 1, now);
         self.outcomes.entry(id.clone()).or_default().good += 1;
     }
 
@@ -288,7 +288,7 @@
             self.presume_restart(id, now);
         }
         if fault == Fault::Failed {
-            self.paces.record(id, 1, now);
+            self.response_rates.record(id, 1, now);
         }
         if fault.is_failure() {
             self.outcomes.entry(id.clone()).or_default().bad += 1;
@@ -343,7 +343,7 @@
         self.daemons = daemons;
         self.hot_shares = update.hot;
         for exchange::PrefixMove { prefix, endpoint } in update.moved {
-            self.holders.record(prefix, endpoint, now);
+            self.prefix_index.record(prefix, endpoint, now);
         }
         for endpoint in self.directory.all() {
             let short = exchange::short_id(&endpoint.id);
@@ -354,7 +354,7 @@
             let health = &mut self.health;
             health.record_others(&endpoint.id, others.good, others.bad, now);
             let answers = others.good + others.bad;
-            self.paces.record(&endpoint.id, answers, now);
+            self.response_rates.record(&endpoint.id, answers, now);
         }
     }
 
@@ -376,9 +376,9 @@
     ) -> Option<Overload> {
         let target = plan.queue_target().filter(|_| is_on(Mechanism::Valve))?;
         let expected = self
-            .paces
+            .response_rates
             .response_time(&choice.endpoint.id, choice.load, now)?;
-        let valve = self.valves.entry(pool.clone()).or_default();
+        let valve = self.admission.entry(pool.clone()).or_default();
         let share = valve.update(expected, target, now);
         let may_refuse = overload::may_refuse(choice.load, choice.endpoint.slots);
         if !may_refuse || self.rng.random::<f64>() < share {
@@ -407,10 +407,10 @@
     ) -> Vec<Candidate> {
         let allowances = self.allowances(pool, now);
         let prefix = shared.map(|prefix| exchange::short_key(prefix.key));
-        let prefix = prefix.filter(|prefix| self.holders.is_known(*prefix));
+        let prefix = prefix.filter(|prefix| self.prefix_index.is_known(*prefix));
         let sent = |id: &InstanceId| {
             let prefix = prefix?;
-            self.holders.age(prefix, exchange::short_id(id), now)
+            self.prefix_index.age(prefix, exchange::short_id(id), now)
         };
         let listed = self.directory.pool(pool);
         let looks: Vec<HealthSnapshot> = listed
--- a/crates/core/src/routing/view/listing.rs
+++ b/crates/core/src/routing/view/listing.rs
@@ -84,7 +84,7 @@
         self.loads.forget(id);
         self.health.forget(id);
         self.avoided.remove(id);
-        self.paces.forget(id);
+        self.response_rates.forget(id);
         self.outcomes.remove(id);
         self.slow_starts.forget(id);
     }
