--- a/crates/core/benches/choose.rs
+++ b/crates/core/benches/choose.rs
@@ -7,10 +7,10 @@
 use medlarrill_core::ids::PoolId;
 use medlarrill_core::placement::key_of;
 use medlarrill_core::routing::budget;
-use medlarrill_core::routing::config::{Priority, Repeat, Route};
+use medlarrill_core::routing::config::{Priority, RetryPolicy, Route};
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::load::Report;
-use medlarrill_core::routing::plan::Plan;
+use medlarrill_core::routing::load::LoadReport;
+use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::request::SharedPrefix;
 use medlarrill_core::routing::view::View;
 use medlarrill_core::units::Tokens;
@@ -50,7 +50,7 @@
         };
         view.upsert(endpoint, Millis(0));
         if is_busy {
-            let report = Report {
+            let report = LoadReport {
                 running: (number % 7) as u32,
                 waiting: 0,
                 slots: 64,
@@ -67,7 +67,7 @@
         name: "route".into(),
         host: "host".into(),
         prefix: "/a/".into(),
-        repeat: Repeat::Resume,
+        retry: RetryPolicy::Resume,
         stream: true,
         cached: true,
         attempts: 2,
@@ -75,13 +75,13 @@
         target: Millis(1000),
         gap: Millis(600),
         priority: Priority(1),
-        open: false,
+        auth_exempt: false,
         shares: Vec::new(),
     }
 }
 
 fn choose(c: &mut Criterion) {
-    let plan = Plan::new(&route(), Millis(90_000));
+    let plan = RetryPlan::new(&route(), Millis(90_000));
     let pool = pool();
     for (state, is_busy) in [("idle", false), ("busy", true)] {
         let mut group = c.benchmark_group(format!("choose, {state}"));
--- a/crates/core/src/routing/view/health.rs
+++ b/crates/core/src/routing/view/health.rs
@@ -7,7 +7,7 @@
 use super::View;
 use crate::clock::Millis;
 use crate::routing::endpoint::{Endpoint, InstanceId};
-use crate::routing::health::{PoolFailures, Standing};
+use crate::routing::health::{HealthStatus, PoolFailures};
 
 /// An endpoint that is avoided from now on, or no longer.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     /// The endpoint.
     pub endpoint: InstanceId,
     /// Its new health status.
-    pub standing: Standing,
+    pub standing: HealthStatus,
     /// Its failure share, 0 to 1.
     pub failures: f64,
     /// Mean failure share of the other endpoints of its pool, 0 to 1.
@@ -64,9 +64,9 @@
         id: &InstanceId,
         pool: PoolFailures,
         now: Millis,
-    ) -> (Standing, f64) {
-        let others = pool.others(self.health.failures(id, now));
-        let standing = self.health.standing(id, others, self.daemons, now);
+    ) -> (HealthStatus, f64) {
+        let others = pool.mean_of_others(self.health.failures(id, now));
+        let standing = self.health.status(id, others, self.daemons, now);
         (standing, others)
     }
 }
--- a/crates/core/src/routing/view/listing.rs
+++ b/crates/core/src/routing/view/listing.rs
@@ -5,8 +5,8 @@
 use super::View;
 use crate::clock::Millis;
 use crate::ids::EndpointId;
-use crate::routing::birth::Entry;
 use crate::routing::endpoint::{Endpoint, InstanceId};
+use crate::routing::instance::EntryKind;
 
 /// Result of an update from the platform's list.
 #[derive(Clone, PartialEq, Eq)]
@@ -19,33 +19,33 @@
     /// The endpoint restarted: this instance was removed.
     Restarted(InstanceId),
     /// The update was ignored.
-    Ignored(Entry),
+    Ignored(EntryKind),
 }
 
 impl View {
     /// Inserts or updates a listed endpoint; returns what changed.
     pub fn upsert(&mut self, endpoint: Endpoint, now: Millis) -> ListingChange {
-        let had_starts = self.start_times.is_told();
-        let entry = self.start_times.judge(&endpoint.id, now);
-        if self.start_times.is_told() && !had_starts {
+        let had_starts = self.start_times.has_start_times();
+        let entry = self.start_times.classify(&endpoint.id, now);
+        if self.start_times.has_start_times() && !had_starts {
             self.remove_without_start();
         }
         match entry {
-            Entry::Current => {}
-            Entry::Late => return ListingChange::Ignored(entry),
-            Entry::Foreign => {
+            EntryKind::Current => {}
+            EntryKind::Late => return ListingChange::Ignored(entry),
+            EntryKind::Foreign => {
                 self.remove(&endpoint.id.endpoint);
                 return ListingChange::Ignored(entry);
             }
         }
         let id = endpoint.id.clone();
-        self.notices.list(&id);
+        self.notices.set_listed(&id);
         let endpoint = Endpoint {
             leaving: endpoint.leaving || self.notices.is_leaving(&id),
             ..endpoint
         };
         let before = self.directory.instance(&id.endpoint).cloned();
-        if !self.directory.list(endpoint, now) {
+        if !self.directory.insert(endpoint, now) {
             return ListingChange::Same;
         }
         match before.filter(|before| *before != id) {
@@ -67,7 +67,10 @@
 
     /// Removes endpoints without a start time, once endpoints are listed with one.
     fn remove_without_start(&mut self) {
-        let without_start = self.directory.all().filter(|known| known.id.born.is_none());
+        let without_start = self
+            .directory
+            .all()
+            .filter(|known| known.id.started.is_none());
         let names: Vec<EndpointId> = without_start
             .map(|known| known.id.endpoint.clone())
             .collect();
@@ -81,7 +84,7 @@
         self.loads.forget(id);
         self.health.forget(id);
         self.avoided.remove(id);
-        self.paces.forget(id);
+        self.response_rates.forget(id);
         self.outcomes.remove(id);
         self.slow_starts.forget(id);
     }
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -9,15 +9,15 @@
     /// Sets the daemons in a part of the platform's list. All listed daemons share the fleet's
     /// budget for retries, and the rate of endpoints in slow start.
     pub fn set_daemons(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
-        self.fleet.deal(me, part, daemons);
-        self.slow_starts.deal_anew();
-        self.budget.set_part(self.fleet.part(1.0));
+        self.fleet.set_listed(me, part, daemons);
+        self.slow_starts.clear_shares();
+        self.budget.set_share(self.fleet.share(1.0));
     }
 
     /// Records that this daemon knows of no others.
     pub fn set_sole(&mut self) {
-        self.fleet.set_sole();
-        self.budget.set_part(self.fleet.part(1.0));
+        self.fleet.set_single();
+        self.budget.set_share(self.fleet.share(1.0));
     }
 
     /// Those of `daemons` that the platform doesn't list.
@@ -29,7 +29,7 @@
 
     /// Sets the number of live daemons, this one included.
     pub fn set_live(&mut self, live: usize, now: Millis) {
-        self.fleet.hear(live, now);
-        self.budget.set_part(self.fleet.part(1.0));
+        self.fleet.set_live(live, now);
+        self.budget.set_share(self.fleet.share(1.0));
     }
 }
--- a/crates/core/src/routing/view/slow_starts.rs
+++ b/crates/core/src/routing/view/slow_starts.rs
@@ -30,14 +30,14 @@
     /// Starts the slow start of a listed endpoint; `left` is its remaining time.
     pub fn begin_slow_start(&mut self, id: &InstanceId, left: Millis, now: Millis) {
         if self.directory.is_listed(id) {
-            self.slow_starts.spare(id, left, now);
+            self.slow_starts.begin(id, left, now);
         }
     }
 
     /// Returns the endpoints whose slow start began or ended since the last call.
     pub fn review_slow_starts(&mut self, now: Millis) -> SlowStartChanges {
-        self.slow_starts.tidy(now);
-        let current: HashSet<InstanceId> = self.slow_starts.spared(now).cloned().collect();
+        self.slow_starts.prune(now);
+        let current: HashSet<InstanceId> = self.slow_starts.active(now).cloned().collect();
         let changes = SlowStartChanges {
             started: current.difference(&self.in_slow_start).cloned().collect(),
             ended: self.in_slow_start.difference(&current).cloned().collect(),
@@ -55,7 +55,7 @@
     pub(super) fn presume_restart(&mut self, id: &InstanceId, now: Millis) {
         if let Some(endpoint) = self.directory.get(id) {
             let pool = endpoint.pool.clone();
-            self.slow_starts.presume(id, &pool, now);
+            self.slow_starts.begin_full(id, &pool, now);
         }
     }
 
@@ -63,7 +63,7 @@
     pub(super) fn allowances(&mut self, pool: &PoolId, now: Millis) -> Vec<Allowance> {
         let listed = self.directory.pool(pool).iter();
         let (slow_starts, fleet) = (&mut self.slow_starts, &self.fleet);
-        let is_limited = slow_starts.limits(pool, fleet, now);
+        let is_limited = slow_starts.may_limit(pool, fleet, now);
         let has_pauses = self.notices.has_pauses(now);
         if !is_limited && !has_pauses {
             return vec![Allowance::All; listed.len()];
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -12,8 +12,8 @@
 use medlarrill_core::ids::{ChatHash, DaemonId, EndpointId};
 use medlarrill_core::placement::{
     CacheHint, ChatPlaces, Daemon, Directory, Distance, EndpointLoad, EndpointState, Fleet, Group,
-    Node, Occupancy, Place, PlaceAsk, PoolSum, PoolView, Why, chat_hash, expected_cached, key_of,
-    may_pass, place,
+    Node, Occupancy, Place, PlacementReason, PlacementRequest, PoolSum, PoolView, can_forward,
+    chat_hash, expected_cached, key_of, place,
 };
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::Tokens;
@@ -58,15 +58,15 @@
 fn pool(loads: &[u64]) -> PoolView {
     let mut pool = PoolView::new(1.25);
     for (n, load) in loads.iter().enumerate() {
-        pool.set_endpoint(&endpoint(n), Distance::Centre);
+        pool.set_endpoint(&endpoint(n), Distance::SameDataCentre);
         pool.set_state(&endpoint(n), EndpointState::Ready);
-        pool.set_own(&endpoint(n), counted(*load), NOW);
+        pool.set_own_load(&endpoint(n), counted(*load), NOW);
     }
     pool
 }
 
-fn ask<'a>(places: &'a [Place], tried: &'a [EndpointId]) -> PlaceAsk<'a> {
-    PlaceAsk {
+fn ask<'a>(places: &'a [Place], tried: &'a [EndpointId]) -> PlacementRequest<'a> {
+    PlacementRequest {
         chat: Some(ChatHash(1)),
         places,
         prompt: Tokens(1000),
@@ -160,11 +160,11 @@
     }
     let places = directory.places(chat);
     expect_that!(places, eq(&vec![served(1, 101, NOW), served(2, 102, NOW)]));
-    directory.note_event(chat, &endpoint(2), CacheHint::Evicted);
+    directory.record_cache_event(chat, &endpoint(2), CacheHint::Evicted);
     expect_that!(directory.places(chat)[1].hint, some(eq(CacheHint::Evicted)));
-    directory.forget_place(chat, &endpoint(1));
+    directory.remove_place(chat, &endpoint(1));
     expect_that!(directory.places(chat).len(), eq(1));
-    directory.drop_endpoint(&endpoint(2));
+    directory.remove_endpoint(&endpoint(2));
     expect_that!(directory.is_empty(), eq(true));
 }
 
@@ -222,21 +222,21 @@
     let places = [served(0, 900, NOW), served(1, 500, NOW)];
     let chosen = |loads: &[u64]| {
         let placement = place(&pool(loads), &ask(&places, &[]), NOW, &mut rng()).unwrap();
-        (placement.endpoint, placement.why)
+        (placement.endpoint, placement.reason)
     };
     expect_that!(
         chosen(&[110, 100, 100, 100]),
-        eq(&(endpoint(0), Why::Returned))
+        eq(&(endpoint(0), PlacementReason::Returned))
     );
     expect_that!(
         chosen(&[200, 100, 100, 100]),
-        eq(&(endpoint(1), Why::SecondPlace))
+        eq(&(endpoint(1), PlacementReason::SecondPlace))
     );
     expect_that!(
         chosen(&[300, 300, 10, 500, 10]),
         any![
-            eq(&(endpoint(2), Why::Spilled)),
-            eq(&(endpoint(4), Why::Spilled))
+            eq(&(endpoint(2), PlacementReason::Spilled)),
+            eq(&(endpoint(4), PlacementReason::Spilled))
         ]
     );
 }
@@ -272,15 +272,15 @@
 #[gtest]
 fn after_the_last_hop_a_home_passes_on_only_to_its_own() {
     let here = endpoint(0);
-    let last = PlaceAsk {
+    let last = PlacementRequest {
         own_only: true,
         ..ask(&[], &[])
     };
-    let may = |pool: &PoolView, ask: &PlaceAsk<'_>| may_pass(pool, ask, &here, NOW);
+    let may = |pool: &PoolView, ask: &PlacementRequest<'_>| can_forward(pool, ask, &here, NOW);
     expect_that!(may(&pool(&[150, 60]), &last), eq(true));
     expect_that!(may(&pool(&[150, 950, 60, 60]), &last), eq(true));
     let mut remote = pool(&[150]);
-    remote.set_endpoint(&endpoint(1), Distance::Centre);
+    remote.set_endpoint(&endpoint(1), Distance::SameDataCentre);
     remote.set_state(&endpoint(1), EndpointState::Ready);
     expect_that!(may(&remote, &last), eq(false));
     expect_that!(may(&remote, &ask(&[], &[])), eq(true));
@@ -295,11 +295,11 @@
         endpoints: 9,
         as_of: NOW,
     };
-    pool.hear_sum(&other, sum);
+    pool.update_sum(&other, sum);
     expect_that!(pool.mean(NOW).load, near(100.0, 0.1));
     let later = pool.mean(NOW + Millis::from_secs(13)).load;
     expect_that!(later, all![gt(20.0), lt(50.0)]);
-    pool.drop_daemon(&other);
+    pool.remove_daemon(&other);
     expect_that!(pool.mean(NOW).load, near(100.0, 0.1));
 }
 
@@ -307,7 +307,7 @@
 fn work_sent_counts_until_the_home_tells_of_it() {
     let mut pool = PoolView::new(1.25);
     let id = endpoint(0);
-    pool.set_endpoint(&id, Distance::Centre);
+    pool.set_endpoint(&id, Distance::SameDataCentre);
     let tell = |pool: &mut PoolView, load, at| {
         let heard = EndpointLoad {
             endpoint: endpoint(0),
@@ -315,7 +315,7 @@
             room: true,
             as_of: at,
         };
-        pool.hear_load(&heard, at);
+        pool.update_load(&heard, at);
     };
     let estimate = |pool: &PoolView| pool.get(&id).unwrap().estimate(0.0, NOW);
     tell(&mut pool, 100, NOW);
@@ -337,22 +337,28 @@
                 room: false,
                 ..counted(*load)
             };
-            pool.set_own(&endpoint(n), full, NOW);
+            pool.set_own_load(&endpoint(n), full, NOW);
         }
         let places = [served(0, 900, NOW)];
         let placement = place(&pool, &ask(&places, &[]), NOW, &mut rng()).unwrap();
-        placement.why
+        placement.reason
     };
-    expect_that!(chosen(&[1050, 1000, 1000, 1000]), eq(Why::Returned));
-    expect_that!(chosen(&[2500, 1000, 1000, 1000]), eq(Why::Spilled));
+    expect_that!(
+        chosen(&[1050, 1000, 1000, 1000]),
+        eq(PlacementReason::Returned)
+    );
+    expect_that!(
+        chosen(&[2500, 1000, 1000, 1000]),
+        eq(PlacementReason::Spilled)
+    );
 }
 
 #[gtest]
 fn after_the_last_hop_only_own_endpoints_are_chosen() {
     let mut pool = pool(&[100, 90]);
-    pool.set_endpoint(&endpoint(2), Distance::Centre);
+    pool.set_endpoint(&endpoint(2), Distance::SameDataCentre);
     pool.set_state(&endpoint(2), EndpointState::Ready);
-    let last = PlaceAsk {
+    let last = PlacementRequest {
         own_only: true,
         ..ask(&[], &[])
     };
@@ -366,7 +372,7 @@
 #[gtest]
 fn only_anothers_endpoint_of_unknown_state_is_returned_to_and_only_with_hops_left() {
     let mut pool = pool(&[10, 10]);
-    pool.set_endpoint(&endpoint(2), Distance::Centre);
+    pool.set_endpoint(&endpoint(2), Distance::SameDataCentre);
     pool.set_state(&endpoint(2), EndpointState::Unknown);
     let others = [served(2, 900, NOW)];
     let asked = ask(&others, &[]);
@@ -374,7 +380,7 @@
     expect_that!(placement.endpoint, eq(&endpoint(2)));
     pool.set_state(&endpoint(0), EndpointState::Unknown);
     let own = [served(0, 900, NOW)];
-    let last = PlaceAsk {
+    let last = PlacementRequest {
         own_only: true,
         ..ask(&own, &[])
     };
--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -14,8 +14,8 @@
 use medlarrill_core::routing::exchange::{
     self, Exchange, PeerUpdate, PrefixCount, Report, ReportEntry, short_id, short_key,
 };
-use medlarrill_core::routing::health::Standing;
-use medlarrill_core::routing::load::Loads;
+use medlarrill_core::routing::health::HealthStatus;
+use medlarrill_core::routing::load::LoadTracker;
 use medlarrill_core::routing::slow_start::Allowance;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -38,7 +38,7 @@
 const OWN_TICK: u64 = exchange::TICK.0;
 
 struct Fleet {
-    daemons: Vec<(Exchange, Loads)>,
+    daemons: Vec<(Exchange, LoadTracker)>,
     endpoints: Vec<Arc<Endpoint>>,
     at_endpoint: HashMap<String, f64>,
     rng: Pcg32,
@@ -59,7 +59,7 @@
         let daemon = |number| {
             (
                 Exchange::new(address(number), seeds.clone()),
-                Loads::default(),
+                LoadTracker::default(),
             )
         };
         let endpoint = |number| Arc::new(endpoint(&format!("e{number}")));
@@ -131,11 +131,11 @@
         let loads = &mut self.daemons[daemon].1;
         let is_drained = now.0 >= self.drained;
         let candidate = |(number, endpoint): (usize, &Arc<Endpoint>)| Candidate {
-            sent: None,
+            prefix_age: None,
             endpoint: Arc::clone(endpoint),
             load: loads.total(&endpoint.id, now),
             load_age: None,
-            standing: Standing::Good,
+            health: HealthStatus::Good,
             tried: false,
             drained: is_drained && number.is_multiple_of(3),
             allowance: Allowance::All,
@@ -201,11 +201,11 @@
     }
 }
 
-fn take(loads: &mut Loads, endpoints: &[Arc<Endpoint>], heard: &PeerUpdate, now: Millis) {
+fn take(loads: &mut LoadTracker, endpoints: &[Arc<Endpoint>], heard: &PeerUpdate, now: Millis) {
     for endpoint in endpoints {
         let others = heard.endpoints.get(&short_id(&endpoint.id));
         let in_flight = others.map_or(0, |others| others.in_flight);
-        loads.others(&endpoint.id, in_flight, now);
+        loads.set_others(&endpoint.id, in_flight, now);
     }
 }
 
--- a/crates/core/tests/routing/choose.rs
+++ b/crates/core/tests/routing/choose.rs
@@ -1,8 +1,8 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::DataCentreId;
-use medlarrill_core::routing::choose::{Candidate, Choice, Why, choose};
-use medlarrill_core::routing::health::Standing;
+use medlarrill_core::routing::choose::{Candidate, Choice, ChoiceReason, choose};
+use medlarrill_core::routing::health::HealthStatus;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
@@ -35,7 +35,7 @@
     for key in 0..200 {
         let (one, other) = (by_prefix(&all, key), by_prefix(&reversed, key));
         expect_that!(one.endpoint.id, eq(&other.endpoint.id));
-        expect_that!(one.why, eq(Why::First));
+        expect_that!(one.reason, eq(ChoiceReason::First));
         expect_that!(one.source, none());
     }
 }
@@ -48,7 +48,7 @@
     all[at].load = 20.0;
     let next = by_prefix(&all, 7);
     expect_that!(next.endpoint.id, not(eq(&first.endpoint.id)));
-    expect_that!(next.why, eq(Why::Next));
+    expect_that!(next.reason, eq(ChoiceReason::Next));
     let source = next.source.expect("a source");
     expect_that!(source.id, eq(&first.endpoint.id));
 }
@@ -69,7 +69,7 @@
     for (number, candidate) in all.iter_mut().enumerate() {
         match number < 3 {
             true => candidate.load = 100.0 + number as f64,
-            false => candidate.standing = Standing::Down,
+            false => candidate.health = HealthStatus::Down,
         }
     }
     let choice = by_prefix(&all, 7);
@@ -172,14 +172,14 @@
 fn endpoints_that_fail_are_avoided_and_tried_now_and_then() {
     let mut all = candidates(3, 2.0);
     all[1].load = 0.0;
-    all[1].standing = Standing::Trial;
+    all[1].health = HealthStatus::Trial;
     expect_that!(drawn(&all, false)[1], eq(0));
     expect_that!(drawn(&all, true)[1], gt(1000));
     let mut rng = Pcg32::seed_from_u64(1);
     let choices = (0..100).filter_map(|_| choose(&all, None, 0.0, &near(), true, &mut rng));
     for choice in choices {
         let is_tried = choice.endpoint.id.endpoint.as_str() == "e1";
-        expect_that!(choice.trial, eq(is_tried));
+        expect_that!(choice.probe, eq(is_tried));
     }
 }
 
@@ -187,6 +187,6 @@
 fn a_second_attempt_goes_elsewhere_even_to_an_endpoint_in_trouble() {
     let mut all = candidates(2, 0.0);
     all[0].tried = true;
-    all[1].standing = Standing::Down;
+    all[1].health = HealthStatus::Down;
     expect_that!(by_load(&all, false).endpoint.id.endpoint.as_str(), eq("e1"));
 }
--- a/crates/core/tests/routing/config.rs
+++ b/crates/core/tests/routing/config.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{
-    Account, CallerLimits, Configuration, Denied, Repeat, Route, Share, Version,
+    Account, CallerLimits, Configuration, Denied, PoolShare, RetryPolicy, Route, Version,
 };
 use medlarrill_core::units::ByteSize;
 
@@ -20,7 +20,7 @@
     Route {
         name: prefix.into(),
         prefix: prefix.into(),
-        ..route(Repeat::Always, 1)
+        ..route(RetryPolicy::Always, 1)
     }
 }
 
@@ -41,7 +41,7 @@
 
 #[gtest]
 fn a_split_route_draws_pools_by_weight() {
-    let share = |pool: &str, weight| Share {
+    let share = |pool: &str, weight| PoolShare {
         pool: pool.parse().expect("a name"),
         weight,
     };
@@ -71,7 +71,7 @@
     let config = config(vec![at("/a/")]).with_accounts(accounts);
     let closed = at("/a/");
     let open = Route {
-        open: true,
+        auth_exempt: true,
         ..at("/a/")
     };
     expect_that!(config.account(&closed, Some("key")), ok(some(anything())));
--- a/crates/core/tests/routing/events.rs
+++ b/crates/core/tests/routing/events.rs
@@ -1,27 +1,27 @@
 use bytes::Bytes;
 use googletest::prelude::*;
-use medlarrill_core::routing::events::Splitter;
+use medlarrill_core::routing::events::EventSplitter;
 use proptest::prelude::*;
 
 const STREAM: &[u8] = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid:3\r\ndata: c\r\n\r\n";
 
 #[gtest]
 fn whole_events_are_handed_on_and_an_unfinished_one_is_held() {
-    let mut splitter = Splitter::new(None);
+    let mut splitter = EventSplitter::new(None);
     let whole = splitter.push(&Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
     expect_that!(whole, eq(&Bytes::from_static(b"id: 1\ndata: a\n\n")));
-    expect_that!(splitter.last(), some(eq(1)));
-    expect_that!(splitter.is_unfinished(), eq(true));
-    splitter.trim();
-    expect_that!(splitter.is_unfinished(), eq(false));
+    expect_that!(splitter.last_id(), some(eq(1)));
+    expect_that!(splitter.has_partial(), eq(true));
+    splitter.discard_partial();
+    expect_that!(splitter.has_partial(), eq(false));
     let next = splitter.push(&Bytes::from_static(b"id: 2\ndata: b\n\n"));
     expect_that!(next, eq(&Bytes::from_static(b"id: 2\ndata: b\n\n")));
-    expect_that!(splitter.last(), some(eq(2)));
+    expect_that!(splitter.last_id(), some(eq(2)));
 }
 
 #[gtest]
 fn a_stream_that_goes_on_starts_from_the_callers_event() {
-    expect_that!(Splitter::new(Some(12)).last(), some(eq(12)));
+    expect_that!(EventSplitter::new(Some(12)).last_id(), some(eq(12)));
 }
 
 proptest! {
@@ -30,7 +30,7 @@
         let mut cuts = cuts;
         cuts.sort_unstable();
         cuts.push(STREAM.len());
-        let mut splitter = Splitter::new(None);
+        let mut splitter = EventSplitter::new(None);
         let mut got = Vec::new();
         let mut from = 0;
         for to in cuts {
@@ -40,7 +40,7 @@
             from = to;
         }
         prop_assert_eq!(got.as_slice(), STREAM);
-        prop_assert_eq!(splitter.last(), Some(3));
-        prop_assert!(!splitter.is_unfinished());
+        prop_assert_eq!(splitter.last_id(), Some(3));
+        prop_assert!(!splitter.has_partial());
     }
 }
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -1,7 +1,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::mirror::{Change, GRACE, Mirror, Object, Update};
+use medlarrill_core::routing::mirror::{Change, Mirror, Object, REMOVAL_GRACE, Update};
 
 fn object(name: &str, revision: u64) -> Object {
     Object {
@@ -24,7 +24,7 @@
 
 fn list(changes: Vec<Change>, revision: u64) -> Update {
     Update {
-        whole: true,
+        complete: true,
         changes,
         revision,
     }
@@ -32,7 +32,7 @@
 
 fn changes(changes: Vec<Change>, revision: u64) -> Update {
     Update {
-        whole: false,
+        complete: false,
         changes,
         revision,
     }
@@ -111,7 +111,7 @@
 #[gtest]
 fn after_an_outage_a_missing_object_is_kept_until_the_grace_has_passed() {
     let mut mirror = mirror();
-    mirror.platform_back(Millis(4000), Millis(5000));
+    mirror.platform_recovered(Millis(4000), Millis(5000));
     let at = Millis(5100);
     expect_that!(
         mirror
@@ -120,13 +120,13 @@
         eq(0)
     );
     expect_that!(mirror.tick(Millis(6900)).len(), eq(0));
-    expect_that!(mirror.tick(Millis(5000) + GRACE).len(), eq(1));
+    expect_that!(mirror.tick(Millis(5000) + REMOVAL_GRACE).len(), eq(1));
 }
 
 #[gtest]
 fn an_object_that_is_back_within_the_grace_stays() {
     let mut mirror = mirror();
-    mirror.platform_back(Millis(4000), Millis(5000));
+    mirror.platform_recovered(Millis(4000), Millis(5000));
     let at = Millis(5100);
     mirror.apply(list(vec![put("a", 3)], 12), Some(at), at);
     let at = Millis(5900);
@@ -146,7 +146,7 @@
         eq(0)
     );
     expect_that!(
-        mirror.tick(at + GRACE),
+        mirror.tick(at + REMOVAL_GRACE),
         elements_are![eq(&removed("b", 12))]
     );
 }
@@ -157,9 +157,9 @@
     let mut mirror = mirror();
     let at = Millis(1500);
     mirror.apply(changes(Vec::new(), 10), Some(at), at);
-    mirror.fail(Millis(1600), Millis(2000));
-    mirror.fail(Millis(1600), Millis(3400));
-    expect_that!(mirror.failing(Millis(3500)), some(eq(Millis(1900))));
+    mirror.record_failure(Millis(1600), Millis(2000));
+    mirror.record_failure(Millis(1600), Millis(3400));
+    expect_that!(mirror.outage(Millis(3500)), some(eq(Millis(1900))));
     let at = Millis(3600);
     expect_that!(
         mirror
@@ -167,14 +167,14 @@
             .len(),
         eq(0)
     );
-    expect_that!(mirror.failing(at), none());
+    expect_that!(mirror.outage(at), none());
 }
 
 #[gtest]
 fn an_outage_of_one_source_is_none_where_another_is_up_to_date() {
     let mut mirror = mirror();
     for at in [1000, 1500, 2000, 2500] {
-        mirror.fail(Millis(100), Millis(at - 10));
+        mirror.record_failure(Millis(100), Millis(at - 10));
         mirror.apply(changes(Vec::new(), 10), Some(Millis(at)), Millis(at));
     }
     let at = Millis(2600);
@@ -204,7 +204,7 @@
     for at in [Millis(2500), Millis(5000)] {
         mirror.apply(changes(Vec::new(), 10), Some(at), at);
     }
-    mirror.platform_back(Millis(300), Millis(5000));
+    mirror.platform_recovered(Millis(300), Millis(5000));
     let at = Millis(5100);
     expect_that!(
         mirror
@@ -224,13 +224,13 @@
         at,
     );
     let update = mirror.since(Some(10)).expect("an update");
-    expect_that!(update.whole, eq(false));
+    expect_that!(update.complete, eq(false));
     expect_that!(
         update.changes,
         unordered_elements_are![eq(&put("c", 12)), eq(&removed("a", 13))]
     );
     let whole = mirror.since(Some(4)).expect("an update");
-    expect_that!(whole.whole, eq(true));
+    expect_that!(whole.complete, eq(true));
     expect_that!(whole.changes.len(), eq(2));
     expect_that!(Mirror::default().since(None), none());
 }
@@ -238,7 +238,7 @@
 #[gtest]
 fn a_removal_that_waited_reaches_a_follower_that_is_at_its_revision() {
     let mut mirror = mirror();
-    mirror.platform_back(Millis(4000), Millis(5000));
+    mirror.platform_recovered(Millis(4000), Millis(5000));
     let at = Millis(5100);
     mirror.apply(list(vec![put("a", 3)], 12), Some(at), at);
     mirror.tick(Millis(8000));
@@ -289,10 +289,10 @@
     let mut calm = mirror();
     calm.apply(lapse(), Some(at), at);
     let mut after_outage = mirror();
-    after_outage.platform_back(Millis(5000), at);
+    after_outage.platform_recovered(Millis(5000), at);
     after_outage.apply(lapse(), Some(at), at);
     for mirror in [&mut calm, &mut after_outage] {
-        expect_that!(mirror.tick(at + GRACE), is_empty());
+        expect_that!(mirror.tick(at + REMOVAL_GRACE), is_empty());
         let all = mirror.since(None).expect("a list");
         expect_that!(all.changes.len(), eq(2));
     }
@@ -318,10 +318,10 @@
 
 #[gtest]
 fn what_operators_remove_is_gone_at_once_after_an_outage() {
-    for (mut copy, waits) in [(Mirror::lasting(), false), (Mirror::default(), true)] {
+    for (mut copy, waits) in [(Mirror::persistent(), false), (Mirror::default(), true)] {
         let start = Millis(60_000);
         copy.apply(list(vec![put("z", 3)], 3), Some(start), start);
-        copy.fail(start, start + Millis(3000));
+        copy.record_failure(start, start + Millis(3000));
         let back = start + Millis(6000);
         let changes = copy.apply(list(Vec::new(), 9), Some(back), back);
         expect_that!(changes.is_empty(), eq(waits));
@@ -344,7 +344,7 @@
             under_way.extract_if(.., |(at, _, _)| *at == now).collect();
         for (_, to, age) in arrived {
             let heard = Millis(now) - age;
-            if copies[to].is_news(heard) {
+            if copies[to].should_notify(heard) {
                 senders.push(to);
             }
             copies[to].apply(changes(vec![], 10), Some(heard), Millis(now));
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -4,7 +4,9 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_core::routing::overload::{Paces, Valve, come_back, may_refuse};
+use medlarrill_core::routing::overload::{
+    AdmissionControl, ResponseRates, may_refuse, retry_after,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -50,7 +52,7 @@
     /// Arrival and end of each run.
     running: Vec<(u64, u64)>,
     history: Vec<Known>,
-    daemons: Vec<(Paces, Valve)>,
+    daemons: Vec<(ResponseRates, AdmissionControl)>,
     /// Refused callers, and when they come back.
     refused: Vec<(u64, u64)>,
     got: Got,
@@ -99,10 +101,10 @@
         };
         let load = self.history[known].load;
         let (paces, valve) = &mut self.daemons[daemon];
-        let Some(time) = paces.time(&id("e"), load, Millis(now)) else {
+        let Some(time) = paces.response_time(&id("e"), load, Millis(now)) else {
             return true;
         };
-        let share = valve.take(time, TARGET, Millis(now));
+        let share = valve.update(time, TARGET, Millis(now));
         !may_refuse(load, SLOTS as u32) || self.rng.random::<f64>() < share
     }
 
@@ -153,7 +155,7 @@
         for (number, (paces, _)) in self.daemons.iter_mut().enumerate() {
             // Daemons tick at different times.
             if (now + number as u64 * 7).is_multiple_of(TICK) {
-                paces.answers(&id("e"), answers, Millis(now));
+                paces.record(&id("e"), answers, Millis(now));
             }
         }
     }
@@ -182,21 +184,24 @@
 
 #[gtest]
 fn the_pace_of_an_endpoint_is_believed_after_a_second() {
-    let mut paces = Paces::default();
+    let mut paces = ResponseRates::default();
     for now in 0..30 {
-        paces.answers(&id("e"), 10, Millis(now * 100));
-        let time = paces.time(&id("e"), 50.0, Millis(now * 100));
+        paces.record(&id("e"), 10, Millis(now * 100));
+        let time = paces.response_time(&id("e"), 50.0, Millis(now * 100));
         expect_that!(time.is_some(), eq(now >= 10), "{now}");
     }
-    let time = paces.time(&id("e"), 50.0, Millis(2900));
+    let time = paces.response_time(&id("e"), 50.0, Millis(2900));
     expect_that!(time, some(near(500.0, 50.0)));
-    expect_that!(paces.time(&id("other"), 50.0, Millis(2900)), none());
+    expect_that!(
+        paces.response_time(&id("other"), 50.0, Millis(2900)),
+        none()
+    );
 }
 
 #[gtest]
 fn a_share_of_requests_is_taken_however_long_they_take() {
-    let mut valve = Valve::default();
-    let take = |round| valve.take(10_000.0, TARGET, Millis(round * 100));
+    let mut valve = AdmissionControl::default();
+    let take = |round| valve.update(10_000.0, TARGET, Millis(round * 100));
     let shares: Vec<f64> = (0..200_u64).map(take).collect();
     expect_that!(shares[199], near(0.2, 1e-9));
     // Requests that take little are all taken again, but not at once.
@@ -204,7 +209,7 @@
     let mut rounds = 200_u64;
     while share < 1.0 {
         rounds += 1;
-        share = valve.take(0.0, TARGET, Millis(rounds * 100));
+        share = valve.update(0.0, TARGET, Millis(rounds * 100));
     }
     expect_that!(rounds, all!(gt(205), lt(260)));
 }
@@ -217,6 +222,6 @@
 
 #[gtest]
 fn a_refused_caller_comes_back_while_it_can_still_be_answered_in_time() {
-    expect_that!(come_back(TARGET, 0.0), eq(Millis(30)));
-    expect_that!(come_back(TARGET, 1.0), eq(Millis(90)));
+    expect_that!(retry_after(TARGET, 0.0), eq(Millis(30)));
+    expect_that!(retry_after(TARGET, 1.0), eq(Millis(90)));
 }
--- a/crates/daemon/src/home/view.rs
+++ b/crates/daemon/src/home/view.rs
@@ -43,7 +43,7 @@
                 .collect();
             for endpoint in gone {
                 view.remove_endpoint(&endpoint);
-                self.directory.drop_endpoint(&endpoint);
+                self.directory.remove_endpoint(&endpoint);
             }
         }
     }
@@ -138,7 +138,7 @@
             return;
         };
         if slot.own {
-            view.set_own(endpoint, slot.occupancy(now), now);
+            view.set_own_load(endpoint, slot.occupancy(now), now);
         }
         let state = match slot.home.state() {
             State::Ready | State::Unconfirmed | State::Moved => EndpointState::Ready,
@@ -152,11 +152,11 @@
     fn distance(&self, centre: &DataCentreId) -> Distance {
         let settings = &self.context.settings;
         if *centre == settings.data_centre {
-            return Distance::Centre;
+            return Distance::SameDataCentre;
         }
         match self.fleet.regions.get(centre) {
-            Some(region) if *region != settings.region => Distance::Far,
-            _ => Distance::Region,
+            Some(region) if *region != settings.region => Distance::OtherRegion,
+            _ => Distance::SameRegion,
         }
     }
 }
--- a/crates/lab/src/policy/fleet/daemon.rs
+++ b/crates/lab/src/policy/fleet/daemon.rs
@@ -7,7 +7,7 @@
 use medlarrill_core::config::{Pool, PoolKind};
 use medlarrill_core::ids::{ChatHash, DaemonId, DataCentreId, EndpointId, RegionId};
 use medlarrill_core::placement::{
-    Daemon, Directory, Distance, EndpointState, Fleet, Occupancy, Place, PoolView, Why,
+    Daemon, Directory, Distance, EndpointState, Fleet, Occupancy, Place, PlacementReason, PoolView,
 };
 use medlarrill_core::units::Tokens;
 use rand::{RngExt, SeedableRng};
@@ -61,12 +61,12 @@
     id.as_str()[1..].parse().expect("names end in their number")
 }
 
-pub(super) fn name_of(why: Why) -> &'static str {
+pub(super) fn name_of(why: PlacementReason) -> &'static str {
     match why {
-        Why::Returned => "returned",
-        Why::SecondPlace => "second-place",
-        Why::Spilled => "spilled",
-        Why::New => "new",
+        PlacementReason::Returned => "returned",
+        PlacementReason::SecondPlace => "second-place",
+        PlacementReason::Spilled => "spilled",
+        PlacementReason::New => "new",
     }
 }
 
@@ -107,9 +107,9 @@
         for (endpoint, name) in plant.names.endpoints.iter().enumerate() {
             let at = centre_of(size, endpoint);
             let distance = match () {
-                () if at == centre => Distance::Centre,
-                () if size.centres[at].region == region => Distance::Region,
-                () => Distance::Far,
+                () if at == centre => Distance::SameDataCentre,
+                () if size.centres[at].region == region => Distance::SameRegion,
+                () => Distance::OtherRegion,
             };
             daemon.pool.set_endpoint(name, distance);
             daemon.pool.set_state(name, EndpointState::Ready);
@@ -204,7 +204,7 @@
             room: free && home.queued() == 0,
         };
         self.pool
-            .set_own(&plant.names.endpoints[endpoint], counted, now);
+            .set_own_load(&plant.names.endpoints[endpoint], counted, now);
     }
 
     /// Work that must go before a home can dispatch one more request.
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::routing::answer::AnswerHead;
 use medlarrill_core::routing::attempt::Fault;
 use medlarrill_core::routing::endpoint::{Endpoint, InstanceId};
-use medlarrill_core::routing::plan::{Next, Plan, Refusal};
+use medlarrill_core::routing::plan::{Next, Refusal, RetryPlan};
 use medlarrill_core::routing::view::ChooseError;
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
@@ -91,7 +91,7 @@
 /// Sends a request until an endpoint answers, or no further attempt is possible.
 pub async fn dispatch(
     routed: &RoutedRequest,
-    plan: &mut Plan,
+    plan: &mut RetryPlan,
     last_event: Option<u64>,
     trace: &mut Trace,
 ) -> Dispatched {
@@ -161,7 +161,7 @@
 /// Sends a request to one endpoint and waits for its response.
 async fn attempt(
     routed: &RoutedRequest,
-    plan: &Plan,
+    plan: &RetryPlan,
     endpoint: &Endpoint,
     in_flight: InFlight,
     request: Request<Full<Bytes>>,
@@ -182,20 +182,20 @@
 /// Records and logs a failed attempt; returns whether to try again.
 fn record_failure(
     routed: &RoutedRequest,
-    plan: &mut Plan,
+    plan: &mut RetryPlan,
     id: &InstanceId,
     failed: &FailedAttempt,
     trace: &Trace,
 ) -> Next {
     let next = routed.record_failure(plan, id, failed.fault, now());
     let budget = routed.shared.placement.retry_budget(&routed.pool, now());
-    trace.log_fault(failed.fault, &failed.cause, next == Next::Again, &budget);
+    trace.log_fault(failed.fault, &failed.cause, next == Next::Retry, &budget);
     next
 }
 
 /// Timeout for the head of a response.
-fn head_timeout(plan: &Plan) -> Millis {
-    let patience = plan.patience(now());
+fn head_timeout(plan: &RetryPlan) -> Millis {
+    let patience = plan.attempt_timeout(now());
     let left = plan.deadline().since(now());
     if patience >= left {
         left + DEADLINE_GRACE
@@ -207,7 +207,7 @@
 /// Checks the head of a response, and reads its body unless it is a stream.
 async fn receive(
     routed: &RoutedRequest,
-    plan: &Plan,
+    plan: &RetryPlan,
     sent: Sent,
     in_flight: InFlight,
     endpoint: InstanceId,
@@ -229,14 +229,15 @@
             headers,
             body,
             connection: sent.connection,
-            idle_timeout: decoded.keep,
+            idle_timeout: decoded.keep_alive,
             is_framed: decoded.framed,
             in_flight,
             endpoint,
         })));
     }
     let body = read_body(plan, body).await?;
-    sent.connection.release(decoded.keep, routed.idle_limit());
+    sent.connection
+        .release(decoded.keep_alive, routed.idle_limit());
     let answer = FullAnswer {
         status: head.status,
         headers,
@@ -262,14 +263,14 @@
     if let Some(load) = head.load {
         placement.update_load(id, load, now());
     }
-    if let Some(left) = head.warming {
+    if let Some(left) = head.slow_start {
         placement.begin_slow_start(id, left, now());
     }
     placement.apply_notice(id, head.notice(), sent_at, &routed.call.attempt);
 }
 
 /// Reads the complete body of a response that isn't a stream.
-async fn read_body(plan: &Plan, body: Incoming) -> Result<Bytes> {
+async fn read_body(plan: &RetryPlan, body: Incoming) -> Result<Bytes> {
     let left = plan.deadline().since(now()) + DEADLINE_GRACE;
     let reading = Limited::new(body, MAX_ANSWER).collect();
     match tokio::time::timeout(left.as_duration(), reading).await {
--- a/crates/router/src/entry/handler.rs
+++ b/crates/router/src/entry/handler.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::config::{Account, Configuration};
 use medlarrill_core::routing::fingerprint::Fingerprint;
-use medlarrill_core::routing::plan::{Plan, Refusal};
+use medlarrill_core::routing::plan::{Refusal, RetryPlan};
 use medlarrill_core::routing::stop::Stage;
 use medlarrill_net::now::now;
 use medlarrill_platform::headers;
@@ -172,8 +172,8 @@
 
 /// Dispatches a request and answers the caller.
 async fn serve(routed: RoutedRequest, arrived: Millis, mut trace: Trace) -> Answer {
-    let wait = routed.call.wait.unwrap_or(Millis::MAX);
-    let plan = Plan::new(&routed.route, arrived + wait.min(routed.route.timeout));
+    let wait = routed.call.timeout.unwrap_or(Millis::MAX);
+    let plan = RetryPlan::new(&routed.route, arrived + wait.min(routed.route.timeout));
     let mut plan = plan.with_fingerprint(routed.fingerprint);
     routed.shared.placement.record_request(&routed.pool, now());
     let last_event = routed.call.last_event;
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -8,10 +8,10 @@
 use hyper::body::{Frame, Incoming};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::attempt::Fault;
-use medlarrill_core::routing::config::Repeat;
+use medlarrill_core::routing::config::RetryPolicy;
 use medlarrill_core::routing::endpoint::InstanceId;
-use medlarrill_core::routing::events::Splitter;
-use medlarrill_core::routing::plan::{Next, Plan};
+use medlarrill_core::routing::events::EventSplitter;
+use medlarrill_core::routing::plan::{Next, RetryPlan};
 use medlarrill_net::now::now;
 
 use super::answer::{Answer, BrokenStream, full_answer};
@@ -31,10 +31,10 @@
 #[derive(Debug)]
 struct StreamRelay {
     routed: RoutedRequest,
-    plan: Plan,
+    plan: RetryPlan,
     trace: Trace,
     source: Option<Source>,
-    splitter: Splitter,
+    splitter: EventSplitter,
 }
 
 /// The endpoint's response from which events are read.
@@ -60,10 +60,10 @@
 }
 
 /// Creates the response that relays a stream.
-pub fn start(routed: RoutedRequest, plan: Plan, stream: OpenStream, trace: Trace) -> Answer {
+pub fn start(routed: RoutedRequest, plan: RetryPlan, stream: OpenStream, trace: Trace) -> Answer {
     let headers = stream.headers.clone();
     let relay = StreamRelay {
-        splitter: Splitter::new(routed.call.last_event),
+        splitter: EventSplitter::new(routed.call.last_event),
         source: Some(stream.into()),
         routed,
         plan,
@@ -97,7 +97,7 @@
 
 impl StreamRelay {
     fn may_resume(&self) -> bool {
-        self.routed.route.repeat == Repeat::Resume
+        self.routed.route.retry == RetryPolicy::Resume
     }
 
     /// Returns the next bytes for the caller, `None` at the end of the stream.
@@ -133,7 +133,7 @@
         match frame {
             Err(_) => Piece::Fault(Fault::Slow, format!("no event in {wait}")),
             Ok(Some(Err(error))) => Piece::Fault(Fault::Cut, error.to_string()),
-            Ok(None) if resumes && self.splitter.is_unfinished() => {
+            Ok(None) if resumes && self.splitter.has_partial() => {
                 Piece::Fault(Fault::Cut, "ended within an event".into())
             }
             Ok(None) => Piece::End,
@@ -177,12 +177,12 @@
         let placement = &self.routed.shared.placement;
         let budget = placement.retry_budget(&self.routed.pool, now());
         self.trace
-            .log_fault(fault, cause, next == Next::Again, &budget);
-        if next != Next::Again {
+            .log_fault(fault, cause, next == Next::Retry, &budget);
+        if next != Next::Retry {
             return false;
         }
-        self.splitter.trim();
-        let last = self.splitter.last();
+        self.splitter.discard_partial();
+        let last = self.splitter.last_id();
         let dispatched = dispatch(&self.routed, &mut self.plan, last, &mut self.trace).await;
         let Dispatched::Stream(stream) = dispatched else {
             return false;
--- a/crates/router/src/entry/trace.rs
+++ b/crates/router/src/entry/trace.rs
@@ -89,9 +89,9 @@
         let list_age = self.shared.copies.age(Kind::Endpoints, now());
         log::info!(
             target: "entry", request = self.request, attempt = self.attempts, version = self.version,
-            endpoint:% = choice.endpoint.id, why:% = choice.why, load = choice.load,
+            endpoint:% = choice.endpoint.id, why:% = choice.reason, load = choice.load,
             load_age = choice.load_age.map(|age| age.0), list_age = list_age.map(|age| age.0),
-            bound = choice.bound, trial = choice.trial, left = left.0,
+            bound = choice.bound, trial = choice.probe, left = left.0,
             prefix = shared_prefix.map_or(0, |prefix| prefix.key), tokens = shared_prefix.map_or(0, |prefix| prefix.tokens.0),
             source = choice.source.as_ref().map_or_else(String::new, |source| source.id.to_string());
             "entry: sent"
--- a/crates/router/src/store/apply.rs
+++ b/crates/router/src/store/apply.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use medlarrill_core::ids::EndpointId;
-use medlarrill_core::routing::birth::Entry;
 use medlarrill_core::routing::config::Configuration;
 use medlarrill_core::routing::endpoint::{Endpoint, Listing};
+use medlarrill_core::routing::instance::EntryKind;
 use medlarrill_core::routing::mirror::{Change, Object};
 use medlarrill_core::routing::view::ListingChange;
 use medlarrill_net::now::now;
@@ -180,7 +180,10 @@
     /// Applies an endpoint's entry. Anyone may write entries: one that can't be decoded, or that
     /// isn't the endpoint's own, leaves no usable endpoint of that name, even if there was one.
     fn put_entry(&self, object: &Object) -> Option<AppliedEntry> {
-        let Listing { endpoint, warming } = match objects::endpoint(object) {
+        let Listing {
+            endpoint,
+            slow_start,
+        } = match objects::endpoint(object) {
             Ok(listing) => listing,
             Err(error) => {
                 self.unreadable
@@ -192,9 +195,9 @@
         let listed = self.placement.upsert(endpoint.clone(), now());
         if !matches!(listed, ListingChange::Ignored(_)) {
             self.placement
-                .begin_slow_start(&endpoint.id, warming, now());
+                .begin_slow_start(&endpoint.id, slow_start, now());
         }
-        if listed == ListingChange::Ignored(Entry::Foreign) {
+        if listed == ListingChange::Ignored(EntryKind::Foreign) {
             let error = objects::start_missing();
             self.unreadable
                 .report(Kind::Endpoints, &object.name, &error);
@@ -225,7 +228,7 @@
     let (id, pool) = (&endpoint.id, endpoint.pool.as_str());
     let (address, leaving) = (endpoint.address, endpoint.leaving);
     match listed {
-        ListingChange::Same | ListingChange::Ignored(Entry::Foreign) => {}
+        ListingChange::Same | ListingChange::Ignored(EntryKind::Foreign) => {}
         ListingChange::Changed => log::info!(
             target: "store", endpoint:% = id, pool, address:%, leaving, revision;
             "store: endpoint listed"
--- a/crates/router/src/store/direct.rs
+++ b/crates/router/src/store/direct.rs
@@ -264,7 +264,7 @@
             return Ok(false);
         };
         let update = Update {
-            whole: true,
+            complete: true,
             changes: objects.into_iter().map(Change::Put).collect(),
             revision,
         };
@@ -288,7 +288,7 @@
             .report_all_unreadable(self.kind, &changes.unreadable);
         let is_quiet = changes.changes.is_empty();
         let update = Update {
-            whole: false,
+            complete: false,
             changes: changes.changes,
             revision: changes.revision,
         };
