--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -15,11 +15,11 @@
 mod backoff;
 mod chain;
 mod claimant;
-mod farewell;
 mod hash;
 mod held;
 mod log;
 mod record;
+mod shutdown;
 mod table;
 mod tickets;
 
@@ -29,7 +29,6 @@
     Action as ClaimantAction, Claimant, ClaimantLimits, End, Event as ClaimantEvent, KeyState,
     Start,
 };
-pub use farewell::{Account, FAREWELL_PREFIX, Farewell};
 pub use hash::{Digest, HashError, KeyHash, shard_of};
 pub use held::{HeldAnswer, HeldLimits};
 pub use log::{
@@ -40,6 +39,7 @@
     Batch, Body, Checkpoint, Close, Entry, Holder, Open, Record, RecordError, Span, Void,
     object_key, object_number, shard_prefix,
 };
+pub use shutdown::{Account, SHUTDOWN_PREFIX, ShutdownRecord};
 pub use table::{Claim, ClaimId, Table};
 pub use tickets::{
     Redemption, Ticket, TicketAction, TicketError, TicketEvent, TicketHolder, TicketLimits, Tickets,
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -13,10 +13,10 @@
 
 use derive_more::Debug;
 
-use crate::claims::farewell::Account;
 use crate::claims::hash::KeyHash;
 use crate::claims::held::HeldAnswers;
 use crate::claims::log::{Member, Verdict};
+use crate::claims::shutdown::Account;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
@@ -80,8 +80,10 @@
             Event::AskLost { ask } => self.retry(ask, now),
             Event::KeyAsked { from, ask } => self.key_asked(from, &ask, now),
             Event::KeyAnswer(answer) => self.key_answer(answer, now),
-            Event::KeyAskLost { ask } => self.read_farewell(ask),
-            Event::Farewell { claimant, bytes } => self.farewell_read(claimant, bytes, now),
+            Event::KeyAskLost { ask } => self.read_shutdown_record(ask),
+            Event::ShutdownRecord { claimant, bytes } => {
+                self.shutdown_record_read(claimant, bytes, now);
+            }
             Event::Ended { request, end } => self.ended(request, end, now),
             Event::Cancelled { request } => self.cancelled(request),
             Event::Stop => self.stop(),
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -66,7 +66,7 @@
         ask: u64,
     },
     /// The object that a claimant left; `None` if there is none or it can't be read.
-    Farewell {
+    ShutdownRecord {
         /// The claimant.
         claimant: Incarnation,
         /// The object.
@@ -121,7 +121,7 @@
         ask: KeyAsk,
     },
     /// Read the object that a claimant left.
-    ReadFarewell {
+    ReadShutdownRecord {
         /// The claimant.
         claimant: Incarnation,
     },
--- a/crates/core/src/claims/claimant/keys.rs
+++ b/crates/core/src/claims/claimant/keys.rs
@@ -5,8 +5,8 @@
 use derive_more::Debug;
 
 use crate::claims::claimant::event::Start;
-use crate::claims::farewell::Account;
 use crate::claims::hash::KeyHash;
+use crate::claims::shutdown::Account;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -5,9 +5,9 @@
 use crate::claims::claimant::Claimant;
 use crate::claims::claimant::event::{Action, End, KeyState};
 use crate::claims::claimant::keys::Phase;
-use crate::claims::farewell::Farewell;
 use crate::claims::hash::KeyHash;
 use crate::claims::held::HeldAnswer;
+use crate::claims::shutdown::ShutdownRecord;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
@@ -53,7 +53,7 @@
             KeyState::Running => self.finish(&key, Reason::KeyRunning),
             KeyState::Ran => self.finish(&key, Reason::KeyRan),
             KeyState::NotRun => self.ask_instead(&key, holder, now),
-            KeyState::Unknown => self.read_farewell(answer.ask),
+            KeyState::Unknown => self.read_shutdown_record(answer.ask),
             KeyState::Held => {
                 let Some(request) = self.drop_pending(&key) else {
                     return;
@@ -90,7 +90,7 @@
     }
 
     /// Looks for the last word of a holder that can't say what became of the key.
-    pub(super) fn read_farewell(&mut self, ask: u64) {
+    pub(super) fn read_shutdown_record(&mut self, ask: u64) {
         let Some((key, holder)) = self.inquiry(ask) else {
             return;
         };
@@ -102,17 +102,17 @@
             };
         }
         let claimant = holder.claimant;
-        self.actions.push(Action::ReadFarewell { claimant });
+        self.actions.push(Action::ReadShutdownRecord { claimant });
     }
 
-    pub(super) fn farewell_read(
+    pub(super) fn shutdown_record_read(
         &mut self,
         claimant: Incarnation,
         bytes: Option<Bytes>,
         now: Millis,
     ) {
-        let farewell = bytes.and_then(|bytes| Farewell::read(bytes).ok());
-        let farewell = farewell.filter(|f| f.writer == claimant.0);
+        let record = bytes.and_then(|bytes| ShutdownRecord::read(bytes).ok());
+        let record = record.filter(|f| f.writer == claimant.0);
         for key in self.keys.pending() {
             let Some(Phase::Inquiring {
                 holder,
@@ -125,7 +125,7 @@
             if holder.claimant != claimant {
                 continue;
             }
-            let outcome = farewell.as_ref().map(|f| f.claim(holder.ask));
+            let outcome = record.as_ref().map(|f| f.claim(holder.ask));
             match outcome.unwrap_or(Outcome::Unknown) {
                 Outcome::Ran => self.finish(&key, Reason::KeyRan),
                 Outcome::NotRun => self.ask_instead(&key, holder, now),
--- a/crates/core/src/claims/farewell.rs
+++ b/crates/core/src/claims/shutdown.rs
@@ -12,12 +12,12 @@
 use crate::outcome::Outcome;
 
 /// Start of the names of all these objects.
-pub const FAREWELL_PREFIX: &str = "farewell/";
+pub const SHUTDOWN_PREFIX: &str = "farewell/";
 
 /// What became of a process's claims and tickets.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Farewell {
+pub struct ShutdownRecord {
     /// The process.
     #[prost(fixed64, tag = "1")]
     pub writer: u64,
@@ -68,7 +68,7 @@
     }
 }
 
-impl Farewell {
+impl ShutdownRecord {
     /// The last word of a process, of use until wall time `expiry`.
     pub const fn new(
         writer: Incarnation,
@@ -92,7 +92,7 @@
 
     /// The name of a process's object.
     pub fn object_key(incarnation: Incarnation) -> String {
-        format!("{FAREWELL_PREFIX}{incarnation}")
+        format!("{SHUTDOWN_PREFIX}{incarnation}")
     }
 
     /// Reads an object.
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -13,10 +13,10 @@
 use derive_more::Debug;
 
 use crate::claims::claimant::End;
-use crate::claims::farewell::Account;
 use crate::claims::hash::Digest;
 use crate::claims::held::HeldAnswers;
 use crate::claims::log::Member;
+use crate::claims::shutdown::Account;
 use crate::clock::Millis;
 use crate::ids::RequestId;
 use crate::reason::Reason;
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, Farewell, HeldAnswer,
-    HeldLimits, KeyHash, KeyState, Start, Verdict,
+    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, HeldAnswer, HeldLimits,
+    KeyHash, KeyState, ShutdownRecord, Start, Verdict,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -290,23 +290,23 @@
         (Some((6, vec![4])), None),
         (None, Some(Reason::KeyUnknown)),
     ];
-    for (farewell, reason) in cases {
+    for (record, reason) in cases {
         let mut claimant = claimant();
         let ask = inquire(&mut claimant);
         let gone = ClaimantEvent::KeyAskLost { ask: ask.ask };
         let reading = claimant.handle(gone, NOW);
         let holder = Incarnation(9);
-        let read = ClaimantAction::ReadFarewell { claimant: holder };
+        let read = ClaimantAction::ReadShutdownRecord { claimant: holder };
         expect_that!(reading, eq(&vec![read]));
-        let bytes = farewell.map(|(next, ran)| {
+        let bytes = record.map(|(next, ran)| {
             let claims = medlarrill_core::claims::Account {
                 next,
                 ran,
                 ..Default::default()
             };
-            Farewell::new(holder, Some(claims), None, Millis::MAX).to_bytes()
+            ShutdownRecord::new(holder, Some(claims), None, Millis::MAX).to_bytes()
         });
-        let event = ClaimantEvent::Farewell {
+        let event = ClaimantEvent::ShutdownRecord {
             claimant: holder,
             bytes,
         };
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, Farewell, LogEvent,
-    LogLimits, Member, ShardLog, Standing, Start,
+    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, LogEvent, LogLimits,
+    Member, ShardLog, ShutdownRecord, Standing, Start,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -47,7 +47,7 @@
     pub now: Millis,
     pub quiet: bool,
     pub platform: Platform,
-    pub farewells: BTreeMap<Incarnation, Bytes>,
+    pub shutdown_records: BTreeMap<Incarnation, Bytes>,
     pub daemons: Vec<Daemon>,
     items: BTreeMap<(Millis, u64), Item>,
     pub cuts: Vec<(usize, usize)>,
@@ -78,7 +78,7 @@
             now: Millis::ZERO,
             quiet: false,
             platform: Platform::default(),
-            farewells: BTreeMap::new(),
+            shutdown_records: BTreeMap::new(),
             daemons: Vec::new(),
             items: BTreeMap::new(),
             cuts: Vec::new(),
@@ -372,10 +372,10 @@
             return;
         };
         let process = target.member.incarnation;
-        let farewell = Farewell::new(process, Some(account), None, Millis::MAX);
+        let record = ShutdownRecord::new(process, Some(account), None, Millis::MAX);
         self.oracle.check_answered(process);
         if !self.down {
-            self.farewells.insert(process, farewell.to_bytes());
+            self.shutdown_records.insert(process, record.to_bytes());
         }
         self.replace(daemon, "restart");
     }
--- a/crates/core/tests/claims/network.rs
+++ b/crates/core/tests/claims/network.rs
@@ -126,11 +126,11 @@
                 let event = ClaimantEvent::KeyAnswer(answer);
                 self.send(daemon, &to, Input::Claimant(event));
             }
-            ClaimantAction::ReadFarewell { claimant } => {
-                let bytes = self.farewells.get(&claimant).cloned();
+            ClaimantAction::ReadShutdownRecord { claimant } => {
+                let bytes = self.shutdown_records.get(&claimant).cloned();
                 let bytes = bytes.filter(|_| !self.down);
                 let at = self.soon(10);
-                let event = ClaimantEvent::Farewell { claimant, bytes };
+                let event = ClaimantEvent::ShutdownRecord { claimant, bytes };
                 self.push_input(daemon, at, Input::Claimant(event));
             }
         }
--- a/crates/core/tests/claims/tickets.rs
+++ b/crates/core/tests/claims/tickets.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Digest, End, Farewell, HeldAnswer, Redemption, Ticket, TicketAction, TicketEvent, TicketHolder,
-    TicketLimits, Tickets,
+    Digest, End, HeldAnswer, Redemption, ShutdownRecord, Ticket, TicketAction, TicketEvent,
+    TicketHolder, TicketLimits, Tickets,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -168,8 +168,8 @@
     tickets.handle(TicketEvent::Stop, NOW);
     let after = redeem(&mut tickets, &numbers[3], 5, NOW);
     expect_that!(after, eq(&refuse(5, Reason::Stopping)));
-    let farewell = Farewell::new(Incarnation(100), None, tickets.account(), Millis::MAX);
-    let read = Farewell::read(farewell.to_bytes()).unwrap();
+    let record = ShutdownRecord::new(Incarnation(100), None, tickets.account(), Millis::MAX);
+    let read = ShutdownRecord::read(record.to_bytes()).unwrap();
     let outcomes: Vec<_> = numbers.iter().map(|t| read.ticket(t.number)).collect();
     let expected = [
         Outcome::Ran,
--- a/crates/daemon/src/claims/calls.rs
+++ b/crates/daemon/src/claims/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform for the claim log; each brings exactly one reply.
 
 use bytes::Bytes;
-use medlarrill_core::claims::{Farewell, Listed, Reply};
+use medlarrill_core::claims::{Listed, Reply, ShutdownRecord};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
 use medlarrill_net::platform::{Client, Error, Listing, Read, Role, Version};
@@ -49,7 +49,7 @@
 
 /// The object that a process left, if it can be read.
 pub(super) async fn farewell(platform: &Client, claimant: Incarnation) -> Option<Bytes> {
-    let key = Farewell::object_key(claimant);
+    let key = ShutdownRecord::object_key(claimant);
     match platform.get(Role::Tickets, &key, None, WAIT).await {
         Ok(Read::Object(object)) => Some(object.value),
         _ => None,
@@ -57,8 +57,8 @@
 }
 
 /// Leaves this process's last word; a lost answer is as good as written or not.
-pub(super) async fn leave(platform: &Client, claimant: Incarnation, farewell: &Farewell) {
-    let key = Farewell::object_key(claimant);
+pub(super) async fn leave(platform: &Client, claimant: Incarnation, farewell: &ShutdownRecord) {
+    let key = ShutdownRecord::object_key(claimant);
     let written = platform.create(Role::Tickets, &key, farewell.to_bytes(), WAIT);
     if let Err(error) = written.await {
         log::warn!(target: "claims", "claims: the last word may not be written: {error}");
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, End, Farewell, KeyHash, LogAction, LogEvent, Member,
-    ShardLog, Start, shard_of,
+    Claimant, ClaimantAction, ClaimantEvent, End, KeyHash, LogAction, LogEvent, Member, ShardLog,
+    ShutdownRecord, Start, shard_of,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, RequestId};
@@ -129,7 +129,7 @@
                 self.drive(shard, LogEvent::Reply { call, reply });
             }
             Message::Farewell(claimant, bytes) => {
-                self.claim(ClaimantEvent::Farewell { claimant, bytes });
+                self.claim(ClaimantEvent::ShutdownRecord { claimant, bytes });
             }
             Message::Stop(done) => self.stop(done),
         }
@@ -221,7 +221,7 @@
                 self.decide(request, Decision::Replay(answer));
             }
             ClaimantAction::TellKey { to, answer } => self.send(&to, Body::KeyAnswer(answer), None),
-            ClaimantAction::ReadFarewell { claimant } => {
+            ClaimantAction::ReadShutdownRecord { claimant } => {
                 let context = Arc::clone(&self.context);
                 tokio::spawn(async move {
                     let bytes = calls::farewell(&context.platform, claimant).await;
@@ -301,7 +301,7 @@
         self.claim(ClaimantEvent::Stop);
         let expiry = wall() + FAREWELL_KEPT;
         let claimant = self.context.me.incarnation;
-        let farewell = Farewell::new(claimant, self.claimant.account(), None, expiry);
+        let farewell = ShutdownRecord::new(claimant, self.claimant.account(), None, expiry);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
             if !farewell.is_empty() {
