--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -39,7 +39,7 @@
     Batch, Body, Checkpoint, Close, Entry, Holder, Open, Record, RecordError, Span, Void,
     object_key, object_number, shard_prefix,
 };
-pub use shutdown::{Account, SHUTDOWN_PREFIX, ShutdownRecord};
+pub use shutdown::{NumberOutcomes, SHUTDOWN_PREFIX, ShutdownRecord};
 pub use table::{Claim, ClaimId, Table};
 pub use tickets::{
     Redemption, Ticket, TicketAction, TicketError, TicketEvent, TicketHolder, TicketLimits, Tickets,
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -16,7 +16,7 @@
 use crate::claims::hash::KeyHash;
 use crate::claims::held::HeldAnswers;
 use crate::claims::log::{Member, Verdict};
-use crate::claims::shutdown::Account;
+use crate::claims::shutdown::NumberOutcomes;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
@@ -112,8 +112,8 @@
     }
 
     /// What became of its claims, for the object that it leaves; only after [`Event::Stop`].
-    pub fn account(&self) -> Option<Account> {
-        self.stopped.then(|| self.keys.account(self.next))
+    pub fn outcomes(&self) -> Option<NumberOutcomes> {
+        self.stopped.then(|| self.keys.outcomes(self.next))
     }
 
     fn start(&mut self, start: Start, now: Millis) {
--- a/crates/core/src/claims/claimant/keys.rs
+++ b/crates/core/src/claims/claimant/keys.rs
@@ -6,7 +6,7 @@
 
 use crate::claims::claimant::event::Start;
 use crate::claims::hash::KeyHash;
-use crate::claims::shutdown::Account;
+use crate::claims::shutdown::NumberOutcomes;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 
@@ -55,7 +55,7 @@
     /// Ended keys by the time at which they are forgotten, then by number.
     ended: BTreeMap<(Millis, u64), KeyHash>,
     /// Of numbers up to this one, some that ran are forgotten.
-    forgot: u64,
+    forgotten: u64,
 }
 
 impl Keys {
@@ -89,7 +89,7 @@
 
     /// Whether a number that ran may be forgotten.
     pub(super) const fn is_forgotten(&self, ask: u64) -> bool {
-        ask <= self.forgot
+        ask <= self.forgotten
     }
 
     /// Remembers that a dispatched key ran or may have run; the earliest to expire make room.
@@ -118,7 +118,7 @@
     fn forget_first(&mut self) {
         if let Some(((_, ask), key)) = self.ended.pop_first() {
             self.entries.remove(&key);
-            self.forgot = self.forgot.max(ask);
+            self.forgotten = self.forgotten.max(ask);
         }
     }
 
@@ -139,7 +139,7 @@
         keys
     }
 
-    pub(super) fn account(&self, next: u64) -> Account {
+    pub(super) fn outcomes(&self, next: u64) -> NumberOutcomes {
         let asks = |wanted: &[Phase]| {
             let entries = self.entries.values();
             let mut asks: Vec<_> = entries
@@ -149,9 +149,9 @@
             asks.sort_unstable();
             asks
         };
-        Account {
+        NumberOutcomes {
             next,
-            forgot: self.forgot,
+            forgotten: self.forgotten,
             ran: asks(&[Phase::Ran]),
             unknown: asks(&[Phase::Unknown, Phase::Running]),
         }
--- a/crates/core/src/claims/shutdown.rs
+++ b/crates/core/src/claims/shutdown.rs
@@ -23,10 +23,10 @@
     pub writer: u64,
     /// Its claims.
     #[prost(message, optional, tag = "2")]
-    pub claims: Option<Account>,
+    pub claims: Option<NumberOutcomes>,
     /// Its tickets.
     #[prost(message, optional, tag = "3")]
-    pub tickets: Option<Account>,
+    pub tickets: Option<NumberOutcomes>,
     /// When the object is of no more use, in milliseconds of wall time.
     #[prost(uint64, tag = "4")]
     pub expiry: u64,
@@ -35,13 +35,13 @@
 /// What became of numbers handed out in order.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Account {
+pub struct NumberOutcomes {
     /// The first number never handed out.
     #[prost(uint64, tag = "1")]
     pub next: u64,
     /// Nothing is known of numbers up to this one.
     #[prost(uint64, tag = "2")]
-    pub forgot: u64,
+    pub forgotten: u64,
     /// Numbers that ran.
     #[prost(uint64, repeated, tag = "3")]
     pub ran: Vec<u64>,
@@ -50,13 +50,13 @@
     pub unknown: Vec<u64>,
 }
 
-impl Account {
+impl NumberOutcomes {
     /// What became of a number.
     pub fn outcome(&self, number: u64) -> Outcome {
         if self.ran.contains(&number) {
             return Outcome::Ran;
         }
-        if number <= self.forgot || number >= self.next || self.unknown.contains(&number) {
+        if number <= self.forgotten || number >= self.next || self.unknown.contains(&number) {
             return Outcome::Unknown;
         }
         Outcome::NotRun
@@ -72,8 +72,8 @@
     /// The last word of a process, of use until wall time `expiry`.
     pub const fn new(
         writer: Incarnation,
-        claims: Option<Account>,
-        tickets: Option<Account>,
+        claims: Option<NumberOutcomes>,
+        tickets: Option<NumberOutcomes>,
         expiry: Millis,
     ) -> Self {
         Self {
@@ -87,7 +87,7 @@
     /// Whether there is anything to say.
     pub fn is_empty(&self) -> bool {
         let accounts = self.claims.iter().chain(&self.tickets);
-        accounts.into_iter().all(Account::is_empty)
+        accounts.into_iter().all(NumberOutcomes::is_empty)
     }
 
     /// The name of a process's object.
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -16,7 +16,7 @@
 use crate::claims::hash::Digest;
 use crate::claims::held::HeldAnswers;
 use crate::claims::log::Member;
-use crate::claims::shutdown::Account;
+use crate::claims::shutdown::NumberOutcomes;
 use crate::clock::Millis;
 use crate::ids::RequestId;
 use crate::reason::Reason;
@@ -39,7 +39,7 @@
     held: HeldAnswers,
     next: u64,
     /// Of numbers up to this one, some that ran are forgotten.
-    forgot: u64,
+    forgotten: u64,
     stopped: bool,
 }
 
@@ -73,7 +73,7 @@
             requests: HashMap::new(),
             held: HeldAnswers::new(TicketLimits::default().held),
             next: 1,
-            forgot: 0,
+            forgotten: 0,
             stopped: false,
         }
     }
@@ -119,15 +119,15 @@
     }
 
     /// What became of its tickets, for the object that it leaves; only after [`TicketEvent::Stop`].
-    pub fn account(&self) -> Option<Account> {
+    pub fn outcomes(&self) -> Option<NumberOutcomes> {
         let numbers = |states: &[State]| {
             let issued = self.issued.iter();
             let wanted = issued.filter(|(_, ticket)| states.contains(&ticket.state));
             wanted.map(|(number, _)| *number).collect()
         };
-        self.stopped.then(|| Account {
+        self.stopped.then(|| NumberOutcomes {
             next: self.next,
-            forgot: self.forgot,
+            forgotten: self.forgotten,
             ran: numbers(&[State::Ran]),
             unknown: numbers(&[State::Unknown, State::Running]),
         })
@@ -196,7 +196,7 @@
         }
         let Some(issued) = self.issued.get(&ticket.number) else {
             // Not forgotten and not in memory: it expired before anything ran with it.
-            let is_unused = ticket.number > self.forgot;
+            let is_unused = ticket.number > self.forgotten;
             let reason = if is_unused {
                 Reason::TicketExpired
             } else {
@@ -264,7 +264,7 @@
             if issued.state == State::Unused {
                 release(&mut self.unused, &issued.holder);
             } else {
-                self.forgot = self.forgot.max(number);
+                self.forgotten = self.forgotten.max(number);
             }
         }
     }
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -299,7 +299,7 @@
         let read = ClaimantAction::ReadShutdownRecord { claimant: holder };
         expect_that!(reading, eq(&vec![read]));
         let bytes = record.map(|(next, ran)| {
-            let claims = medlarrill_core::claims::Account {
+            let claims = medlarrill_core::claims::NumberOutcomes {
                 next,
                 ran,
                 ..Default::default()
@@ -323,7 +323,7 @@
     let mut claimant = claimant();
     let running = run(&mut claimant, 1, 1, NOW);
     asked(&claimant.handle(start(2, 2), NOW));
-    expect_that!(claimant.account(), none());
+    expect_that!(claimant.outcomes(), none());
     let actions = claimant.handle(ClaimantEvent::Stop, NOW);
     expect_that!(actions, eq(&refused(2, Reason::Stopping)));
     expect_that!(
@@ -331,8 +331,8 @@
         eq(&refused(3, Reason::Stopping))
     );
     end(&mut claimant, 1, ran("done"));
-    let account = claimant.account().unwrap();
-    expect_that!(account.ran, eq(&vec![running.ask]));
+    let outcomes = claimant.outcomes().unwrap();
+    expect_that!(outcomes.ran, eq(&vec![running.ask]));
 }
 
 #[gtest]
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -368,11 +368,11 @@
         if !target.stopping || target.resuming || target.running > 0 || !is_idle {
             return;
         }
-        let Some(account) = target.claimant.account() else {
+        let Some(outcomes) = target.claimant.outcomes() else {
             return;
         };
         let process = target.member.incarnation;
-        let record = ShutdownRecord::new(process, Some(account), None, Millis::MAX);
+        let record = ShutdownRecord::new(process, Some(outcomes), None, Millis::MAX);
         self.oracle.check_answered(process);
         if !self.down {
             self.shutdown_records.insert(process, record.to_bytes());
--- a/crates/core/tests/claims/tickets.rs
+++ b/crates/core/tests/claims/tickets.rs
@@ -164,11 +164,11 @@
     end(&mut tickets, 2, End::Ran(None));
     end(&mut tickets, 3, End::Unknown);
     end(&mut tickets, 4, End::NotRun);
-    expect_that!(tickets.account(), none());
+    expect_that!(tickets.outcomes(), none());
     tickets.handle(TicketEvent::Stop, NOW);
     let after = redeem(&mut tickets, &numbers[3], 5, NOW);
     expect_that!(after, eq(&refuse(5, Reason::Stopping)));
-    let record = ShutdownRecord::new(Incarnation(100), None, tickets.account(), Millis::MAX);
+    let record = ShutdownRecord::new(Incarnation(100), None, tickets.outcomes(), Millis::MAX);
     let read = ShutdownRecord::read(record.to_bytes()).unwrap();
     let outcomes: Vec<_> = numbers.iter().map(|t| read.ticket(t.number)).collect();
     let expected = [
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -301,7 +301,7 @@
         self.claim(ClaimantEvent::Stop);
         let expiry = wall() + FAREWELL_KEPT;
         let claimant = self.context.me.incarnation;
-        let farewell = ShutdownRecord::new(claimant, self.claimant.account(), None, expiry);
+        let farewell = ShutdownRecord::new(claimant, self.claimant.outcomes(), None, expiry);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
             if !farewell.is_empty() {
