--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -12,17 +12,18 @@
 //! known to stand in the chain, and an owner that was replaced fails at its
 //! next create. `docs/design/claims.md` gives the argument.
 
+mod answer_cache;
 mod backoff;
 mod chain;
 mod claimant;
 mod hash;
-mod held;
 mod log;
 mod record;
 mod shutdown;
 mod table;
 mod tickets;
 
+pub use answer_cache::{CacheLimits, CachedAnswer};
 pub use backoff::Backoff;
 pub use chain::{Chain, ChainError, Segment};
 pub use claimant::{
@@ -30,7 +31,6 @@
     Start,
 };
 pub use hash::{Digest, HashError, KeyHash, shard_of};
-pub use held::{HeldAnswer, HeldLimits};
 pub use log::{
     Action as LogAction, CallId, Event as LogEvent, Listed, LogLimits, LogStats, Member, Reply,
     ShardLog, Standing, Verdict,
--- a/crates/core/src/claims/held.rs
+++ b/crates/core/src/claims/answer_cache.rs
@@ -15,7 +15,7 @@
 /// A whole answer.
 #[derive(Clone, PartialEq, Default)]
 #[derive(Debug)]
-pub struct HeldAnswer {
+pub struct CachedAnswer {
     /// HTTP status.
     pub status: u16,
     /// Headers.
@@ -27,26 +27,26 @@
 /// How many answers are kept, and how long.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub struct HeldLimits {
+pub struct CacheLimits {
     /// Most bytes of all answers.
-    pub total: ByteSize,
+    pub max_total: ByteSize,
     /// Most bytes of one answer.
-    pub each: ByteSize,
+    pub max_answer: ByteSize,
     /// How long an answer is kept.
-    pub time: Millis,
+    pub retention: Millis,
 }
 
-impl Default for HeldLimits {
+impl Default for CacheLimits {
     fn default() -> Self {
         Self {
-            total: ByteSize(32 << 20),
-            each: ByteSize(1 << 20),
-            time: Millis::from_secs(600),
+            max_total: ByteSize(32 << 20),
+            max_answer: ByteSize(1 << 20),
+            retention: Millis::from_secs(600),
         }
     }
 }
 
-impl HeldAnswer {
+impl CachedAnswer {
     fn size(&self) -> u64 {
         let headers = self.headers.iter();
         let texts: usize = headers.map(|h| h.name.len() + h.value.len()).sum();
@@ -56,8 +56,8 @@
 
 /// Answers by the number of their claim or ticket.
 #[derive(Debug)]
-pub(crate) struct HeldAnswers {
-    limits: HeldLimits,
+pub(crate) struct AnswerCache {
+    limits: CacheLimits,
     answers: HashMap<u64, Held>,
     /// Ends of the times, earliest first.
     ends: BTreeSet<(Millis, u64)>,
@@ -66,12 +66,12 @@
 
 #[derive(Debug)]
 struct Held {
-    answer: HeldAnswer,
+    answer: CachedAnswer,
     until: Millis,
 }
 
-impl HeldAnswers {
-    pub(crate) fn new(limits: HeldLimits) -> Self {
+impl AnswerCache {
+    pub(crate) fn new(limits: CacheLimits) -> Self {
         Self {
             limits,
             answers: HashMap::new(),
@@ -81,21 +81,21 @@
     }
 
     /// Keeps an answer, unless it is too large; the oldest ones make room.
-    pub(crate) fn put(&mut self, number: u64, answer: HeldAnswer, now: Millis) {
+    pub(crate) fn put(&mut self, number: u64, answer: CachedAnswer, now: Millis) {
         let size = answer.size();
-        if size > self.limits.each.0.min(self.limits.total.0) {
+        if size > self.limits.max_answer.0.min(self.limits.max_total.0) {
             return;
         }
-        let until = now + self.limits.time;
+        let until = now + self.limits.retention;
         self.bytes += size;
         self.ends.insert((until, number));
         self.answers.insert(number, Held { answer, until });
-        while self.bytes > self.limits.total.0 {
+        while self.bytes > self.limits.max_total.0 {
             self.drop_first();
         }
     }
 
-    pub(crate) fn get(&self, number: u64, now: Millis) -> Option<&HeldAnswer> {
+    pub(crate) fn get(&self, number: u64, now: Millis) -> Option<&CachedAnswer> {
         let held = self.answers.get(&number)?;
         Some(&held.answer).filter(|_| now < held.until)
     }
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -13,8 +13,8 @@
 
 use derive_more::Debug;
 
+use crate::claims::answer_cache::AnswerCache;
 use crate::claims::hash::KeyHash;
-use crate::claims::held::HeldAnswers;
 use crate::claims::log::{Member, Verdict};
 use crate::claims::shutdown::NumberOutcomes;
 use crate::claims::table::ClaimId;
@@ -33,7 +33,7 @@
     me: Member,
     limits: ClaimantLimits,
     keys: Keys,
-    held: HeldAnswers,
+    answers: AnswerCache,
     /// Keys by the number that is asked for.
     asks: HashMap<u64, KeyHash>,
     /// Keys by the caller's request.
@@ -52,7 +52,7 @@
             me,
             limits: ClaimantLimits::default(),
             keys: Keys::default(),
-            held: HeldAnswers::new(ClaimantLimits::default().held),
+            answers: AnswerCache::new(ClaimantLimits::default().answers),
             asks: HashMap::new(),
             requests: HashMap::new(),
             timers: BTreeSet::new(),
@@ -64,7 +64,7 @@
 
     /// Sets limits other than the usual ones.
     pub fn with_limits(mut self, limits: ClaimantLimits) -> Self {
-        self.held = HeldAnswers::new(limits.held.clone());
+        self.answers = AnswerCache::new(limits.answers.clone());
         self.limits = limits;
         self
     }
@@ -97,8 +97,8 @@
     }
 
     /// Bytes of answers held for callers that ask again.
-    pub const fn held_bytes(&self) -> u64 {
-        self.held.bytes()
+    pub const fn cached_bytes(&self) -> u64 {
+        self.answers.bytes()
     }
 
     /// Keys that it knows of.
@@ -133,7 +133,7 @@
                 self.refuse(request, Reason::KeyRunning);
             }
             Phase::Unknown => self.refuse(request, Reason::KeyUnknown),
-            Phase::Ran => match self.held.get(ask, now).cloned() {
+            Phase::Ran => match self.answers.get(ask, now).cloned() {
                 Some(answer) => self.actions.push(Action::Replay { request, answer }),
                 None => self.refuse(request, Reason::KeyRan),
             },
@@ -262,7 +262,7 @@
     }
 
     fn expire(&mut self, now: Millis) {
-        self.held.expire(now);
+        self.answers.expire(now);
         self.keys.expire(now);
         while let Some((due, key)) = self.timers.first().copied()
             && due <= now
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use derive_more::{Debug, Display};
 
+use crate::claims::answer_cache::{CacheLimits, CachedAnswer};
 use crate::claims::hash::{Digest, KeyHash};
-use crate::claims::held::{HeldAnswer, HeldLimits};
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
 use crate::reason::Reason;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub enum End {
     /// It ran; the answer, if it is whole and known.
-    Ran(Option<HeldAnswer>),
+    Ran(Option<CachedAnswer>),
     /// It was not sent to an endpoint and never will be, or the endpoint's refusal means so.
     NotRun,
     /// It may have run.
@@ -111,7 +111,7 @@
         /// The request.
         request: RequestId,
         /// The answer.
-        answer: HeldAnswer,
+        answer: CachedAnswer,
     },
     /// Ask another claimant what became of a key.
     AskKey {
@@ -188,7 +188,7 @@
     /// Most keys that are remembered after their requests have ended.
     pub keys: usize,
     /// Answers that are kept.
-    pub held: HeldLimits,
+    pub answers: CacheLimits,
 }
 
 impl Default for ClaimantLimits {
@@ -197,7 +197,7 @@
             claim_wait: Millis::from_secs(4),
             retry_wait: Millis(100),
             keys: 100_000,
-            held: HeldLimits::default(),
+            answers: CacheLimits::default(),
         }
     }
 }
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -2,11 +2,11 @@
 
 use bytes::Bytes;
 
+use crate::claims::answer_cache::CachedAnswer;
 use crate::claims::claimant::Claimant;
 use crate::claims::claimant::event::{Action, End, KeyState};
 use crate::claims::claimant::keys::Phase;
 use crate::claims::hash::KeyHash;
-use crate::claims::held::HeldAnswer;
 use crate::claims::shutdown::ShutdownRecord;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
@@ -58,7 +58,7 @@
                 let Some(request) = self.drop_pending(&key) else {
                     return;
                 };
-                let answer = HeldAnswer {
+                let answer = CachedAnswer {
                     status: u16::try_from(answer.status).unwrap_or(0),
                     headers: answer.headers,
                     body: answer.body,
@@ -148,7 +148,7 @@
             .map_or(0, |entry| entry.ask);
         // The answer of a later claim may be to another request.
         let is_same = number == ask.held && state == KeyState::Ran;
-        let held = self.held.get(number, now).filter(|_| is_same);
+        let held = self.answers.get(number, now).filter(|_| is_same);
         answer.state = held.map_or(state, |_| KeyState::Held).code();
         if let Some(held) = held {
             answer.status = u32::from(held.status);
@@ -193,7 +193,7 @@
             End::Unknown => self.keys.end(&key, Phase::Unknown, until, most),
             End::Ran(answer) => {
                 if let Some(answer) = answer {
-                    self.held.put(ask, answer, now);
+                    self.answers.put(ask, answer, now);
                 }
                 self.keys.end(&key, Phase::Ran, until, most);
             }
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -12,9 +12,9 @@
 
 use derive_more::Debug;
 
+use crate::claims::answer_cache::AnswerCache;
 use crate::claims::claimant::End;
 use crate::claims::hash::Digest;
-use crate::claims::held::HeldAnswers;
 use crate::claims::log::Member;
 use crate::claims::shutdown::NumberOutcomes;
 use crate::clock::Millis;
@@ -36,7 +36,7 @@
     unused: HashMap<TicketHolder, u32>,
     /// Numbers by the request that runs.
     requests: HashMap<RequestId, u64>,
-    held: HeldAnswers,
+    answers: AnswerCache,
     next: u64,
     /// Of numbers up to this one, some that ran are forgotten.
     forgotten: u64,
@@ -71,7 +71,7 @@
             issued: BTreeMap::new(),
             unused: HashMap::new(),
             requests: HashMap::new(),
-            held: HeldAnswers::new(TicketLimits::default().held),
+            answers: AnswerCache::new(TicketLimits::default().answers),
             next: 1,
             forgotten: 0,
             stopped: false,
@@ -80,14 +80,14 @@
 
     /// Sets limits other than the usual ones.
     pub fn with_limits(mut self, limits: TicketLimits) -> Self {
-        self.held = HeldAnswers::new(limits.held.clone());
+        self.answers = AnswerCache::new(limits.answers.clone());
         self.limits = limits;
         self
     }
 
     /// Takes an event at machine time `now` and returns what has to be done, if anything.
     pub fn handle(&mut self, event: TicketEvent, now: Millis) -> Option<TicketAction> {
-        self.held.expire(now);
+        self.answers.expire(now);
         self.expire(now);
         match event {
             TicketEvent::Tick => None,
@@ -177,7 +177,7 @@
         let request = redemption.request;
         match self.judge(redemption) {
             Ok(()) => self.dispatch(redemption),
-            Err(Reason::KeyRan) => match self.held.get(redemption.ticket.number, now).cloned() {
+            Err(Reason::KeyRan) => match self.answers.get(redemption.ticket.number, now).cloned() {
                 Some(answer) => TicketAction::Replay { request, answer },
                 None => TicketAction::Refuse {
                     request,
@@ -250,7 +250,7 @@
             }
             End::Ran(answer) => {
                 if let Some(answer) = answer {
-                    self.held.put(number, answer, now);
+                    self.answers.put(number, answer, now);
                 }
                 State::Ran
             }
--- a/crates/core/src/claims/tickets/event.rs
+++ b/crates/core/src/claims/tickets/event.rs
@@ -5,9 +5,9 @@
 use derive_more::{Debug, Display, Error};
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 
+use crate::claims::answer_cache::{CacheLimits, CachedAnswer};
 use crate::claims::claimant::End;
 use crate::claims::hash::Digest;
-use crate::claims::held::{HeldAnswer, HeldLimits};
 use crate::clock::Millis;
 use crate::ids::{AccountId, DaemonId, Incarnation, InstitutionId, RequestId};
 use crate::reason::Reason;
@@ -139,7 +139,7 @@
         /// The request.
         request: RequestId,
         /// The answer.
-        answer: HeldAnswer,
+        answer: CachedAnswer,
     },
 }
 
@@ -156,7 +156,7 @@
     /// Most unused tickets of one account.
     pub each: u32,
     /// Answers that are kept.
-    pub held: HeldLimits,
+    pub answers: CacheLimits,
 }
 
 impl Default for TicketLimits {
@@ -166,7 +166,7 @@
             memory: Millis::from_secs(3600),
             total: 20_000,
             each: 1000,
-            held: HeldLimits::default(),
+            answers: CacheLimits::default(),
         }
     }
 }
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, HeldAnswer, HeldLimits,
-    KeyHash, KeyState, ShutdownRecord, Start, Verdict,
+    CacheLimits, CachedAnswer, Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest,
+    End, KeyHash, KeyState, ShutdownRecord, Start, Verdict,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -63,7 +63,7 @@
 }
 
 fn ran(body: &'static str) -> End {
-    End::Ran(Some(HeldAnswer {
+    End::Ran(Some(CachedAnswer {
         status: 200,
         headers: Vec::new(),
         body: Bytes::from_static(body.as_bytes()),
@@ -163,7 +163,7 @@
         matches!(&replayed[..], [ClaimantAction::Replay { answer, .. }] if answer.body == "done");
     expect_that!(is_replay, eq(true));
     expect_that!(told(&mut claimant, key(7), ask.ask, NOW).body, eq("done"));
-    let late = NOW + HeldLimits::default().time;
+    let late = NOW + CacheLimits::default().retention;
     let state = told(&mut claimant, key(7), ask.ask, late).state;
     expect_that!(KeyState::from_code(state), eq(KeyState::Ran));
     let again = claimant.handle(start(4, 7), late);
@@ -338,10 +338,10 @@
 #[gtest]
 fn held_answers_stay_within_their_bytes() {
     let limits = ClaimantLimits {
-        held: HeldLimits {
-            total: ByteSize(3000),
-            each: ByteSize(1500),
-            time: Millis::from_secs(60),
+        answers: CacheLimits {
+            max_total: ByteSize(3000),
+            max_answer: ByteSize(1500),
+            retention: Millis::from_secs(60),
         },
         ..ClaimantLimits::default()
     };
@@ -349,13 +349,13 @@
     for number in 1..=10 {
         run(&mut claimant, number, number as u64, NOW);
         let size = if number == 10 { 2000 } else { 1000 };
-        let answer = HeldAnswer {
+        let answer = CachedAnswer {
             status: 200,
             headers: Vec::new(),
             body: vec![0; size].into(),
         };
         end(&mut claimant, number, End::Ran(Some(answer)));
-        expect_that!(claimant.held_bytes(), le(3000));
+        expect_that!(claimant.cached_bytes(), le(3000));
     }
     let large = claimant.handle(start(20, 10), NOW);
     expect_that!(large, eq(&refused(20, Reason::KeyRan)));
--- a/crates/core/tests/claims/network.rs
+++ b/crates/core/tests/claims/network.rs
@@ -1,7 +1,7 @@
 //! What becomes of the machines' actions: calls, messages and runs.
 
 use medlarrill_core::claims::{
-    ClaimantAction, ClaimantEvent, End, HeldAnswer, LogAction, LogEvent, Reply,
+    CachedAnswer, ClaimantAction, ClaimantEvent, End, LogAction, LogEvent, Reply,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -168,7 +168,7 @@
             0..25 => End::NotRun,
             25..40 => End::Unknown,
             40..50 => End::Ran(None),
-            _ => End::Ran(Some(HeldAnswer {
+            _ => End::Ran(Some(CachedAnswer {
                 status: 200,
                 headers: Vec::new(),
                 body: self.oracle.body(request),
--- a/crates/core/tests/claims/oracle.rs
+++ b/crates/core/tests/claims/oracle.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    Claim, ClaimId, ClaimantAction, Digest, HeldAnswer, KeyHash, KeyState, Table, Verdict,
+    CachedAnswer, Claim, ClaimId, ClaimantAction, Digest, KeyHash, KeyState, Table, Verdict,
 };
 use medlarrill_core::ids::{Incarnation, RequestId};
 use medlarrill_core::outcome::Outcome;
@@ -127,7 +127,7 @@
         }
     }
 
-    fn replayed(&mut self, request: RequestId, answer: &HeldAnswer) {
+    fn replayed(&mut self, request: RequestId, answer: &CachedAnswer) {
         self.tell(request, Outcome::Ran);
         let Request { key, digest, .. } = self.requests[&request];
         let Some(ran) = self.dispatched.get(&key).filter(|ran| ran.sent) else {
--- a/crates/core/tests/claims/tickets.rs
+++ b/crates/core/tests/claims/tickets.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Digest, End, HeldAnswer, Redemption, ShutdownRecord, Ticket, TicketAction, TicketEvent,
+    CachedAnswer, Digest, End, Redemption, ShutdownRecord, Ticket, TicketAction, TicketEvent,
     TicketHolder, TicketLimits, Tickets,
 };
 use medlarrill_core::clock::Millis;
@@ -69,7 +69,7 @@
     expect_that!(redeem(&mut tickets, &ticket, 2, NOW), eq(&dispatch(2)));
     let second = redeem(&mut tickets, &ticket, 3, NOW);
     expect_that!(second, eq(&refuse(3, Reason::KeyRunning)));
-    let answer = HeldAnswer {
+    let answer = CachedAnswer {
         status: 200,
         headers: Vec::new(),
         body: Bytes::from_static(b"done"),
--- a/crates/daemon/src/claims/handle.rs
+++ b/crates/daemon/src/claims/handle.rs
@@ -1,6 +1,6 @@
 //! Sends to the claims task.
 
-use medlarrill_core::claims::{End, HeldAnswer, Start};
+use medlarrill_core::claims::{CachedAnswer, End, Start};
 use medlarrill_core::ids::RequestId;
 use medlarrill_core::reason::Reason;
 
@@ -15,7 +15,7 @@
     /// It may not run.
     Refuse(Reason),
     /// It ran before; this was the answer.
-    Replay(HeldAnswer),
+    Replay(CachedAnswer),
 }
 
 /// Sends to the claims task.
--- a/crates/daemon/src/entry/keyed.rs
+++ b/crates/daemon/src/entry/keyed.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use futures_util::stream;
-use medlarrill_core::claims::{Digest, End, HeldAnswer, KeyHash, Start};
+use medlarrill_core::claims::{CachedAnswer, Digest, End, KeyHash, Start};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::outcome::Outcome;
 use salvo::http::ResBody;
@@ -183,8 +183,8 @@
     }
 }
 
-fn held(head: Head, body: Bytes) -> HeldAnswer {
-    HeldAnswer {
+fn held(head: Head, body: Bytes) -> CachedAnswer {
+    CachedAnswer {
         status: head.status,
         headers: head.headers,
         body,
