--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -30,7 +30,7 @@
 use tenure::Tenure;
 
 pub use event::{Action, CallId, Event, Listed, LogLimits, Member, Reply, Verdict};
-pub use stats::{LogStats, Standing};
+pub use stats::{LogState, LogStats};
 
 /// One shard's chain, seen by a daemon that owns it or may come to.
 #[derive(Debug)]
@@ -143,14 +143,14 @@
     }
 
     /// Where it stands.
-    pub fn standing(&self) -> Standing {
+    pub fn state(&self) -> LogState {
         match &self.phase {
-            Phase::Idle => Standing::Idle,
-            Phase::Fenced { .. } => Standing::Fenced,
-            Phase::Reading(_) => Standing::Reading,
-            Phase::Opening { .. } | Phase::Checking { .. } => Standing::Opening,
-            Phase::Owner(tenure) if tenure.is_settling() => Standing::Settling,
-            Phase::Owner(_) => Standing::Owner,
+            Phase::Idle => LogState::Idle,
+            Phase::Fenced { .. } => LogState::Fenced,
+            Phase::Reading(_) => LogState::Reading,
+            Phase::Opening { .. } | Phase::Checking { .. } => LogState::Opening,
+            Phase::Owner(tenure) if tenure.is_settling() => LogState::Settling,
+            Phase::Owner(_) => LogState::Owner,
         }
     }
 
--- a/crates/core/src/claims/log/stats.rs
+++ b/crates/core/src/claims/log/stats.rs
@@ -7,7 +7,7 @@
 /// Where a shard's machine stands.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 #[derive(Display)]
-pub enum Standing {
+pub enum LogState {
     /// It has nothing to do with the shard.
     #[display("idle")]
     Idle,
--- a/crates/core/tests/claims/deletion.rs
+++ b/crates/core/tests/claims/deletion.rs
@@ -1,7 +1,7 @@
 //! Checkpoints, and what deleting the objects before them must not break.
 
 use googletest::prelude::*;
-use medlarrill_core::claims::{LogLimits, Standing, Verdict};
+use medlarrill_core::claims::{LogLimits, LogState, Verdict};
 use medlarrill_core::clock::Millis;
 
 use crate::bench::{Bench, Fault, ask};
@@ -23,7 +23,7 @@
     expect_that!(bench.logs[0].stats().checkpoints, ge(4));
     expect_that!(bench.platform.objects.len(), lt(70));
     bench.own(1, true);
-    expect_that!(bench.logs[1].standing(), eq(Standing::Owner));
+    expect_that!(bench.logs[1].state(), eq(LogState::Owner));
     bench.told.clear();
     for number in 1..=300 {
         bench.ask(1, &ask(number, 1000 + number));
@@ -61,9 +61,9 @@
     grant(&mut bench, 0, 10, 150);
     bench.pass(Millis::from_secs(60));
     bench.resume();
-    expect_that!(bench.logs[1].standing(), not(eq(Standing::Owner)));
+    expect_that!(bench.logs[1].state(), not(eq(LogState::Owner)));
     bench.pass(Millis::from_secs(10));
-    expect_that!(bench.logs[1].standing(), eq(Standing::Owner));
+    expect_that!(bench.logs[1].state(), eq(LogState::Owner));
     bench.told.clear();
     bench.ask(1, &ask(10, 1000));
     expect_that!(bench.verdicts(), eq(&vec![(1000, Verdict::Held)]));
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use medlarrill_core::claims::{
     Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, LogEvent, LogLimits,
-    Member, ShardLog, ShutdownRecord, Standing, Start,
+    LogState, Member, ShardLog, ShutdownRecord, Start,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -363,8 +363,8 @@
     /// Ends a process that stops in order once nothing is left to do.
     fn finish_stop(&mut self, daemon: usize) {
         let target = &self.daemons[daemon];
-        let standing = target.log.standing();
-        let is_idle = matches!(standing, Standing::Idle | Standing::Fenced);
+        let state = target.log.state();
+        let is_idle = matches!(state, LogState::Idle | LogState::Fenced);
         if !target.stopping || target.resuming || target.running > 0 || !is_idle {
             return;
         }
--- a/crates/core/tests/claims/log.rs
+++ b/crates/core/tests/claims/log.rs
@@ -1,7 +1,7 @@
 //! A shard's machines, one fault at a time.
 
 use googletest::prelude::*;
-use medlarrill_core::claims::{Body, Digest, Open, Standing, Verdict};
+use medlarrill_core::claims::{Body, Digest, LogState, Open, Verdict};
 use medlarrill_core::clock::Millis;
 
 use crate::bench::{Bench, Fault, ask};
@@ -37,7 +37,7 @@
     bench.faults.push_back(Fault::LoseReply);
     bench.ask(0, &ask(7, 1));
     expect_that!(bench.verdicts(), is_empty());
-    expect_that!(bench.logs[0].standing(), eq(Standing::Settling));
+    expect_that!(bench.logs[0].state(), eq(LogState::Settling));
     bench.pass(Millis(200));
     expect_that!(bench.verdicts(), eq(&vec![(1, Verdict::Granted)]));
     expect_that!(bench.platform.objects.len() - objects, eq(1));
@@ -96,11 +96,11 @@
     bench.own(0, true);
     bench.ask(0, &ask(7, 1));
     bench.own(1, true);
-    expect_that!(bench.logs[0].standing(), eq(Standing::Owner));
+    expect_that!(bench.logs[0].state(), eq(LogState::Owner));
     bench.pass(Millis(300));
     bench.ask(0, &ask(8, 2));
     expect_that!(bench.verdicts()[1], eq((2, Verdict::NotOwner)));
-    expect_that!(bench.logs[0].standing(), eq(Standing::Fenced));
+    expect_that!(bench.logs[0].state(), eq(LogState::Fenced));
     bench.ask(1, &ask(7, 3));
     expect_that!(bench.verdicts()[2], eq((3, Verdict::Held)));
     expect_that!(bench.told[2].answer.held, eq(1));
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Claim, ClaimId, KeyHash, LogEvent, LogLimits, Member, Record, Reply, ShardLog, Standing,
+    Claim, ClaimId, KeyHash, LogEvent, LogLimits, LogState, Member, Record, Reply, ShardLog,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
@@ -119,5 +119,5 @@
     event(&mut log, &mut single, LogEvent::Ask(first), now);
     let size = single.objects.last_key_value().unwrap().1.bytes.len();
     println!("object with one claim ({id:?}): {size} B");
-    expect_that!(log.standing(), eq(Standing::Owner));
+    expect_that!(log.state(), eq(LogState::Owner));
 }
