--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -15,7 +15,7 @@
 
 use crate::claims::answer_cache::AnswerCache;
 use crate::claims::hash::KeyHash;
-use crate::claims::log::{Member, Verdict};
+use crate::claims::log::{ClaimStatus, Member};
 use crate::claims::shutdown::NumberOutcomes;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
@@ -186,12 +186,12 @@
         let Some(key) = self.asks.get(&answer.ask).copied() else {
             return;
         };
-        match Verdict::from_code(answer.verdict) {
-            Verdict::Granted => self.granted(&key, answer.ask),
-            Verdict::Held => self.found_held(&key, answer),
-            Verdict::Reused => self.finish(&key, Reason::KeyReused),
-            Verdict::Unavailable => self.finish(&key, Reason::ClaimUnavailable),
-            Verdict::NotOwner => self.retry(answer.ask, now),
+        match ClaimStatus::from_code(answer.verdict) {
+            ClaimStatus::Granted => self.granted(&key, answer.ask),
+            ClaimStatus::Held => self.found_held(&key, answer),
+            ClaimStatus::Reused => self.finish(&key, Reason::KeyReused),
+            ClaimStatus::Unavailable => self.finish(&key, Reason::ClaimUnavailable),
+            ClaimStatus::NotOwner => self.retry(answer.ask, now),
         }
     }
 
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -29,7 +29,7 @@
 use reader::Reader;
 use tenure::Tenure;
 
-pub use event::{Action, CallId, Event, Listed, LogLimits, Member, Reply, Verdict};
+pub use event::{Action, CallId, ClaimStatus, Event, Listed, LogLimits, Member, Reply};
 pub use stats::{LogState, LogStats};
 
 /// One shard's chain, seen by a daemon that owns it or may come to.
@@ -179,7 +179,7 @@
         if wanted {
             return;
         }
-        self.refuse_queue(Verdict::NotOwner);
+        self.refuse_queue(ClaimStatus::NotOwner);
         // An owner closes its chain first; an `open` on its way may still take effect, and harms nothing.
         if !matches!(self.phase, Phase::Owner(_) | Phase::Fenced { .. }) {
             self.phase = Phase::Idle;
@@ -191,23 +191,23 @@
         let waiting = match Waiting::read(&ask, now) {
             Ok(waiting) => waiting,
             Err(_) => {
-                let verdict = Verdict::Unavailable;
-                return self.calls.answer(&ask, verdict, None, &mut self.stats);
+                let status = ClaimStatus::Unavailable;
+                return self.calls.answer(&ask, status, None, &mut self.stats);
             }
         };
         let is_full = self.queue.len() >= self.limits.queue;
         if !self.wanted || self.is_idle() {
-            waiting.answer(Verdict::NotOwner, &mut self.calls, &mut self.stats);
+            waiting.answer(ClaimStatus::NotOwner, &mut self.calls, &mut self.stats);
         } else if self.calls.is_down() || is_full {
-            waiting.answer(Verdict::Unavailable, &mut self.calls, &mut self.stats);
+            waiting.answer(ClaimStatus::Unavailable, &mut self.calls, &mut self.stats);
         } else {
             self.queue.push_back(waiting);
         }
     }
 
-    fn refuse_queue(&mut self, verdict: Verdict) {
+    fn refuse_queue(&mut self, status: ClaimStatus) {
         for waiting in std::mem::take(&mut self.queue) {
-            waiting.answer(verdict, &mut self.calls, &mut self.stats);
+            waiting.answer(status, &mut self.calls, &mut self.stats);
         }
     }
 
@@ -271,7 +271,7 @@
         let late = |waiting: &Waiting| down || now.since(waiting.since) >= wait;
         while self.queue.front().is_some_and(late) {
             if let Some(waiting) = self.queue.pop_front() {
-                waiting.answer(Verdict::Unavailable, &mut self.calls, &mut self.stats);
+                waiting.answer(ClaimStatus::Unavailable, &mut self.calls, &mut self.stats);
             }
         }
         if let Phase::Owner(tenure) = &mut self.phase {
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -7,7 +7,7 @@
 use crate::claims::chain::Chain;
 use crate::claims::hash::{Digest, HashError, KeyHash};
 use crate::claims::log::calls::Calls;
-use crate::claims::log::event::{LogLimits, Member, Verdict};
+use crate::claims::log::event::{ClaimStatus, LogLimits, Member};
 use crate::claims::log::stats::LogStats;
 use crate::claims::record::{Batch, RecordError, Result, Void};
 use crate::claims::table::{Claim, ClaimId, EntryWriter};
@@ -85,8 +85,8 @@
         }
     }
 
-    pub(super) fn answer(&self, verdict: Verdict, calls: &mut Calls, stats: &mut LogStats) {
-        calls.answer(&self.ask, verdict, None, stats);
+    pub(super) fn answer(&self, status: ClaimStatus, calls: &mut Calls, stats: &mut LogStats) {
+        calls.answer(&self.ask, status, None, stats);
     }
 
     fn claim(&self, wall: Millis, skew: Millis) -> Claim {
@@ -102,15 +102,15 @@
 }
 
 /// Whether a claim may be made, given who holds the key.
-fn judge(waiting: &Waiting, holder: Option<&Claim>, is_refused: bool) -> Verdict {
+fn judge(waiting: &Waiting, holder: Option<&Claim>, is_refused: bool) -> ClaimStatus {
     match holder {
-        None => Verdict::Granted,
+        None => ClaimStatus::Granted,
         // A question that came twice: a void of its first claim is on its way.
-        Some(claim) if is_refused && claim.id == waiting.id() => Verdict::Unavailable,
-        Some(_) if is_refused => Verdict::Granted,
-        Some(claim) if claim.id == waiting.given_up() => Verdict::Granted,
-        Some(claim) if claim.digest != waiting.digest => Verdict::Reused,
-        Some(_) => Verdict::Held,
+        Some(claim) if is_refused && claim.id == waiting.id() => ClaimStatus::Unavailable,
+        Some(_) if is_refused => ClaimStatus::Granted,
+        Some(claim) if claim.id == waiting.given_up() => ClaimStatus::Granted,
+        Some(claim) if claim.digest != waiting.digest => ClaimStatus::Reused,
+        Some(_) => ClaimStatus::Held,
     }
 }
 
@@ -132,10 +132,10 @@
         }
         let holder = chain.holder(&waiting.key, work.wall);
         let is_refused = holder.is_some_and(|claim| refused.contains_key(&claim.id));
-        let verdict = judge(&waiting, holder, is_refused);
-        if verdict != Verdict::Granted {
-            let shown = holder.filter(|_| verdict == Verdict::Held);
-            work.calls.answer(&waiting.ask, verdict, shown, work.stats);
+        let status = judge(&waiting, holder, is_refused);
+        if status != ClaimStatus::Granted {
+            let shown = holder.filter(|_| status == ClaimStatus::Held);
+            work.calls.answer(&waiting.ask, status, shown, work.stats);
             continue;
         }
         keys.insert(waiting.key);
--- a/crates/core/src/claims/log/calls.rs
+++ b/crates/core/src/claims/log/calls.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64;
 
 use crate::claims::backoff::Backoff;
-use crate::claims::log::event::{Action, CallId, LogLimits, Verdict};
+use crate::claims::log::event::{Action, CallId, ClaimStatus, LogLimits};
 use crate::claims::log::stats::LogStats;
 use crate::claims::record::{object_key, shard_prefix};
 use crate::claims::table::Claim;
@@ -101,14 +101,14 @@
     pub(super) fn answer(
         &mut self,
         ask: &ClaimAsk,
-        verdict: Verdict,
+        status: ClaimStatus,
         holder: Option<&Claim>,
         stats: &mut LogStats,
     ) {
-        stats.verdicts[verdict as usize] += 1;
+        stats.statuses[status as usize] += 1;
         let mut answer = ClaimAnswer {
             ask: ask.ask,
-            verdict: verdict.code(),
+            verdict: status.code(),
             asker: ask.claimant,
             ..ClaimAnswer::default()
         };
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -137,7 +137,7 @@
 /// What an owner says of a claim asked for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
-pub enum Verdict {
+pub enum ClaimStatus {
     /// It stands in the chain.
     #[display("granted")]
     Granted,
@@ -155,7 +155,7 @@
     NotOwner,
 }
 
-impl Verdict {
+impl ClaimStatus {
     /// Every verdict, in the order of its code.
     pub const ALL: [Self; 5] = [
         Self::Granted,
--- a/crates/core/src/claims/log/replies.rs
+++ b/crates/core/src/claims/log/replies.rs
@@ -1,7 +1,7 @@
 //! What the platform's replies lead to, phase by phase.
 
 use crate::claims::chain::Chain;
-use crate::claims::log::event::{CallId, Reply, Verdict};
+use crate::claims::log::event::{CallId, ClaimStatus, Reply};
 use crate::claims::log::reader::{Progress, Reader};
 use crate::claims::log::tenure::Tenure;
 use crate::claims::log::write::Settled;
@@ -130,7 +130,7 @@
 
     fn fence(&mut self, now: Millis) -> Phase {
         self.stats.fenced += 1;
-        self.refuse_queue(Verdict::NotOwner);
+        self.refuse_queue(ClaimStatus::NotOwner);
         let until = now + self.fights.fail(self.calls.rng());
         Phase::Fenced { until }
     }
--- a/crates/core/src/claims/log/stats.rs
+++ b/crates/core/src/claims/log/stats.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 
-use crate::claims::log::event::Verdict;
+use crate::claims::log::event::ClaimStatus;
 
 /// Where a shard's machine stands.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
@@ -33,8 +33,8 @@
 pub struct LogStats {
     /// Claims asked for.
     pub asks: u64,
-    /// Answers by the code of their verdict.
-    pub verdicts: [u64; Verdict::ALL.len()],
+    /// Answers by the code of their status.
+    pub statuses: [u64; ClaimStatus::ALL.len()],
     /// Takeovers that succeeded.
     pub takeovers: u64,
     /// Times that another daemon took over.
@@ -52,8 +52,8 @@
 }
 
 impl LogStats {
-    /// Number of answers with this verdict.
-    pub const fn answered(&self, verdict: Verdict) -> u64 {
-        self.verdicts[verdict as usize]
+    /// Number of answers with this status.
+    pub const fn answered(&self, status: ClaimStatus) -> u64 {
+        self.statuses[status as usize]
     }
 }
--- a/crates/core/src/claims/log/tenure.rs
+++ b/crates/core/src/claims/log/tenure.rs
@@ -9,7 +9,7 @@
 use crate::claims::hash::KeyHash;
 use crate::claims::log::batch::{Waiting, Work, draft};
 use crate::claims::log::calls::Calls;
-use crate::claims::log::event::{CallId, LogLimits, Member, Reply, Verdict};
+use crate::claims::log::event::{CallId, ClaimStatus, LogLimits, Member, Reply};
 use crate::claims::log::stats::LogStats;
 use crate::claims::log::sweep::Sweep;
 use crate::claims::log::write::{Settled, Write};
@@ -175,7 +175,7 @@
                 stats.late += 1;
                 self.refused.insert(waiting.id(), waiting.key);
             } else {
-                waiting.answer(Verdict::Granted, calls, stats);
+                waiting.answer(ClaimStatus::Granted, calls, stats);
             }
         }
     }
@@ -184,7 +184,7 @@
     pub(super) fn fenced(&mut self, calls: &mut Calls, stats: &mut LogStats) {
         let asks = self.write.take().map(|write| write.asks);
         for waiting in asks.into_iter().flatten().filter(|w| !w.refused) {
-            waiting.answer(Verdict::NotOwner, calls, stats);
+            waiting.answer(ClaimStatus::NotOwner, calls, stats);
         }
     }
 
@@ -198,7 +198,7 @@
         let asks = self.write.iter_mut().flat_map(|write| &mut write.asks);
         for waiting in asks.filter(|w| !w.refused && late(w)) {
             waiting.refused = true;
-            waiting.answer(Verdict::Unavailable, calls, stats);
+            waiting.answer(ClaimStatus::Unavailable, calls, stats);
         }
     }
 
--- a/crates/core/tests/claims/bench.rs
+++ b/crates/core/tests/claims/bench.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    CallId, Digest, KeyHash, LogAction, LogEvent, LogLimits, Member, Record, Reply, ShardLog,
-    Verdict, object_key,
+    CallId, ClaimStatus, Digest, KeyHash, LogAction, LogEvent, LogLimits, Member, Record, Reply,
+    ShardLog, object_key,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Told {
     pub ask: u64,
-    pub verdict: Verdict,
+    pub verdict: ClaimStatus,
     pub answer: ClaimAnswer,
 }
 
@@ -145,7 +145,7 @@
         Record::read(object.bytes.clone()).expect("a record")
     }
 
-    pub fn verdicts(&self) -> Vec<(u64, Verdict)> {
+    pub fn verdicts(&self) -> Vec<(u64, ClaimStatus)> {
         self.told
             .iter()
             .map(|told| (told.ask, told.verdict))
@@ -165,7 +165,7 @@
         if let LogAction::Answer { answer, .. } = action {
             self.told.push(Told {
                 ask: answer.ask,
-                verdict: Verdict::from_code(answer.verdict),
+                verdict: ClaimStatus::from_code(answer.verdict),
                 answer,
             });
             return None;
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    CacheLimits, CachedAnswer, Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest,
-    End, KeyHash, KeyState, ShutdownRecord, Start, Verdict,
+    CacheLimits, CachedAnswer, ClaimStatus, Claimant, ClaimantAction, ClaimantEvent,
+    ClaimantLimits, Digest, End, KeyHash, KeyState, ShutdownRecord, Start,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -37,7 +37,7 @@
     }
 }
 
-fn answer(ask: &ClaimAsk, verdict: Verdict) -> ClaimAnswer {
+fn answer(ask: &ClaimAsk, verdict: ClaimStatus) -> ClaimAnswer {
     ClaimAnswer {
         ask: ask.ask,
         verdict: verdict.code(),
@@ -49,7 +49,7 @@
 /// Starts a request and has its claim granted.
 fn run(claimant: &mut Claimant, request: u128, key_number: u64, now: Millis) -> ClaimAsk {
     let ask = asked(&claimant.handle(start(request, key_number), now));
-    let granted = ClaimantEvent::Answer(answer(&ask, Verdict::Granted));
+    let granted = ClaimantEvent::Answer(answer(&ask, ClaimStatus::Granted));
     let actions = claimant.handle(granted, now);
     let request = RequestId(request);
     assert_that!(actions, eq(&vec![ClaimantAction::Dispatch { request }]));
@@ -102,7 +102,7 @@
         claimant: 9,
         daemon: "d9".into(),
         held: 5,
-        ..answer(&ask, Verdict::Held)
+        ..answer(&ask, ClaimStatus::Held)
     };
     match &claimant.handle(ClaimantEvent::Answer(held), NOW)[..] {
         [ClaimantAction::AskKey { to, ask }] if to == "d9" => ask.clone(),
@@ -126,7 +126,7 @@
     let mut claimant = claimant();
     let ask = asked(&claimant.handle(start(1, 7), NOW));
     let late = NOW + ClaimantLimits::default().claim_wait;
-    let granted = ClaimantEvent::Answer(answer(&ask, Verdict::Granted));
+    let granted = ClaimantEvent::Answer(answer(&ask, ClaimStatus::Granted));
     let actions = claimant.handle(granted, late);
     expect_that!(actions, eq(&refused(1, Reason::ClaimUnavailable)));
     expect_that!(
@@ -139,7 +139,7 @@
 fn grant_to_an_earlier_process_of_the_daemon_is_ignored() {
     let mut claimant = claimant();
     let ask = asked(&claimant.handle(start(1, 7), NOW));
-    let mut granted = answer(&ask, Verdict::Granted);
+    let mut granted = answer(&ask, ClaimStatus::Granted);
     granted.asker = 12;
     expect_that!(
         claimant.handle(ClaimantEvent::Answer(granted), NOW),
@@ -175,7 +175,7 @@
     let mut claimant = claimant();
     // The first claim of the key was given up; the second, which may be of another request, ran.
     let first = asked(&claimant.handle(start(1, 7), NOW));
-    let refusal = ClaimantEvent::Answer(answer(&first, Verdict::Unavailable));
+    let refusal = ClaimantEvent::Answer(answer(&first, ClaimStatus::Unavailable));
     claimant.handle(refusal, NOW);
     let second = run(&mut claimant, 2, 7, NOW);
     end(&mut claimant, 2, ran("done"));
@@ -202,7 +202,7 @@
     let held = ClaimAnswer {
         claimant: first.claimant,
         held: first.ask,
-        ..answer(&second, Verdict::Held)
+        ..answer(&second, ClaimStatus::Held)
     };
     let third = asked(&claimant.handle(ClaimantEvent::Answer(held), NOW));
     expect_that!(third.given_ask, eq(first.ask));
@@ -223,7 +223,7 @@
     end(&mut claimant, 2, End::Ran(None));
     let third = asked(&claimant.handle(start(3, 3), NOW));
     claimant.handle(
-        ClaimantEvent::Answer(answer(&third, Verdict::Unavailable)),
+        ClaimantEvent::Answer(answer(&third, ClaimStatus::Unavailable)),
         NOW,
     );
     expect_that!(
--- a/crates/core/tests/claims/deletion.rs
+++ b/crates/core/tests/claims/deletion.rs
@@ -1,7 +1,7 @@
 //! Checkpoints, and what deleting the objects before them must not break.
 
 use googletest::prelude::*;
-use medlarrill_core::claims::{LogLimits, LogState, Verdict};
+use medlarrill_core::claims::{ClaimStatus, LogLimits, LogState};
 use medlarrill_core::clock::Millis;
 
 use crate::bench::{Bench, Fault, ask};
@@ -31,7 +31,7 @@
     let held = bench
         .told
         .iter()
-        .filter(|told| told.verdict == Verdict::Held);
+        .filter(|told| told.verdict == ClaimStatus::Held);
     expect_that!(held.count(), eq(300));
 }
 
@@ -47,7 +47,7 @@
     bench.told.clear();
     // Its next number lies in the deleted part of the chain.
     bench.ask(0, &ask(500, 500));
-    expect_that!(bench.verdicts(), eq(&vec![(500, Verdict::NotOwner)]));
+    expect_that!(bench.verdicts(), eq(&vec![(500, ClaimStatus::NotOwner)]));
 }
 
 #[gtest]
@@ -66,7 +66,7 @@
     expect_that!(bench.logs[1].state(), eq(LogState::Owner));
     bench.told.clear();
     bench.ask(1, &ask(10, 1000));
-    expect_that!(bench.verdicts(), eq(&vec![(1000, Verdict::Held)]));
+    expect_that!(bench.verdicts(), eq(&vec![(1000, ClaimStatus::Held)]));
 }
 
 #[gtest]
@@ -105,5 +105,5 @@
     bench.own(1, true);
     bench.told.clear();
     bench.ask(1, &ask(1, 200));
-    expect_that!(bench.verdicts(), eq(&vec![(200, Verdict::Granted)]));
+    expect_that!(bench.verdicts(), eq(&vec![(200, ClaimStatus::Granted)]));
 }
--- a/crates/core/tests/claims/oracle.rs
+++ b/crates/core/tests/claims/oracle.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    CachedAnswer, Claim, ClaimId, ClaimantAction, Digest, KeyHash, KeyState, Table, Verdict,
+    CachedAnswer, Claim, ClaimId, ClaimStatus, ClaimantAction, Digest, KeyHash, KeyState, Table,
 };
 use medlarrill_core::ids::{Incarnation, RequestId};
 use medlarrill_core::outcome::Outcome;
@@ -66,7 +66,7 @@
 
     /// An owner's answer, as it is sent.
     pub fn answered(&mut self, claimant: Incarnation, answer: &ClaimAnswer) {
-        if Verdict::from_code(answer.verdict) != Verdict::Granted {
+        if ClaimStatus::from_code(answer.verdict) != ClaimStatus::Granted {
             return;
         }
         let ask = answer.ask;
