--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -33,7 +33,7 @@
 pub use hash::{Digest, HashError, KeyHash, shard_of};
 pub use log::{
     Action as LogAction, CallId, ClaimStatus, Event as LogEvent, Listed, LogLimits, LogState,
-    LogStats, Member, Reply, ShardLog,
+    LogStats, ProcessId, Reply, ShardLog,
 };
 pub use record::{
     Batch, Body, Checkpoint, Close, Entry, Holder, Open, Record, RecordError, Span, Void,
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -15,7 +15,7 @@
 
 use crate::claims::answer_cache::AnswerCache;
 use crate::claims::hash::KeyHash;
-use crate::claims::log::{ClaimStatus, Member};
+use crate::claims::log::{ClaimStatus, ProcessId};
 use crate::claims::shutdown::NumberOutcomes;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
@@ -30,7 +30,7 @@
 /// Keyed requests of one process.
 #[derive(Debug)]
 pub struct Claimant {
-    me: Member,
+    me: ProcessId,
     limits: ClaimantLimits,
     keys: Keys,
     answers: AnswerCache,
@@ -47,7 +47,7 @@
 
 impl Claimant {
     /// A machine for one process.
-    pub fn new(me: Member) -> Self {
+    pub fn new(me: ProcessId) -> Self {
         Self {
             me,
             limits: ClaimantLimits::default(),
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -29,13 +29,13 @@
 use reader::Reader;
 use tenure::Tenure;
 
-pub use event::{Action, CallId, ClaimStatus, Event, Listed, LogLimits, Member, Reply};
+pub use event::{Action, CallId, ClaimStatus, Event, Listed, LogLimits, ProcessId, Reply};
 pub use stats::{LogState, LogStats};
 
 /// One shard's chain, seen by a daemon that owns it or may come to.
 #[derive(Debug)]
 pub struct ShardLog {
-    me: Member,
+    me: ProcessId,
     limits: LogLimits,
     /// Wall time less the machine's own.
     offset: Millis,
@@ -76,7 +76,7 @@
     /// A machine for `shard`, run by `me`, at wall time `wall` and machine time `now`.
     ///
     /// The seed must differ between processes: nonces come from it.
-    pub fn new(shard: u16, me: Member, seed: u64, wall: Millis, now: Millis) -> Self {
+    pub fn new(shard: u16, me: ProcessId, seed: u64, wall: Millis, now: Millis) -> Self {
         let limits = LogLimits::default();
         Self {
             me,
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -7,7 +7,7 @@
 use crate::claims::chain::Chain;
 use crate::claims::hash::{Digest, HashError, KeyHash};
 use crate::claims::log::calls::Calls;
-use crate::claims::log::event::{ClaimStatus, LogLimits, Member};
+use crate::claims::log::event::{ClaimStatus, LogLimits, ProcessId};
 use crate::claims::log::stats::LogStats;
 use crate::claims::record::{Batch, RecordError, Result, Void};
 use crate::claims::table::{Claim, ClaimId, EntryWriter};
@@ -38,7 +38,7 @@
     pub(super) queue: &'a mut VecDeque<Waiting>,
     pub(super) calls: &'a mut Calls,
     pub(super) stats: &'a mut LogStats,
-    pub(super) me: &'a Member,
+    pub(super) me: &'a ProcessId,
     pub(super) limits: &'a LogLimits,
     pub(super) wall: Millis,
 }
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -11,7 +11,7 @@
 /// A process of the fleet.
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(Debug)]
-pub struct Member {
+pub struct ProcessId {
     /// The daemon.
     pub daemon: DaemonId,
     /// Its run.
--- a/crates/core/src/claims/log/tenure.rs
+++ b/crates/core/src/claims/log/tenure.rs
@@ -9,7 +9,7 @@
 use crate::claims::hash::KeyHash;
 use crate::claims::log::batch::{Waiting, Work, draft};
 use crate::claims::log::calls::Calls;
-use crate::claims::log::event::{CallId, ClaimStatus, LogLimits, Member, Reply};
+use crate::claims::log::event::{CallId, ClaimStatus, LogLimits, ProcessId, Reply};
 use crate::claims::log::stats::LogStats;
 use crate::claims::log::sweep::Sweep;
 use crate::claims::log::write::{Settled, Write};
@@ -82,7 +82,13 @@
     }
 
     /// Starts a write at the next number.
-    pub(super) fn write(&mut self, body: Body, asks: Vec<Waiting>, calls: &mut Calls, me: &Member) {
+    pub(super) fn write(
+        &mut self,
+        body: Body,
+        asks: Vec<Waiting>,
+        calls: &mut Calls,
+        me: &ProcessId,
+    ) {
         let number = self.chain.next();
         let base = match body {
             Body::Checkpoint(_) => number,
@@ -210,7 +216,7 @@
     }
 
     /// Ends the tenure, unless a write has to be settled first.
-    pub(super) fn close(&mut self, calls: &mut Calls, me: &Member) {
+    pub(super) fn close(&mut self, calls: &mut Calls, me: &ProcessId) {
         if self.write.is_none() {
             self.write(Body::Close(Close {}), Vec::new(), calls, me);
         }
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -15,7 +15,7 @@
 use crate::claims::answer_cache::AnswerCache;
 use crate::claims::claimant::End;
 use crate::claims::hash::Digest;
-use crate::claims::log::Member;
+use crate::claims::log::ProcessId;
 use crate::claims::shutdown::NumberOutcomes;
 use crate::clock::Millis;
 use crate::ids::RequestId;
@@ -28,7 +28,7 @@
 /// Tickets of one process.
 #[derive(Debug)]
 pub struct Tickets {
-    me: Member,
+    me: ProcessId,
     limits: TicketLimits,
     /// Tickets that can be used or were used, by number.
     issued: BTreeMap<u64, Issued>,
@@ -64,7 +64,7 @@
 
 impl Tickets {
     /// A machine for one process.
-    pub fn new(me: Member) -> Self {
+    pub fn new(me: ProcessId) -> Self {
         Self {
             me,
             limits: TicketLimits::default(),
--- a/crates/core/tests/claims/bench.rs
+++ b/crates/core/tests/claims/bench.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    CallId, ClaimStatus, Digest, KeyHash, LogAction, LogEvent, LogLimits, Member, Record, Reply,
+    CallId, ClaimStatus, Digest, KeyHash, LogAction, LogEvent, LogLimits, ProcessId, Record, Reply,
     ShardLog, object_key,
 };
 use medlarrill_core::clock::Millis;
@@ -57,8 +57,8 @@
     paused: Vec<Paused>,
 }
 
-pub fn member(number: usize) -> Member {
-    Member {
+pub fn member(number: usize) -> ProcessId {
+    ProcessId {
         daemon: format!("d{number}").parse().expect("a name"),
         incarnation: Incarnation(100 + number as u64),
     }
--- a/crates/core/tests/claims/checks.rs
+++ b/crates/core/tests/claims/checks.rs
@@ -1,6 +1,6 @@
 //! Checks of a fleet during and after a schedule.
 
-use medlarrill_core::claims::{LogEvent, Member, ShardLog};
+use medlarrill_core::claims::{LogEvent, ProcessId, ShardLog};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
 
@@ -13,7 +13,7 @@
     pub fn audit(&mut self) {
         self.counts.audits += 1;
         let mut platform = self.platform.clone();
-        let member = Member {
+        let member = ProcessId {
             daemon: "audit".parse().expect("a name"),
             incarnation: Incarnation(1),
         };
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use medlarrill_core::claims::{
     Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, LogEvent, LogLimits,
-    LogState, Member, ShardLog, ShutdownRecord, Start,
+    LogState, ProcessId, ShardLog, ShutdownRecord, Start,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -23,7 +23,7 @@
 pub const SHARD: u16 = 3;
 
 pub struct Daemon {
-    pub member: Member,
+    pub member: ProcessId,
     pub log: ShardLog,
     pub claimant: Claimant,
     /// Which daemon it takes for the owner.
@@ -98,7 +98,7 @@
 
     fn process(&mut self, number: usize) -> Daemon {
         self.next += 1;
-        let member = Member {
+        let member = ProcessId {
             daemon: format!("d{number}").parse().expect("a name"),
             incarnation: Incarnation(1000 * self.next + number as u64),
         };
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Claim, ClaimId, KeyHash, LogEvent, LogLimits, LogState, Member, Record, Reply, ShardLog,
+    Claim, ClaimId, KeyHash, LogEvent, LogLimits, LogState, ProcessId, Record, Reply, ShardLog,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
@@ -32,7 +32,7 @@
 
 /// An owner that has recorded many claims, and its platform.
 fn filled(claimants: u64, per_batch: u64, name: usize) -> (ShardLog, Platform) {
-    let member = Member {
+    let member = ProcessId {
         daemon: "owner".parse().expect("a name"),
         incarnation: Incarnation(7),
     };
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, End, KeyHash, LogAction, LogEvent, Member, ShardLog,
-    ShutdownRecord, Start, shard_of,
+    Claimant, ClaimantAction, ClaimantEvent, End, KeyHash, LogAction, LogEvent, ProcessId,
+    ShardLog, ShutdownRecord, Start, shard_of,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, RequestId};
@@ -46,7 +46,7 @@
 impl Task {
     /// A task that owns no shard yet.
     pub fn new(context: Arc<Context>) -> Self {
-        let me = Member {
+        let me = ProcessId {
             daemon: context.me.daemon.clone(),
             incarnation: context.me.incarnation,
         };
