--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -27,8 +27,8 @@
 pub use backoff::Backoff;
 pub use chain::{Chain, ChainError, Segment};
 pub use claimant::{
-    Action as ClaimantAction, Claimant, ClaimantLimits, End, Event as ClaimantEvent, KeyState,
-    Start,
+    Action as ClaimantAction, Claimant, ClaimantLimits, Event as ClaimantEvent, KeyState,
+    RunOutcome, Start,
 };
 pub use hash::{Digest, HashError, KeyHash, shard_of};
 pub use log::{
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -25,7 +25,7 @@
 
 use keys::{Keys, Phase};
 
-pub use event::{Action, ClaimantLimits, End, Event, KeyState, Start};
+pub use event::{Action, ClaimantLimits, Event, KeyState, RunOutcome, Start};
 
 /// Keyed requests of one process.
 #[derive(Debug)]
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -27,7 +27,7 @@
 /// How a dispatched request ended.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
-pub enum End {
+pub enum RunOutcome {
     /// It ran; the answer, if it is whole and known.
     Ran(Option<CachedAnswer>),
     /// It was not sent to an endpoint and never will be, or the endpoint's refusal means so.
@@ -77,7 +77,7 @@
         /// The request.
         request: RequestId,
         /// How.
-        end: End,
+        end: RunOutcome,
     },
     /// The caller of a request that is not dispatched went away.
     Cancelled {
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -4,7 +4,7 @@
 
 use crate::claims::answer_cache::CachedAnswer;
 use crate::claims::claimant::Claimant;
-use crate::claims::claimant::event::{Action, End, KeyState};
+use crate::claims::claimant::event::{Action, KeyState, RunOutcome};
 use crate::claims::claimant::keys::Phase;
 use crate::claims::hash::KeyHash;
 use crate::claims::shutdown::ShutdownRecord;
@@ -174,7 +174,7 @@
         }
     }
 
-    pub(super) fn ended(&mut self, request: RequestId, end: End, now: Millis) {
+    pub(super) fn ended(&mut self, request: RequestId, end: RunOutcome, now: Millis) {
         let Some(key) = self.requests.get(&request).copied() else {
             return;
         };
@@ -187,11 +187,11 @@
         let most = self.limits.keys;
         self.requests.remove(&request);
         match end {
-            End::NotRun => {
+            RunOutcome::NotRun => {
                 self.keys.remove(&key);
             }
-            End::Unknown => self.keys.end(&key, Phase::Unknown, until, most),
-            End::Ran(answer) => {
+            RunOutcome::Unknown => self.keys.end(&key, Phase::Unknown, until, most),
+            RunOutcome::Ran(answer) => {
                 if let Some(answer) = answer {
                     self.answers.put(ask, answer, now);
                 }
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -13,7 +13,7 @@
 use derive_more::Debug;
 
 use crate::claims::answer_cache::AnswerCache;
-use crate::claims::claimant::End;
+use crate::claims::claimant::RunOutcome;
 use crate::claims::hash::Digest;
 use crate::claims::log::ProcessId;
 use crate::claims::shutdown::NumberOutcomes;
@@ -234,7 +234,7 @@
         TicketAction::Dispatch { request }
     }
 
-    fn ended(&mut self, request: RequestId, end: End, now: Millis) {
+    fn ended(&mut self, request: RequestId, end: RunOutcome, now: Millis) {
         let Some(number) = self.requests.remove(&request) else {
             return;
         };
@@ -243,12 +243,12 @@
         };
         issued.expiry = issued.expiry.max(now + self.limits.memory);
         issued.state = match end {
-            End::Unknown => State::Unknown,
-            End::NotRun => {
+            RunOutcome::Unknown => State::Unknown,
+            RunOutcome::NotRun => {
                 *self.unused.entry(issued.holder.clone()).or_default() += 1;
                 State::Unused
             }
-            End::Ran(answer) => {
+            RunOutcome::Ran(answer) => {
                 if let Some(answer) = answer {
                     self.answers.put(number, answer, now);
                 }
--- a/crates/core/src/claims/tickets/event.rs
+++ b/crates/core/src/claims/tickets/event.rs
@@ -6,7 +6,7 @@
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 
 use crate::claims::answer_cache::{CacheLimits, CachedAnswer};
-use crate::claims::claimant::End;
+use crate::claims::claimant::RunOutcome;
 use crate::claims::hash::Digest;
 use crate::clock::Millis;
 use crate::ids::{AccountId, DaemonId, Incarnation, InstitutionId, RequestId};
@@ -105,7 +105,7 @@
         /// The request.
         request: RequestId,
         /// How.
-        end: End,
+        end: RunOutcome,
     },
     /// The daemon stops: no ticket is issued or run from now on.
     Stop,
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::claims::{
     CacheLimits, CachedAnswer, ClaimStatus, Claimant, ClaimantAction, ClaimantEvent,
-    ClaimantLimits, Digest, End, KeyHash, KeyState, ShutdownRecord, Start,
+    ClaimantLimits, Digest, KeyHash, KeyState, RunOutcome, ShutdownRecord, Start,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -56,14 +56,14 @@
     ask
 }
 
-fn end(claimant: &mut Claimant, request: u128, end: End) {
+fn end(claimant: &mut Claimant, request: u128, end: RunOutcome) {
     let request = RequestId(request);
     let event = ClaimantEvent::Ended { request, end };
     assert_that!(claimant.handle(event, NOW), is_empty());
 }
 
-fn ran(body: &'static str) -> End {
-    End::Ran(Some(CachedAnswer {
+fn ran(body: &'static str) -> RunOutcome {
+    RunOutcome::Ran(Some(CachedAnswer {
         status: 200,
         headers: Vec::new(),
         body: Bytes::from_static(body.as_bytes()),
@@ -193,7 +193,7 @@
 fn request_that_was_not_sent_may_run_later() {
     let mut claimant = claimant();
     let first = run(&mut claimant, 1, 7, NOW);
-    end(&mut claimant, 1, End::NotRun);
+    end(&mut claimant, 1, RunOutcome::NotRun);
     expect_that!(
         told_state(&mut claimant, key(7), first.ask),
         eq(KeyState::NotRun)
@@ -218,9 +218,9 @@
     };
     let mut claimant = claimant().with_limits(limits);
     let first = run(&mut claimant, 1, 1, NOW);
-    end(&mut claimant, 1, End::Ran(None));
+    end(&mut claimant, 1, RunOutcome::Ran(None));
     let second = run(&mut claimant, 2, 2, NOW);
-    end(&mut claimant, 2, End::Ran(None));
+    end(&mut claimant, 2, RunOutcome::Ran(None));
     let third = asked(&claimant.handle(start(3, 3), NOW));
     claimant.handle(
         ClaimantEvent::Answer(answer(&third, ClaimStatus::Unavailable)),
@@ -354,7 +354,7 @@
             headers: Vec::new(),
             body: vec![0; size].into(),
         };
-        end(&mut claimant, number, End::Ran(Some(answer)));
+        end(&mut claimant, number, RunOutcome::Ran(Some(answer)));
         expect_that!(claimant.cached_bytes(), le(3000));
     }
     let large = claimant.handle(start(20, 10), NOW);
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, LogEvent, LogLimits,
-    LogState, ProcessId, ShardLog, ShutdownRecord, Start,
+    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, LogEvent, LogLimits, LogState,
+    ProcessId, RunOutcome, ShardLog, ShutdownRecord, Start,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -340,9 +340,9 @@
         };
         self.daemons[daemon].running -= 1;
         let outcome = match end {
-            End::Ran(_) => Outcome::Ran,
-            End::Unknown => Outcome::Unknown,
-            End::NotRun => Outcome::NotRun,
+            RunOutcome::Ran(_) => Outcome::Ran,
+            RunOutcome::Unknown => Outcome::Unknown,
+            RunOutcome::NotRun => Outcome::NotRun,
         };
         if outcome == Outcome::NotRun {
             self.oracle.ended_not_run(*request);
--- a/crates/core/tests/claims/network.rs
+++ b/crates/core/tests/claims/network.rs
@@ -1,7 +1,7 @@
 //! What becomes of the machines' actions: calls, messages and runs.
 
 use medlarrill_core::claims::{
-    CachedAnswer, ClaimantAction, ClaimantEvent, End, LogAction, LogEvent, Reply,
+    CachedAnswer, ClaimantAction, ClaimantEvent, LogAction, LogEvent, Reply, RunOutcome,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -165,10 +165,10 @@
         self.oracle.dispatched(request, is_sent);
         self.daemons[daemon].running += 1;
         let end = match luck {
-            0..25 => End::NotRun,
-            25..40 => End::Unknown,
-            40..50 => End::Ran(None),
-            _ => End::Ran(Some(CachedAnswer {
+            0..25 => RunOutcome::NotRun,
+            25..40 => RunOutcome::Unknown,
+            40..50 => RunOutcome::Ran(None),
+            _ => RunOutcome::Ran(Some(CachedAnswer {
                 status: 200,
                 headers: Vec::new(),
                 body: self.oracle.body(request),
--- a/crates/core/tests/claims/tickets.rs
+++ b/crates/core/tests/claims/tickets.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    CachedAnswer, Digest, End, Redemption, ShutdownRecord, Ticket, TicketAction, TicketEvent,
-    TicketHolder, TicketLimits, Tickets,
+    CachedAnswer, Digest, Redemption, RunOutcome, ShutdownRecord, Ticket, TicketAction,
+    TicketEvent, TicketHolder, TicketLimits, Tickets,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -46,7 +46,7 @@
         .expect("an action")
 }
 
-fn end(tickets: &mut Tickets, request: u128, end: End) {
+fn end(tickets: &mut Tickets, request: u128, end: RunOutcome) {
     let request = RequestId(request);
     tickets.handle(TicketEvent::Ended { request, end }, NOW);
 }
@@ -74,7 +74,7 @@
         headers: Vec::new(),
         body: Bytes::from_static(b"done"),
     };
-    end(&mut tickets, 2, End::Ran(Some(answer.clone())));
+    end(&mut tickets, 2, RunOutcome::Ran(Some(answer.clone())));
     let request = RequestId(4);
     let replay = TicketAction::Replay { request, answer };
     expect_that!(redeem(&mut tickets, &ticket, 4, NOW), eq(&replay));
@@ -85,9 +85,9 @@
     let mut tickets = Tickets::new(member(0));
     let ticket = issue(&mut tickets);
     redeem(&mut tickets, &ticket, 2, NOW);
-    end(&mut tickets, 2, End::NotRun);
+    end(&mut tickets, 2, RunOutcome::NotRun);
     expect_that!(redeem(&mut tickets, &ticket, 3, NOW), eq(&dispatch(3)));
-    end(&mut tickets, 3, End::Unknown);
+    end(&mut tickets, 3, RunOutcome::Unknown);
     let after = redeem(&mut tickets, &ticket, 4, NOW);
     expect_that!(after, eq(&refuse(4, Reason::KeyUnknown)));
 }
@@ -124,7 +124,7 @@
     let used = issue(&mut tickets);
     let unused = issue(&mut tickets);
     redeem(&mut tickets, &used, 2, NOW);
-    end(&mut tickets, 2, End::Ran(None));
+    end(&mut tickets, 2, RunOutcome::Ran(None));
     let limits = TicketLimits::default();
     let expired = NOW + limits.lifetime;
     let refused = redeem(&mut tickets, &unused, 3, expired);
@@ -161,9 +161,9 @@
     redeem(&mut tickets, &numbers[0], 2, NOW);
     redeem(&mut tickets, &numbers[1], 3, NOW);
     redeem(&mut tickets, &numbers[2], 4, NOW);
-    end(&mut tickets, 2, End::Ran(None));
-    end(&mut tickets, 3, End::Unknown);
-    end(&mut tickets, 4, End::NotRun);
+    end(&mut tickets, 2, RunOutcome::Ran(None));
+    end(&mut tickets, 3, RunOutcome::Unknown);
+    end(&mut tickets, 4, RunOutcome::NotRun);
     expect_that!(tickets.outcomes(), none());
     tickets.handle(TicketEvent::Stop, NOW);
     let after = redeem(&mut tickets, &numbers[3], 5, NOW);
--- a/crates/daemon/src/claims/handle.rs
+++ b/crates/daemon/src/claims/handle.rs
@@ -1,6 +1,6 @@
 //! Sends to the claims task.
 
-use medlarrill_core::claims::{CachedAnswer, End, Start};
+use medlarrill_core::claims::{CachedAnswer, RunOutcome, Start};
 use medlarrill_core::ids::RequestId;
 use medlarrill_core::reason::Reason;
 
@@ -32,7 +32,7 @@
     }
 
     /// Tells how a request ended that was allowed to run.
-    pub fn ended(&self, request: RequestId, end: End) {
+    pub fn ended(&self, request: RequestId, end: RunOutcome) {
         self.tell(Message::Ended(request, end));
     }
 
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, End, KeyHash, LogAction, LogEvent, ProcessId,
+    Claimant, ClaimantAction, ClaimantEvent, KeyHash, LogAction, LogEvent, ProcessId, RunOutcome,
     ShardLog, ShutdownRecord, Start, shard_of,
 };
 use medlarrill_core::clock::Millis;
@@ -239,7 +239,7 @@
             None => false,
         };
         if runs && !told {
-            let end = End::NotRun;
+            let end = RunOutcome::NotRun;
             self.context.claims.ended(request, end);
         }
     }
--- a/crates/daemon/src/entry/keyed.rs
+++ b/crates/daemon/src/entry/keyed.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use futures_util::stream;
-use medlarrill_core::claims::{CachedAnswer, Digest, End, KeyHash, Start};
+use medlarrill_core::claims::{CachedAnswer, Digest, KeyHash, RunOutcome, Start};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::outcome::Outcome;
 use salvo::http::ResBody;
@@ -118,7 +118,7 @@
     async fn dispatch(self) {
         let request = self.job.request;
         if self.sender.is_closed() {
-            self.context.claims.ended(request, End::NotRun);
+            self.context.claims.ended(request, RunOutcome::NotRun);
             return;
         }
         let failure = match respond(&self.context, self.job.clone()).await {
@@ -126,9 +126,9 @@
             Err(failure) => failure,
         };
         let end = match failure.outcome {
-            Outcome::NotRun => End::NotRun,
-            Outcome::Ran => End::Ran(None),
-            Outcome::Unknown => End::Unknown,
+            Outcome::NotRun => RunOutcome::NotRun,
+            Outcome::Ran => RunOutcome::Ran(None),
+            Outcome::Unknown => RunOutcome::Unknown,
         };
         self.context.claims.ended(request, end);
         self.fail(failure);
@@ -143,7 +143,7 @@
             Reply::Whole(_, body) => {
                 self.context
                     .claims
-                    .ended(request, End::Ran(Some(held(head, body.clone()))));
+                    .ended(request, RunOutcome::Ran(Some(held(head, body.clone()))));
                 self.tell(Piece::Data(body));
                 self.flight.answered();
                 return;
@@ -169,7 +169,7 @@
         }
         let whole = end.await == Ok(State::Answered) && body.len() <= HOLD;
         let answer = whole.then(|| held(head, body.freeze()));
-        self.context.claims.ended(request, End::Ran(answer));
+        self.context.claims.ended(request, RunOutcome::Ran(answer));
     }
 
     fn fail(mut self, failure: Failure) {
