--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -28,7 +28,7 @@
 pub use chain::{Chain, ChainError, Segment};
 pub use claimant::{
     Action as ClaimantAction, Claimant, ClaimantLimits, Event as ClaimantEvent, KeyState,
-    RunOutcome, Start,
+    KeyedRequest, RunOutcome,
 };
 pub use hash::{Digest, HashError, KeyHash, shard_of};
 pub use log::{
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -25,7 +25,7 @@
 
 use keys::{Keys, Phase};
 
-pub use event::{Action, ClaimantLimits, Event, KeyState, RunOutcome, Start};
+pub use event::{Action, ClaimantLimits, Event, KeyState, KeyedRequest, RunOutcome};
 
 /// Keyed requests of one process.
 #[derive(Debug)]
@@ -116,7 +116,7 @@
         self.stopped.then(|| self.keys.outcomes(self.next))
     }
 
-    fn start(&mut self, start: Start, now: Millis) {
+    fn start(&mut self, start: KeyedRequest, now: Millis) {
         let request = start.request;
         if self.stopped {
             return self.refuse(request, Reason::Stopping);
@@ -140,7 +140,7 @@
         }
     }
 
-    fn begin(&mut self, start: Start, now: Millis) {
+    fn begin(&mut self, start: KeyedRequest, now: Millis) {
         let key = start.key;
         let until = now + self.limits.claim_wait;
         self.requests.insert(start.request, key);
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -13,7 +13,7 @@
 /// A caller's keyed request.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub struct Start {
+pub struct KeyedRequest {
     /// The request; never used twice.
     pub request: RequestId,
     /// Its institution and key.
@@ -43,7 +43,7 @@
     /// Time has passed.
     Tick,
     /// A caller's request came.
-    Start(Start),
+    Start(KeyedRequest),
     /// An owner answered.
     Answer(ClaimAnswer),
     /// A question could not be sent, or its answer can't come any more.
--- a/crates/core/src/claims/claimant/keys.rs
+++ b/crates/core/src/claims/claimant/keys.rs
@@ -4,7 +4,7 @@
 
 use derive_more::Debug;
 
-use crate::claims::claimant::event::Start;
+use crate::claims::claimant::event::KeyedRequest;
 use crate::claims::hash::KeyHash;
 use crate::claims::shutdown::NumberOutcomes;
 use crate::claims::table::ClaimId;
@@ -35,7 +35,7 @@
 #[derive(Clone)]
 #[derive(Debug)]
 pub(super) struct Entry {
-    pub(super) start: Start,
+    pub(super) start: KeyedRequest,
     pub(super) phase: Phase,
     /// Number of its claim.
     pub(super) ask: u64,
@@ -71,7 +71,7 @@
         self.entries.get_mut(key)
     }
 
-    pub(super) fn insert(&mut self, start: Start, until: Millis) {
+    pub(super) fn insert(&mut self, start: KeyedRequest, until: Millis) {
         let entry = Entry {
             phase: Phase::Waiting,
             ask: 0,
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use medlarrill_core::claims::{
     CacheLimits, CachedAnswer, ClaimStatus, Claimant, ClaimantAction, ClaimantEvent,
-    ClaimantLimits, Digest, KeyHash, KeyState, RunOutcome, ShutdownRecord, Start,
+    ClaimantLimits, Digest, KeyHash, KeyState, KeyedRequest, RunOutcome, ShutdownRecord,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -21,7 +21,7 @@
 }
 
 fn start(request: u128, key_number: u64) -> ClaimantEvent {
-    ClaimantEvent::Start(Start {
+    ClaimantEvent::Start(KeyedRequest {
         request: RequestId(request),
         key: key(key_number),
         digest: Digest::of("POST", "/book", b"one"),
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, LogEvent, LogLimits, LogState,
-    ProcessId, RunOutcome, ShardLog, ShutdownRecord, Start,
+    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, KeyedRequest, LogEvent,
+    LogLimits, LogState, ProcessId, RunOutcome, ShardLog, ShutdownRecord,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -217,7 +217,7 @@
         self.counts.requests += 1;
         self.next += 1;
         let request = RequestId(u128::from(self.next));
-        let start = Start {
+        let start = KeyedRequest {
             request,
             key: key(number),
             digest: Digest::of("POST", "/book", &[body]),
--- a/crates/daemon/src/claims/handle.rs
+++ b/crates/daemon/src/claims/handle.rs
@@ -1,6 +1,6 @@
 //! Sends to the claims task.
 
-use medlarrill_core::claims::{CachedAnswer, RunOutcome, Start};
+use medlarrill_core::claims::{CachedAnswer, KeyedRequest, RunOutcome};
 use medlarrill_core::ids::RequestId;
 use medlarrill_core::reason::Reason;
 
@@ -25,7 +25,7 @@
     /// Asks for the right to run a request.
     ///
     /// After `Dispatch` its end must be told with [`Handle::ended`].
-    pub async fn start(&self, start: Start) -> Decision {
+    pub async fn start(&self, start: KeyedRequest) -> Decision {
         let decision = self.ask(|sender| Message::Start(start, sender)).await;
         // The task ends only with the daemon, and then nothing runs any more.
         decision.unwrap_or(Decision::Refuse(Reason::Stopping))
--- a/crates/daemon/src/claims/message.rs
+++ b/crates/daemon/src/claims/message.rs
@@ -1,7 +1,7 @@
 //! What the claims task is told.
 
 use bytes::Bytes;
-use medlarrill_core::claims::{CallId, Reply, RunOutcome, Start};
+use medlarrill_core::claims::{CallId, KeyedRequest, Reply, RunOutcome};
 use medlarrill_core::ids::{Incarnation, RequestId};
 use medlarrill_core::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
 use medlarrill_net::link::PeerId;
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub enum Message {
     /// A caller's request wants to run.
-    Start(Start, oneshot::Sender<Decision>),
+    Start(KeyedRequest, oneshot::Sender<Decision>),
     /// A request that was allowed to run has ended.
     Ended(RequestId, RunOutcome),
     /// A claimant asks an owner.
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, KeyHash, LogAction, LogEvent, ProcessId, RunOutcome,
-    ShardLog, ShutdownRecord, Start, shard_of,
+    Claimant, ClaimantAction, ClaimantEvent, KeyHash, KeyedRequest, LogAction, LogEvent, ProcessId,
+    RunOutcome, ShardLog, ShutdownRecord, shard_of,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, RequestId};
@@ -135,7 +135,7 @@
         }
     }
 
-    fn start(&mut self, start: Start, sender: oneshot::Sender<Decision>) {
+    fn start(&mut self, start: KeyedRequest, sender: oneshot::Sender<Decision>) {
         self.waiting.insert(start.request, sender);
         self.claim(ClaimantEvent::Start(start));
     }
--- a/crates/daemon/src/entry/keyed.rs
+++ b/crates/daemon/src/entry/keyed.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use futures_util::stream;
-use medlarrill_core::claims::{CachedAnswer, Digest, KeyHash, RunOutcome, Start};
+use medlarrill_core::claims::{CachedAnswer, Digest, KeyHash, KeyedRequest, RunOutcome};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::outcome::Outcome;
 use salvo::http::ResBody;
@@ -94,7 +94,7 @@
 
 impl Run {
     async fn run(mut self) {
-        let start = Start {
+        let start = KeyedRequest {
             request: self.job.request,
             key: self.keyed.key,
             digest: self.keyed.digest,
