--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -40,7 +40,7 @@
     /// Wall time less the machine's own.
     offset: Millis,
     /// Whether placement wants this daemon to own the shard.
-    wanted: bool,
+    assigned: bool,
     phase: Phase,
     queue: VecDeque<Waiting>,
     calls: Calls,
@@ -81,7 +81,7 @@
         Self {
             me,
             offset: wall.since(now),
-            wanted: false,
+            assigned: false,
             rested: Millis::ZERO,
             phase: Phase::Idle,
             queue: VecDeque::new(),
@@ -104,7 +104,7 @@
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         match event {
             Event::Tick { wall } => self.offset = wall.since(now),
-            Event::Own(wanted) => self.set_wanted(wanted),
+            Event::Assign(assigned) => self.set_assigned(assigned),
             Event::Ask(ask) => self.ask(ask, now),
             Event::Reply { call, reply } => self.reply(call, reply, now),
         }
@@ -115,7 +115,7 @@
     /// When the next [`Event::Tick`] is wanted.
     pub fn wake(&self) -> Millis {
         let retry = match &self.phase {
-            Phase::Idle | Phase::Fenced { .. } if !self.wanted => Millis::MAX,
+            Phase::Idle | Phase::Fenced { .. } if !self.assigned => Millis::MAX,
             Phase::Idle => self.rested,
             Phase::Fenced { until } => self.rested.max(*until),
             Phase::Reading(reader) => reader.wake(),
@@ -171,12 +171,12 @@
         now + self.offset
     }
 
-    fn set_wanted(&mut self, wanted: bool) {
-        if self.wanted == wanted {
+    fn set_assigned(&mut self, assigned: bool) {
+        if self.assigned == assigned {
             return;
         }
-        self.wanted = wanted;
-        if wanted {
+        self.assigned = assigned;
+        if assigned {
             return;
         }
         self.refuse_queue(ClaimStatus::NotOwner);
@@ -196,7 +196,7 @@
             }
         };
         let is_full = self.queue.len() >= self.limits.queue;
-        if !self.wanted || self.is_idle() {
+        if !self.assigned || self.is_idle() {
             waiting.answer(ClaimStatus::NotOwner, &mut self.calls, &mut self.stats);
         } else if self.calls.is_down() || is_full {
             waiting.answer(ClaimStatus::Unavailable, &mut self.calls, &mut self.stats);
@@ -236,7 +236,7 @@
             self.fights.succeed();
         }
         tenure.tick(&mut self.calls, now);
-        if !self.wanted {
+        if !self.assigned {
             tenure.close(&mut self.calls, &self.me);
             return;
         }
@@ -258,7 +258,7 @@
             Phase::Fenced { until } => self.rested.max(*until) <= now,
             _ => false,
         };
-        if self.wanted && may {
+        if self.assigned && may {
             self.rested = now + self.limits.takeover_first;
             self.phase = Phase::Reading(Reader::new(now));
         }
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -34,7 +34,7 @@
         wall: Millis,
     },
     /// Whether placement wants this daemon to own the shard.
-    Own(bool),
+    Assign(bool),
     /// A claimant asks.
     Ask(ClaimAsk),
     /// The platform replied to a call.
--- a/crates/core/tests/claims/bench.rs
+++ b/crates/core/tests/claims/bench.rs
@@ -104,7 +104,7 @@
     }
 
     pub fn own(&mut self, log: usize, wanted: bool) {
-        self.event(log, LogEvent::Own(wanted));
+        self.event(log, LogEvent::Assign(wanted));
     }
 
     pub fn ask(&mut self, log: usize, ask: &ClaimAsk) {
--- a/crates/core/tests/claims/checks.rs
+++ b/crates/core/tests/claims/checks.rs
@@ -19,7 +19,7 @@
         };
         let wall = WALL + self.now;
         let mut log = ShardLog::new(SHARD, member, 9, wall, self.now);
-        let mut events = vec![LogEvent::Own(true)];
+        let mut events = vec![LogEvent::Assign(true)];
         while let Some(event) = events.pop() {
             for action in log.handle(event, self.now) {
                 let call = call_of(&action).expect("a call");
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -195,7 +195,7 @@
             Step::Stop(daemon) => {
                 self.count("stop");
                 self.daemons[daemon].stopping = true;
-                self.push_input(daemon, self.now, Input::Log(LogEvent::Own(false)));
+                self.push_input(daemon, self.now, Input::Log(LogEvent::Assign(false)));
                 let stop = Input::Claimant(ClaimantEvent::Stop);
                 self.push_input(daemon, self.now, stop);
             }
@@ -303,7 +303,7 @@
                 let owner = if self.quiet { self.owner } else { owner };
                 target.owner = owner;
                 let wanted = owner == daemon && !target.stopping;
-                log_events.push(LogEvent::Own(wanted));
+                log_events.push(LogEvent::Assign(wanted));
             }
             Input::Wake => {
                 target.wake = Millis::MAX;
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -39,7 +39,7 @@
     let mut platform = Platform::default();
     let mut log = ShardLog::new(3, member, 1, WALL, Millis::ZERO);
     let mut now = Millis::ZERO;
-    event(&mut log, &mut platform, LogEvent::Own(true), now);
+    event(&mut log, &mut platform, LogEvent::Assign(true), now);
     for number in 0..CLAIMS {
         let daemon = format!("{:0name$}", number % claimants);
         let ask = ClaimAsk {
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -101,7 +101,7 @@
         for shard in 0..SHARDS {
             let owner = owner_of(&view, shard);
             let own = able && owner == Some(&self.context.me.daemon);
-            self.drive(shard, LogEvent::Own(own));
+            self.drive(shard, LogEvent::Assign(own));
         }
     }
 
