--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -126,7 +126,7 @@
         claimant: Incarnation,
     },
     /// Answer another daemon.
-    TellKey {
+    AnswerKey {
         /// The daemon.
         to: String,
         /// The answer.
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -155,7 +155,7 @@
             answer.headers.clone_from(&held.headers);
             answer.body = held.body.clone();
         }
-        self.actions.push(Action::TellKey { to: from, answer });
+        self.actions.push(Action::AnswerKey { to: from, answer });
     }
 
     fn key_state(&self, ask: &KeyAsk) -> KeyState {
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -86,7 +86,7 @@
     };
     let from = "d9".into();
     match &claimant.handle(ClaimantEvent::KeyAsked { from, ask }, now)[..] {
-        [ClaimantAction::TellKey { answer, .. }] => answer.clone(),
+        [ClaimantAction::AnswerKey { answer, .. }] => answer.clone(),
         other => panic!("no answer: {other:?}"),
     }
 }
@@ -252,7 +252,7 @@
     let from = "d9".into();
     let actions = claimant.handle(ClaimantEvent::KeyAsked { from, ask }, NOW);
     let is_unknown =
-        matches!(&actions[..], [ClaimantAction::TellKey { answer, .. }] if answer.state == 0);
+        matches!(&actions[..], [ClaimantAction::AnswerKey { answer, .. }] if answer.state == 0);
     expect_that!(is_unknown, eq(true));
 }
 
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -321,7 +321,7 @@
             for action in self.daemons[daemon].claimant.handle(event.clone(), now) {
                 if let (
                     ClaimantEvent::KeyAsked { ask, .. },
-                    ClaimantAction::TellKey { answer, .. },
+                    ClaimantAction::AnswerKey { answer, .. },
                 ) = (&event, &action)
                 {
                     self.oracle.key_told(ask, answer);
--- a/crates/core/tests/claims/network.rs
+++ b/crates/core/tests/claims/network.rs
@@ -122,7 +122,7 @@
             }
             ClaimantAction::Replay { .. } => self.counts.replays += 1,
             ClaimantAction::AskKey { to, ask } => self.ask_key(daemon, &to, ask),
-            ClaimantAction::TellKey { to, answer } => {
+            ClaimantAction::AnswerKey { to, answer } => {
                 let event = ClaimantEvent::KeyAnswer(answer);
                 self.send(daemon, &to, Input::Claimant(event));
             }
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -220,7 +220,9 @@
             ClaimantAction::Replay { request, answer } => {
                 self.decide(request, Decision::Replay(answer));
             }
-            ClaimantAction::TellKey { to, answer } => self.send(&to, Body::KeyAnswer(answer), None),
+            ClaimantAction::AnswerKey { to, answer } => {
+                self.send(&to, Body::KeyAnswer(answer), None)
+            }
             ClaimantAction::ReadShutdownRecord { claimant } => {
                 let context = Arc::clone(&self.context);
                 tokio::spawn(async move {
