--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -142,7 +142,7 @@
 
     fn begin(&mut self, start: KeyedRequest, now: Millis) {
         let key = start.key;
-        let until = now + self.limits.claim_wait;
+        let until = now + self.limits.claim_timeout;
         self.requests.insert(start.request, key);
         self.keys.insert(start, until);
         self.ask(&key, None);
@@ -232,7 +232,7 @@
         };
         self.timers.remove(&(entry.due, key));
         entry.phase = Phase::Waiting;
-        entry.due = entry.until.min(now + self.limits.retry_wait);
+        entry.due = entry.until.min(now + self.limits.retry_delay);
         self.timers.insert((entry.due, key));
     }
 
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -182,11 +182,11 @@
 #[derive(Debug)]
 pub struct ClaimantLimits {
     /// Longest time from a request to its claim.
-    pub claim_wait: Millis,
+    pub claim_timeout: Millis,
     /// Delay before an owner is asked again.
-    pub retry_wait: Millis,
+    pub retry_delay: Millis,
     /// Most keys that are remembered after their requests have ended.
-    pub keys: usize,
+    pub max_keys: usize,
     /// Answers that are kept.
     pub answers: CacheLimits,
 }
@@ -194,9 +194,9 @@
 impl Default for ClaimantLimits {
     fn default() -> Self {
         Self {
-            claim_wait: Millis::from_secs(4),
-            retry_wait: Millis(100),
-            keys: 100_000,
+            claim_timeout: Millis::from_secs(4),
+            retry_delay: Millis(100),
+            max_keys: 100_000,
             answers: CacheLimits::default(),
         }
     }
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -184,7 +184,7 @@
         };
         let ask = entry.ask;
         let until = now + entry.start.lifetime;
-        let most = self.limits.keys;
+        let most = self.limits.max_keys;
         self.requests.remove(&request);
         match end {
             RunOutcome::NotRun => {
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -133,7 +133,7 @@
         };
         let queued = self.queue.front().map(|waiting| waiting.since);
         let oldest = written.into_iter().chain(queued).min();
-        let expiry = oldest.map_or(Millis::MAX, |since| since + self.limits.ask_wait);
+        let expiry = oldest.map_or(Millis::MAX, |since| since + self.limits.claim_timeout);
         retry.min(expiry)
     }
 
@@ -195,7 +195,7 @@
                 return self.calls.answer(&ask, status, None, &mut self.stats);
             }
         };
-        let is_full = self.queue.len() >= self.limits.queue;
+        let is_full = self.queue.len() >= self.limits.max_queue;
         if !self.assigned || self.is_idle() {
             waiting.answer(ClaimStatus::NotOwner, &mut self.calls, &mut self.stats);
         } else if self.calls.is_down() || is_full {
@@ -232,7 +232,7 @@
         let Phase::Owner(tenure) = &mut self.phase else {
             return;
         };
-        if tenure.lasted(now) > self.limits.takeover_most {
+        if tenure.lasted(now) > self.limits.takeover_max {
             self.fights.succeed();
         }
         tenure.tick(&mut self.calls, now);
@@ -259,7 +259,7 @@
             _ => false,
         };
         if self.assigned && may {
-            self.rested = now + self.limits.takeover_first;
+            self.rested = now + self.limits.takeover_min;
             self.phase = Phase::Reading(Reader::new(now));
         }
     }
@@ -267,7 +267,7 @@
     /// Refuses what has waited too long, or all while the platform is down.
     fn expire(&mut self, now: Millis) {
         let down = self.calls.is_down();
-        let wait = self.limits.ask_wait;
+        let wait = self.limits.claim_timeout;
         let late = |waiting: &Waiting| down || now.since(waiting.since) >= wait;
         while self.queue.front().is_some_and(late) {
             if let Some(waiting) = self.queue.pop_front() {
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -126,7 +126,7 @@
     let mut later = VecDeque::new();
     for waiting in std::mem::take(work.queue) {
         // A second claim of a key waits until the fate of the first is known.
-        if asks.len() >= work.limits.batch || keys.contains(&waiting.key) {
+        if asks.len() >= work.limits.max_batch || keys.contains(&waiting.key) {
             later.push_back(waiting);
             continue;
         }
@@ -139,7 +139,10 @@
             continue;
         }
         keys.insert(waiting.key);
-        writer.push(&waiting.key, &waiting.claim(work.wall, work.limits.skew));
+        writer.push(
+            &waiting.key,
+            &waiting.claim(work.wall, work.limits.clock_skew),
+        );
         asks.push(waiting);
     }
     *work.queue = later;
--- a/crates/core/src/claims/log/calls.rs
+++ b/crates/core/src/claims/log/calls.rs
@@ -23,7 +23,7 @@
     next: u64,
     actions: Vec<Action>,
     backoff: Backoff,
-    delete_pace: Millis,
+    delete_interval: Millis,
     #[debug(skip)]
     rng: Pcg64,
 }
@@ -35,18 +35,18 @@
             next: 0,
             actions: Vec::new(),
             backoff: limits.retry_backoff(),
-            delete_pace: limits.delete_pace,
+            delete_interval: limits.delete_interval,
             rng,
         }
     }
 
     pub(super) const fn set_limits(&mut self, limits: &LogLimits) {
         self.backoff = limits.retry_backoff();
-        self.delete_pace = limits.delete_pace;
+        self.delete_interval = limits.delete_interval;
     }
 
-    pub(super) const fn delete_pace(&self) -> Millis {
-        self.delete_pace
+    pub(super) const fn delete_interval(&self) -> Millis {
+        self.delete_interval
     }
 
     pub(super) fn take_actions(&mut self) -> Vec<Action> {
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -182,13 +182,13 @@
 #[derive(Debug)]
 pub struct LogLimits {
     /// Shortest time between two batches.
-    pub pace: Millis,
+    pub batch_interval: Millis,
     /// Longest wait of a claimant for its answer.
-    pub ask_wait: Millis,
+    pub claim_timeout: Millis,
     /// Most claimants that wait.
-    pub queue: usize,
+    pub max_queue: usize,
     /// Most claims in a batch.
-    pub batch: usize,
+    pub max_batch: usize,
     /// Objects after which a checkpoint is written.
     pub checkpoint_objects: u64,
     /// Claims in no checkpoint after which one is written.
@@ -196,45 +196,45 @@
     /// Claims up to which a checkpoint repeats those of earlier ones, so that it stays well under 1 MiB.
     pub segment_claims: usize,
     /// Added to a key's lifetime, for wall clocks that differ.
-    pub skew: Millis,
+    pub clock_skew: Millis,
     /// Delay after a first failure of the platform.
-    pub retry_first: Millis,
+    pub retry_min: Millis,
     /// Longest delay between tries.
-    pub retry_most: Millis,
+    pub retry_max: Millis,
     /// Delay before a second takeover.
-    pub takeover_first: Millis,
+    pub takeover_min: Millis,
     /// Longest delay before a takeover.
-    pub takeover_most: Millis,
+    pub takeover_max: Millis,
     /// Shortest time between two deletions.
-    pub delete_pace: Millis,
+    pub delete_interval: Millis,
 }
 
 impl Default for LogLimits {
     fn default() -> Self {
         Self {
-            pace: Millis(250),
-            ask_wait: Millis(1500),
-            queue: 4096,
-            batch: 512,
+            batch_interval: Millis(250),
+            claim_timeout: Millis(1500),
+            max_queue: 4096,
+            max_batch: 512,
             checkpoint_objects: 64,
             checkpoint_claims: 1024,
             segment_claims: 3072,
-            skew: Millis::from_secs(60),
-            retry_first: Millis(50),
-            retry_most: Millis::from_secs(2),
-            takeover_first: Millis::from_secs(1),
-            takeover_most: Millis::from_secs(30),
-            delete_pace: Millis(200),
+            clock_skew: Millis::from_secs(60),
+            retry_min: Millis(50),
+            retry_max: Millis::from_secs(2),
+            takeover_min: Millis::from_secs(1),
+            takeover_max: Millis::from_secs(30),
+            delete_interval: Millis(200),
         }
     }
 }
 
 impl LogLimits {
     pub(super) const fn takeover_backoff(&self) -> Backoff {
-        Backoff::new(self.takeover_first, self.takeover_most)
+        Backoff::new(self.takeover_min, self.takeover_max)
     }
 
     pub(super) const fn retry_backoff(&self) -> Backoff {
-        Backoff::new(self.retry_first, self.retry_most)
+        Backoff::new(self.retry_min, self.retry_max)
     }
 }
--- a/crates/core/src/claims/log/tenure.rs
+++ b/crates/core/src/claims/log/tenure.rs
@@ -151,7 +151,7 @@
         if !self.sweep.is_waiting(call) {
             return false;
         }
-        let pace = calls.delete_pace();
+        let pace = calls.delete_interval();
         if self.sweep.reply(reply, calls.shard(), pace, now) {
             self.chain.trash.clear();
         }
@@ -247,7 +247,7 @@
         if draft.asks.is_empty() && draft.batch.voids.is_empty() {
             return;
         }
-        self.write_at = now + work.limits.pace;
+        self.write_at = now + work.limits.batch_interval;
         self.write(Body::Batch(draft.batch), draft.asks, work.calls, work.me);
     }
 
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -167,8 +167,8 @@
         let unused = self.unused.get(holder).copied().unwrap_or(0);
         match () {
             () if self.stopped => Some(Reason::Stopping),
-            () if self.issued.len() >= self.limits.total => Some(Reason::QueueFull),
-            () if unused >= self.limits.each => Some(Reason::AccountConcurrency),
+            () if self.issued.len() >= self.limits.max_tickets => Some(Reason::QueueFull),
+            () if unused >= self.limits.max_unused => Some(Reason::AccountConcurrency),
             () => None,
         }
     }
@@ -241,7 +241,7 @@
         let Some(issued) = self.issued.get_mut(&number) else {
             return;
         };
-        issued.expiry = issued.expiry.max(now + self.limits.memory);
+        issued.expiry = issued.expiry.max(now + self.limits.retention);
         issued.state = match end {
             RunOutcome::Unknown => State::Unknown,
             RunOutcome::NotRun => {
--- a/crates/core/src/claims/tickets/event.rs
+++ b/crates/core/src/claims/tickets/event.rs
@@ -150,11 +150,11 @@
     /// How long a ticket can be used.
     pub lifetime: Millis,
     /// How long it is remembered that a ticket ran.
-    pub memory: Millis,
+    pub retention: Millis,
     /// Most tickets in memory.
-    pub total: usize,
+    pub max_tickets: usize,
     /// Most unused tickets of one account.
-    pub each: u32,
+    pub max_unused: u32,
     /// Answers that are kept.
     pub answers: CacheLimits,
 }
@@ -163,9 +163,9 @@
     fn default() -> Self {
         Self {
             lifetime: Millis::from_secs(600),
-            memory: Millis::from_secs(3600),
-            total: 20_000,
-            each: 1000,
+            retention: Millis::from_secs(3600),
+            max_tickets: 20_000,
+            max_unused: 1000,
             answers: CacheLimits::default(),
         }
     }
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -125,7 +125,7 @@
 fn grant_after_the_deadline_is_ignored() {
     let mut claimant = claimant();
     let ask = asked(&claimant.handle(start(1, 7), NOW));
-    let late = NOW + ClaimantLimits::default().claim_wait;
+    let late = NOW + ClaimantLimits::default().claim_timeout;
     let granted = ClaimantEvent::Answer(answer(&ask, ClaimStatus::Granted));
     let actions = claimant.handle(granted, late);
     expect_that!(actions, eq(&refused(1, Reason::ClaimUnavailable)));
@@ -213,7 +213,7 @@
 #[gtest]
 fn forgotten_runs_are_not_said_to_be_not_run() {
     let limits = ClaimantLimits {
-        keys: 1,
+        max_keys: 1,
         ..ClaimantLimits::default()
     };
     let mut claimant = claimant().with_limits(limits);
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -64,12 +64,12 @@
     pub fn new(seed: u64, daemons: usize, odds: Odds) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let limits = LogLimits {
-            pace: Millis(20),
+            batch_interval: Millis(20),
             checkpoint_objects: rng.random_range(2..12),
             segment_claims: rng.random_range(1..6),
-            delete_pace: Millis(rng.random_range(1..60)),
-            takeover_first: Millis(rng.random_range(1..500)),
-            takeover_most: Millis::from_secs(5),
+            delete_interval: Millis(rng.random_range(1..60)),
+            takeover_min: Millis(rng.random_range(1..500)),
+            takeover_max: Millis::from_secs(5),
             ..LogLimits::default()
         };
         let mut fleet = Self {
@@ -106,8 +106,8 @@
         let wall = WALL + self.now + skew;
         let log = ShardLog::new(SHARD, member.clone(), self.rng.random(), wall, self.now);
         let limits = ClaimantLimits {
-            keys: self.rng.random_range(2..20),
-            claim_wait: Millis(self.rng.random_range(500..4000)),
+            max_keys: self.rng.random_range(2..20),
+            claim_timeout: Millis(self.rng.random_range(500..4000)),
             ..ClaimantLimits::default()
         };
         Daemon {
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -50,12 +50,12 @@
         };
         event(&mut log, &mut platform, LogEvent::Ask(ask), now);
         if number % per_batch == 0 {
-            now += LogLimits::default().pace;
+            now += LogLimits::default().batch_interval;
             let wall = WALL + now;
             event(&mut log, &mut platform, LogEvent::Tick { wall }, now);
         }
     }
-    now += LogLimits::default().pace;
+    now += LogLimits::default().batch_interval;
     let wall = WALL + now;
     event(&mut log, &mut platform, LogEvent::Tick { wall }, now);
     (log, platform)
--- a/crates/core/tests/claims/tickets.rs
+++ b/crates/core/tests/claims/tickets.rs
@@ -131,7 +131,7 @@
     expect_that!(refused, eq(&refuse(3, Reason::TicketExpired)));
     let ran = redeem(&mut tickets, &used, 4, expired);
     expect_that!(ran, eq(&refuse(4, Reason::KeyRan)));
-    let forgotten = redeem(&mut tickets, &used, 5, NOW + limits.memory);
+    let forgotten = redeem(&mut tickets, &used, 5, NOW + limits.retention);
     expect_that!(forgotten, eq(&refuse(5, Reason::TicketUnknown)));
     expect_that!(tickets.is_empty(), eq(true));
 }
@@ -139,7 +139,7 @@
 #[gtest]
 fn tickets_of_an_account_are_bounded() {
     let limits = TicketLimits {
-        each: 2,
+        max_unused: 2,
         ..TicketLimits::default()
     };
     let mut tickets = Tickets::new(member(0)).with_limits(limits);
