--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -32,7 +32,7 @@
 };
 pub use hash::{Digest, HashError, KeyHash, shard_of};
 pub use log::{
-    Action as LogAction, CallId, ClaimStatus, Event as LogEvent, Listed, LogLimits, LogState,
+    Action as LogAction, CallId, ClaimStatus, Event as LogEvent, ListedObject, LogLimits, LogState,
     LogStats, ProcessId, Reply, ShardLog,
 };
 pub use record::{
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -29,7 +29,7 @@
 use reader::Reader;
 use tenure::Tenure;
 
-pub use event::{Action, CallId, ClaimStatus, Event, Listed, LogLimits, ProcessId, Reply};
+pub use event::{Action, CallId, ClaimStatus, Event, ListedObject, LogLimits, ProcessId, Reply};
 pub use stats::{LogState, LogStats};
 
 /// One shard's chain, seen by a daemon that owns it or may come to.
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -61,7 +61,7 @@
     /// Objects in the order of their names.
     Listed {
         /// The objects.
-        objects: Vec<Listed>,
+        objects: Vec<ListedObject>,
         /// Whether there are more.
         more: bool,
     },
@@ -76,7 +76,7 @@
 /// An object in a list.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub struct Listed {
+pub struct ListedObject {
     /// Its name.
     pub key: String,
     /// Its version.
--- a/crates/core/src/claims/log/reader.rs
+++ b/crates/core/src/claims/log/reader.rs
@@ -10,7 +10,7 @@
 
 use crate::claims::chain::Chain;
 use crate::claims::log::calls::Calls;
-use crate::claims::log::event::{CallId, Listed, Reply};
+use crate::claims::log::event::{CallId, ListedObject, Reply};
 use crate::claims::record::{Body, Record, object_number};
 use crate::clock::Millis;
 
@@ -136,7 +136,7 @@
             return Progress::Pending;
         };
         calls.succeed();
-        let number = |listed: &Listed| object_number(calls.shard(), &listed.key);
+        let number = |listed: &ListedObject| object_number(calls.shard(), &listed.key);
         if let Some(last) = objects.iter().filter_map(number).max() {
             self.listed = last;
         }
--- a/crates/core/tests/claims/platform.rs
+++ b/crates/core/tests/claims/platform.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use medlarrill_core::claims::{CallId, Listed, LogAction, Reply};
+use medlarrill_core::claims::{CallId, ListedObject, LogAction, Reply};
 
 /// Objects, and what was asked of them.
 #[derive(Clone, Default)]
@@ -65,7 +65,7 @@
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
             .take(limit + 1)
-            .map(|(key, object)| Listed {
+            .map(|(key, object)| ListedObject {
                 key: key.clone(),
                 version: object.version,
             })
--- a/crates/daemon/src/claims/calls.rs
+++ b/crates/daemon/src/claims/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform for the claim log; each brings exactly one reply.
 
 use bytes::Bytes;
-use medlarrill_core::claims::{Listed, Reply, ShutdownRecord};
+use medlarrill_core::claims::{ListedObject, Reply, ShutdownRecord};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
 use medlarrill_net::platform::{Client, Error, Listing, Read, Role, Version};
@@ -66,7 +66,7 @@
 }
 
 fn reply(listing: Listing) -> Reply {
-    let listed = listing.entries.into_iter().map(|entry| Listed {
+    let listed = listing.entries.into_iter().map(|entry| ListedObject {
         key: entry.key,
         version: entry.version.0,
     });
