--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -36,7 +36,7 @@
     LogStats, ProcessId, Reply, ShardLog,
 };
 pub use record::{
-    Batch, Body, Checkpoint, Close, Entry, Holder, Open, Record, RecordError, Span, Void,
+    Batch, Body, Checkpoint, ClaimEntry, Close, Holder, Open, Record, RecordError, Span, Void,
     object_key, object_number, shard_prefix,
 };
 pub use shutdown::{NumberOutcomes, SHUTDOWN_PREFIX, ShutdownRecord};
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -175,7 +175,7 @@
             lifetime: entry.start.lifetime.0,
             request: entry.start.request.to_bytes().to_vec().into(),
             given_claimant: given_up.claimant.0,
-            given_ask: given_up.ask,
+            given_ask: given_up.number,
         }));
     }
 
@@ -209,13 +209,13 @@
     fn found_held(&mut self, key: &KeyHash, answer: &ClaimAnswer) {
         let holder = ClaimId {
             claimant: Incarnation(answer.claimant),
-            ask: answer.held,
+            number: answer.held,
         };
         if holder.claimant != self.me.incarnation {
             return self.inquire(key, holder, &answer.daemon);
         }
         // The key is not running here, so its claim is dead, unless what became of it was forgotten.
-        if self.keys.is_forgotten(holder.ask) {
+        if self.keys.is_forgotten(holder.number) {
             self.finish(key, Reason::KeyUnknown);
         } else {
             self.ask(key, Some(holder));
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -36,7 +36,7 @@
                 ask: inquiry,
                 key: key.to_bytes(),
                 claimant: holder.claimant.0,
-                held: holder.ask,
+                held: holder.number,
                 asker: self.me.incarnation.0,
             },
         });
@@ -125,7 +125,7 @@
             if holder.claimant != claimant {
                 continue;
             }
-            let outcome = record.as_ref().map(|f| f.claim(holder.ask));
+            let outcome = record.as_ref().map(|f| f.claim(holder.number));
             match outcome.unwrap_or(Outcome::Unknown) {
                 Outcome::Ran => self.finish(&key, Reason::KeyRan),
                 Outcome::NotRun => self.ask_instead(&key, holder, now),
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -73,7 +73,7 @@
     pub(super) const fn id(&self) -> ClaimId {
         ClaimId {
             claimant: Incarnation(self.ask.claimant),
-            ask: self.ask.ask,
+            number: self.ask.ask,
         }
     }
 
@@ -81,7 +81,7 @@
     const fn given_up(&self) -> ClaimId {
         ClaimId {
             claimant: Incarnation(self.ask.given_claimant),
-            ask: self.ask.given_ask,
+            number: self.ask.given_ask,
         }
     }
 
--- a/crates/core/src/claims/log/calls.rs
+++ b/crates/core/src/claims/log/calls.rs
@@ -116,7 +116,7 @@
             answer.claimant = claim.id.claimant.0;
             answer.daemon = claim.daemon.to_string();
             answer.request = claim.request.to_bytes().to_vec().into();
-            answer.held = claim.id.ask;
+            answer.held = claim.id.number;
         }
         self.actions.push(Action::Answer {
             to: ask.daemon.clone(),
--- a/crates/core/src/claims/record.rs
+++ b/crates/core/src/claims/record.rs
@@ -90,7 +90,7 @@
     pub voids: Vec<Void>,
     /// New claims.
     #[prost(message, repeated, tag = "2")]
-    pub claims: Vec<Entry>,
+    pub claims: Vec<ClaimEntry>,
     /// Processes named by the claims.
     #[prost(message, repeated, tag = "3")]
     pub holders: Vec<Holder>,
@@ -108,7 +108,7 @@
     pub voids: Vec<Void>,
     /// Live claims of all earlier objects that aren't kept.
     #[prost(message, repeated, tag = "3")]
-    pub claims: Vec<Entry>,
+    pub claims: Vec<ClaimEntry>,
     /// Processes named by the claims.
     #[prost(message, repeated, tag = "4")]
     pub holders: Vec<Holder>,
@@ -120,7 +120,7 @@
 /// One claim.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Entry {
+pub struct ClaimEntry {
     /// Hash of institution and key, 32 bytes.
     #[prost(bytes = "bytes", tag = "1")]
     pub key: Bytes,
@@ -132,7 +132,7 @@
     pub holder: u32,
     /// The claimant's number for the claim.
     #[prost(uint64, tag = "4")]
-    pub ask: u64,
+    pub number: u64,
     /// The caller's request, 16 bytes.
     #[prost(bytes = "bytes", tag = "5")]
     pub request: Bytes,
@@ -153,7 +153,7 @@
     pub claimant: u64,
     /// The claimant's number for the claim.
     #[prost(uint64, tag = "3")]
-    pub ask: u64,
+    pub number: u64,
 }
 
 /// A process that holds claims.
--- a/crates/core/src/claims/table.rs
+++ b/crates/core/src/claims/table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::claims::hash::{Digest, KeyHash};
-use crate::claims::record::{Entry, Holder, RecordError, Result, Void};
+use crate::claims::record::{ClaimEntry, Holder, RecordError, Result, Void};
 use crate::clock::Millis;
 use crate::ids::{DaemonId, Incarnation, RequestId};
 
@@ -13,14 +13,14 @@
     /// The claimant.
     pub claimant: Incarnation,
     /// The claimant's number for it.
-    pub ask: u64,
+    pub number: u64,
 }
 
 impl ClaimId {
     /// The number of no claim: claimants count from one.
     pub const NONE: Self = Self {
         claimant: Incarnation(0),
-        ask: 0,
+        number: 0,
     };
 }
 
@@ -112,7 +112,7 @@
 /// Makes the coded form of claims, naming each claimant once.
 #[derive(Default)]
 pub(crate) struct EntryWriter {
-    pub(crate) entries: Vec<Entry>,
+    pub(crate) entries: Vec<ClaimEntry>,
     pub(crate) holders: Vec<Holder>,
     indices: HashMap<Incarnation, u32>,
 }
@@ -120,11 +120,11 @@
 impl EntryWriter {
     pub(crate) fn push(&mut self, key: &KeyHash, claim: &Claim) {
         let holder = self.holder(claim);
-        self.entries.push(Entry {
+        self.entries.push(ClaimEntry {
             key: key.to_bytes(),
             digest: claim.digest.to_bytes(),
             holder,
-            ask: claim.id.ask,
+            number: claim.id.number,
             request: claim.request.to_bytes().to_vec().into(),
             expiry: claim.expiry.0,
         });
@@ -147,7 +147,7 @@
 
 /// Reads claims from their coded form.
 pub(crate) fn read_entries(
-    entries: &[Entry],
+    entries: &[ClaimEntry],
     holders: &[Holder],
     object: u64,
 ) -> Result<Vec<(KeyHash, Claim)>> {
@@ -156,12 +156,12 @@
         .map(|holder| holder.daemon.parse())
         .collect::<std::result::Result<Vec<DaemonId>, _>>()
         .map_err(|_| RecordError::Field("daemon"))?;
-    let read = |entry: &Entry| read_entry(entry, holders, &daemons, object);
+    let read = |entry: &ClaimEntry| read_entry(entry, holders, &daemons, object);
     entries.iter().map(read).collect()
 }
 
 fn read_entry(
-    entry: &Entry,
+    entry: &ClaimEntry,
     holders: &[Holder],
     daemons: &[DaemonId],
     object: u64,
@@ -174,7 +174,7 @@
     let claim = Claim {
         id: ClaimId {
             claimant: Incarnation(holder.claimant),
-            ask: entry.ask,
+            number: entry.number,
         },
         daemon: daemon.clone(),
         digest: Digest::from_bytes(&entry.digest).map_err(|_| bad("digest"))?,
@@ -191,7 +191,7 @@
         Self {
             key: key.to_bytes(),
             claimant: id.claimant.0,
-            ask: id.ask,
+            number: id.number,
         }
     }
 
@@ -199,7 +199,7 @@
     pub const fn id(&self) -> ClaimId {
         ClaimId {
             claimant: Incarnation(self.claimant),
-            ask: self.ask,
+            number: self.number,
         }
     }
 }
--- a/crates/core/tests/claims/oracle.rs
+++ b/crates/core/tests/claims/oracle.rs
@@ -53,14 +53,14 @@
     pub fn asked(&mut self, ask: &ClaimAsk) {
         let id = ClaimId {
             claimant: Incarnation(ask.claimant),
-            ask: ask.ask,
+            number: ask.ask,
         };
         let request = RequestId::from_bytes(&ask.request).expect("a request");
         self.asked.insert(id, request);
         self.latest.insert(request, id);
         self.given_up.insert(ClaimId {
             claimant: Incarnation(ask.given_claimant),
-            ask: ask.given_ask,
+            number: ask.given_ask,
         });
     }
 
@@ -69,8 +69,8 @@
         if ClaimStatus::from_code(answer.verdict) != ClaimStatus::Granted {
             return;
         }
-        let ask = answer.ask;
-        let id = ClaimId { claimant, ask };
+        let number = answer.ask;
+        let id = ClaimId { claimant, number };
         let request = self.requests[&self.asked[&id]];
         self.granted.insert(id, request.key);
     }
@@ -154,7 +154,7 @@
         let key = KeyHash::from_bytes(&ask.key).expect("a key");
         let id = ClaimId {
             claimant: Incarnation(ask.claimant),
-            ask: ask.held,
+            number: ask.held,
         };
         if self.dispatched.get(&key).is_some_and(|d| d.id == id) {
             self.fail(format!("{id:?} said to be not run, but was dispatched"));
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -113,7 +113,7 @@
     let first = ask(u64::MAX, 1);
     let id = ClaimId {
         claimant: Incarnation(first.claimant),
-        ask: 1,
+        number: 1,
     };
     let now = Millis::from_secs(3000);
     event(&mut log, &mut single, LogEvent::Ask(first), now);
