--- a/crates/core/src/claims/chain.rs
+++ b/crates/core/src/claims/chain.rs
@@ -69,7 +69,7 @@
     /// Whether the last object ends a tenure.
     pub closed: bool,
     /// Objects that may be deleted.
-    pub trash: Vec<Span>,
+    pub obsolete: Vec<Span>,
     /// Checkpoints that count, in ascending order.
     segments: Vec<Segment>,
     /// Numbers since `base` that must never be deleted.
@@ -90,12 +90,12 @@
     }
 
     /// Objects since the latest checkpoint.
-    pub const fn length(&self) -> u64 {
+    pub const fn tail_length(&self) -> u64 {
         self.last - self.base
     }
 
     /// Claims that stand in no checkpoint.
-    pub fn fresh(&self) -> usize {
+    pub fn uncheckpointed(&self) -> usize {
         let kept: usize = self
             .segments
             .iter()
@@ -123,7 +123,7 @@
     }
 
     /// Adds an earlier checkpoint that a later one keeps.
-    pub fn apply_kept(&mut self, number: u64, record: &Record) -> Result<()> {
+    pub fn apply_retained(&mut self, number: u64, record: &Record) -> Result<()> {
         let Some(Body::Checkpoint(checkpoint)) = &record.body else {
             return Err(RecordError::Kind.into());
         };
@@ -185,7 +185,7 @@
         self.apply_voids(&checkpoint.voids)?;
         self.insert_segment(number, checkpoint)?;
         self.base = number;
-        self.trash.clone_from(&checkpoint.trash);
+        self.obsolete.clone_from(&checkpoint.obsolete);
         self.fences.clear();
         Ok(())
     }
@@ -217,7 +217,7 @@
             writer.push(key, claim);
         }
         Checkpoint {
-            trash: self.next_trash(&keep),
+            obsolete: self.next_obsolete(&keep),
             voids: self.kept_voids(&keep),
             keep,
             claims: writer.entries,
@@ -227,7 +227,7 @@
 
     /// Which checkpoints stay: those that don't fit into the next one and are at least half live.
     fn kept(&self, most: usize) -> Vec<u64> {
-        let mut room = most.saturating_sub(self.fresh());
+        let mut room = most.saturating_sub(self.uncheckpointed());
         let mut keep = Vec::new();
         let mut newest = true;
         for segment in self.segments.iter().rev() {
@@ -254,8 +254,8 @@
     }
 
     /// What may be deleted once the next object is a checkpoint that keeps `keep`.
-    fn next_trash(&self, keep: &[u64]) -> Vec<Span> {
-        let mut trash = self.trash.clone();
+    fn next_obsolete(&self, keep: &[u64]) -> Vec<Span> {
+        let mut obsolete = self.obsolete.clone();
         let folded = self.segments.iter().map(|segment| segment.number);
         let recent = self.base + 1..=self.last;
         let numbers = folded
@@ -263,14 +263,14 @@
             .chain(recent)
             .filter(|number| !self.fences.contains(number));
         for number in numbers {
-            match trash.last_mut() {
+            match obsolete.last_mut() {
                 Some(span) if span.last + 1 == number => span.last = number,
-                _ => trash.push(Span {
+                _ => obsolete.push(Span {
                     first: number,
                     last: number,
                 }),
             }
         }
-        trash
+        obsolete
     }
 }
--- a/crates/core/src/claims/log/reader.rs
+++ b/crates/core/src/claims/log/reader.rs
@@ -165,7 +165,7 @@
             };
             self.order.pop_front();
             let applied = if number < base {
-                self.chain.apply_kept(number, &record)
+                self.chain.apply_retained(number, &record)
             } else {
                 self.chain.apply(number, &record)
             };
--- a/crates/core/src/claims/log/tenure.rs
+++ b/crates/core/src/claims/log/tenure.rs
@@ -135,7 +135,7 @@
 
     /// Starts work as the owner.
     pub(super) fn begin(&mut self, now: Millis) {
-        self.sweep.start(self.chain.trash.clone(), now);
+        self.sweep.start(self.chain.obsolete.clone(), now);
         self.write_at = now;
         self.since = now;
     }
@@ -153,7 +153,7 @@
         }
         let pace = calls.delete_interval();
         if self.sweep.reply(reply, calls.shard(), pace, now) {
-            self.chain.trash.clear();
+            self.chain.obsolete.clear();
         }
         true
     }
@@ -168,7 +168,7 @@
     ) {
         if self.chain.base == self.chain.last {
             stats.checkpoints += 1;
-            self.sweep.start(self.chain.trash.clone(), now);
+            self.sweep.start(self.chain.obsolete.clone(), now);
         } else {
             stats.batches += 1;
         }
@@ -252,7 +252,7 @@
     }
 
     fn is_checkpoint_due(&self, limits: &LogLimits) -> bool {
-        self.chain.length() >= limits.checkpoint_objects
-            || self.chain.fresh() >= limits.checkpoint_claims
+        self.chain.tail_length() >= limits.checkpoint_objects
+            || self.chain.uncheckpointed() >= limits.checkpoint_claims
     }
 }
--- a/crates/core/src/claims/record.rs
+++ b/crates/core/src/claims/record.rs
@@ -114,7 +114,7 @@
     pub holders: Vec<Holder>,
     /// Objects that this and earlier checkpoints allow to delete and that may still be there.
     #[prost(message, repeated, tag = "5")]
-    pub trash: Vec<Span>,
+    pub obsolete: Vec<Span>,
 }
 
 /// One claim.
