--- a/crates/core/src/claims/backoff.rs
+++ b/crates/core/src/claims/backoff.rs
@@ -11,33 +11,33 @@
 #[derive(Clone, Debug)]
 pub struct Backoff {
     /// Delay after the first failure.
-    first: Millis,
+    min: Millis,
     /// Longest delay.
-    most: Millis,
+    max: Millis,
     /// Failures in a row.
     failures: u32,
 }
 
 impl Backoff {
-    /// Starts at `first` and never waits longer than `most`.
-    pub const fn new(first: Millis, most: Millis) -> Self {
+    /// Starts at `min` and never waits longer than `max`.
+    pub const fn new(min: Millis, max: Millis) -> Self {
         Self {
-            first,
-            most,
+            min,
+            max,
             failures: 0,
         }
     }
 
-    /// Counts a failure and draws the delay: between half of it and the whole.
-    pub fn fail(&mut self, rng: &mut impl Rng) -> Millis {
+    /// Counts a failure and draws the delay: between half of it and the delay.
+    pub fn next_delay(&mut self, rng: &mut impl Rng) -> Millis {
         let shift = self.failures.min(MAX_SHIFT);
         self.failures = self.failures.saturating_add(1);
-        let whole = (self.first.0 << shift).min(self.most.0);
-        Millis(rng.random_range(whole / 2..=whole))
+        let delay = (self.min.0 << shift).min(self.max.0);
+        Millis(rng.random_range(delay / 2..=delay))
     }
 
     /// Forgets the failures.
-    pub const fn succeed(&mut self) {
+    pub const fn reset(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -47,7 +47,7 @@
     /// When the next takeover may start.
     rested: Millis,
     /// Delays of takeovers after lost ones.
-    fights: Backoff,
+    takeover_backoff: Backoff,
     stats: LogStats,
 }
 
@@ -86,7 +86,7 @@
             phase: Phase::Idle,
             queue: VecDeque::new(),
             calls: Calls::new(shard, Pcg64::seed_from_u64(seed), &limits),
-            fights: limits.takeover_backoff(),
+            takeover_backoff: limits.takeover_backoff(),
             stats: LogStats::default(),
             limits,
         }
@@ -95,7 +95,7 @@
     /// Sets limits other than the usual ones.
     pub fn with_limits(mut self, limits: LogLimits) -> Self {
         self.calls.set_limits(&limits);
-        self.fights = limits.takeover_backoff();
+        self.takeover_backoff = limits.takeover_backoff();
         self.limits = limits;
         self
     }
@@ -233,7 +233,7 @@
             return;
         };
         if tenure.lasted(now) > self.limits.takeover_max {
-            self.fights.succeed();
+            self.takeover_backoff.reset();
         }
         tenure.tick(&mut self.calls, now);
         if !self.assigned {
--- a/crates/core/src/claims/log/calls.rs
+++ b/crates/core/src/claims/log/calls.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(super) struct Calls {
     shard: u16,
-    next: u64,
+    last_id: u64,
     actions: Vec<Action>,
     backoff: Backoff,
     delete_interval: Millis,
@@ -32,7 +32,7 @@
     pub(super) const fn new(shard: u16, rng: Pcg64, limits: &LogLimits) -> Self {
         Self {
             shard,
-            next: 0,
+            last_id: 0,
             actions: Vec::new(),
             backoff: limits.retry_backoff(),
             delete_interval: limits.delete_interval,
@@ -61,27 +61,27 @@
         self.shard
     }
 
-    fn call(&mut self) -> CallId {
-        self.next += 1;
-        CallId(self.next)
+    fn next_id(&mut self) -> CallId {
+        self.last_id += 1;
+        CallId(self.last_id)
     }
 
     pub(super) fn create(&mut self, number: u64, bytes: Bytes) -> CallId {
-        let call = self.call();
+        let call = self.next_id();
         let key = object_key(self.shard, number);
         self.actions.push(Action::Create { call, key, bytes });
         call
     }
 
     pub(super) fn read(&mut self, number: u64) -> CallId {
-        let call = self.call();
+        let call = self.next_id();
         let key = object_key(self.shard, number);
         self.actions.push(Action::Read { call, key });
         call
     }
 
     pub(super) fn list(&mut self, after: u64, limit: usize) -> CallId {
-        let call = self.call();
+        let call = self.next_id();
         self.actions.push(Action::List {
             call,
             prefix: shard_prefix(self.shard),
@@ -92,7 +92,7 @@
     }
 
     pub(super) fn delete(&mut self, number: u64, version: u64) -> CallId {
-        let call = self.call();
+        let call = self.next_id();
         let key = object_key(self.shard, number);
         self.actions.push(Action::Delete { call, key, version });
         call
@@ -126,19 +126,19 @@
     }
 
     /// Counts a failure; returns when to try again.
-    pub(super) fn fail(&mut self, now: Millis) -> Millis {
-        now + self.backoff.fail(&mut self.rng)
+    pub(super) fn record_failure(&mut self, now: Millis) -> Millis {
+        now + self.backoff.next_delay(&mut self.rng)
     }
 
-    pub(super) const fn succeed(&mut self) {
-        self.backoff.succeed();
+    pub(super) const fn record_success(&mut self) {
+        self.backoff.reset();
     }
 
     /// Delay before a reader starts anew.
     pub(super) fn restart_delay(&mut self) -> Millis {
         let mut backoff = self.backoff.clone();
-        backoff.succeed();
-        backoff.fail(&mut self.rng)
+        backoff.reset();
+        backoff.next_delay(&mut self.rng)
     }
 
     pub(super) const fn is_down(&self) -> bool {
--- a/crates/core/src/claims/log/reader.rs
+++ b/crates/core/src/claims/log/reader.rs
@@ -113,7 +113,7 @@
         };
         match reply {
             Reply::Found(bytes) => {
-                calls.succeed();
+                calls.record_success();
                 let Ok(record) = Record::read(bytes) else {
                     return Progress::Unreadable;
                 };
@@ -123,7 +123,7 @@
             Reply::NotFound => Progress::Restart,
             _ => {
                 self.wanted.push_front(number);
-                self.retry = calls.fail(now);
+                self.retry = calls.record_failure(now);
                 Progress::Pending
             }
         }
@@ -132,10 +132,10 @@
     fn reply_list(&mut self, reply: Reply, calls: &mut Calls, now: Millis) -> Progress {
         let Reply::Listed { objects, more } = reply else {
             self.step = Step::List;
-            self.retry = calls.fail(now);
+            self.retry = calls.record_failure(now);
             return Progress::Pending;
         };
-        calls.succeed();
+        calls.record_success();
         let number = |listed: &ListedObject| object_number(calls.shard(), &listed.key);
         if let Some(last) = objects.iter().filter_map(number).max() {
             self.listed = last;
--- a/crates/core/src/claims/log/replies.rs
+++ b/crates/core/src/claims/log/replies.rs
@@ -84,7 +84,7 @@
     fn reply_checking(&mut self, mut tenure: Tenure, reply: Reply, now: Millis) -> Phase {
         match reply {
             Reply::Listed { objects, .. } if objects.is_empty() => {
-                self.calls.succeed();
+                self.calls.record_success();
                 self.stats.takeovers += 1;
                 tenure.begin(now);
                 Phase::Owner(tenure)
@@ -93,7 +93,7 @@
             _ => Phase::Checking {
                 tenure,
                 call: None,
-                retry: self.calls.fail(now),
+                retry: self.calls.record_failure(now),
             },
         }
     }
@@ -131,7 +131,7 @@
     fn fence(&mut self, now: Millis) -> Phase {
         self.stats.fenced += 1;
         self.refuse_queue(ClaimStatus::NotOwner);
-        let until = now + self.fights.fail(self.calls.rng());
+        let until = now + self.takeover_backoff.next_delay(self.calls.rng());
         Phase::Fenced { until }
     }
 
--- a/crates/core/src/claims/log/write.rs
+++ b/crates/core/src/claims/log/write.rs
@@ -87,22 +87,22 @@
         match (&self.step, reply) {
             (Step::Creating(asked), reply) if *asked == call => match reply {
                 Reply::Created => {
-                    calls.succeed();
+                    calls.record_success();
                     return Settled::Recorded(std::mem::take(&mut self.asks));
                 }
                 Reply::Exists => self.step = Step::Reading(calls.read(self.number)),
-                _ => self.step = Step::Resting(calls.fail(now)),
+                _ => self.step = Step::Resting(calls.record_failure(now)),
             },
             (Step::Reading(asked), reply) if *asked == call => match reply {
                 Reply::Found(bytes) => {
-                    calls.succeed();
+                    calls.record_success();
                     return self.compare(bytes);
                 }
                 // The create may yet take effect: only the same write may follow it.
                 Reply::NotFound => {
                     self.step = Step::Creating(calls.create(self.number, self.bytes.clone()));
                 }
-                _ => self.step = Step::Resting(calls.fail(now)),
+                _ => self.step = Step::Resting(calls.record_failure(now)),
             },
             _ => {}
         }
