--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -1,17 +1,17 @@
-//! The owner's side of one shard's chain.
+//! The owner's side of one shard's chain, as a state machine without I/O.
 //!
-//! A driver hands each event to [`ShardLog::handle`] and carries out the
-//! actions in order. Every call to the platform gets exactly one reply; one
-//! that timed out is [`Reply::Lost`].
+//! A driver passes each event to [`ShardLog::handle`] and carries out the
+//! returned actions in order. Every call to the platform gets exactly one
+//! reply; a call that timed out gets [`Reply::Lost`].
 
 mod batch;
 mod calls;
 mod event;
+mod ownership;
 mod reader;
 mod replies;
 mod stats;
 mod sweep;
-mod tenure;
 mod write;
 
 use std::collections::VecDeque;
@@ -24,29 +24,29 @@
 use crate::clock::Millis;
 use crate::wire::ClaimAsk;
 
-use batch::Waiting;
+use batch::PendingClaim;
 use calls::Calls;
+use ownership::Ownership;
 use reader::Reader;
-use tenure::Tenure;
 
 pub use event::{Action, CallId, ClaimStatus, Event, ListedObject, LogLimits, ProcessId, Reply};
 pub use stats::{LogState, LogStats};
 
-/// One shard's chain, seen by a daemon that owns it or may come to.
+/// State machine for one shard's chain, on a daemon that owns the shard or may take it over.
 #[derive(Debug)]
 pub struct ShardLog {
     me: ProcessId,
     limits: LogLimits,
-    /// Wall time less the machine's own.
-    offset: Millis,
-    /// Whether placement wants this daemon to own the shard.
+    /// Wall time minus machine time.
+    wall_offset: Millis,
+    /// Whether placement assigns the shard to this daemon.
     assigned: bool,
     phase: Phase,
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<PendingClaim>,
     calls: Calls,
-    /// When the next takeover may start.
-    rested: Millis,
-    /// Delays of takeovers after lost ones.
+    /// Earliest time of the next takeover.
+    next_takeover: Millis,
+    /// Delay before the next takeover after this daemon was fenced.
     takeover_backoff: Backoff,
     stats: LogStats,
 }
@@ -54,35 +54,35 @@
 #[derive(Debug)]
 enum Phase {
     Idle,
-    /// Was replaced, or can't read the chain; tries again later.
+    /// Replaced by another owner, or can't read the chain; waits before the next takeover.
     Fenced {
         until: Millis,
     },
     Reading(Reader),
     Opening {
-        tenure: Tenure,
-        lost: u32,
+        ownership: Ownership,
+        lost_opens: u32,
     },
-    /// Its `open` stands; makes sure that the number had not been deleted before.
+    /// Its `Open` is recorded; checks that its number had not been used and deleted before.
     Checking {
-        tenure: Tenure,
+        ownership: Ownership,
         call: Option<CallId>,
         retry: Millis,
     },
-    Owner(Tenure),
+    Owner(Ownership),
 }
 
 impl ShardLog {
-    /// A machine for `shard`, run by `me`, at wall time `wall` and machine time `now`.
+    /// A state machine for `shard` in process `me`, at wall time `wall` and machine time `now`.
     ///
-    /// The seed must differ between processes: nonces come from it.
+    /// The seed must differ between processes because nonces are derived from it.
     pub fn new(shard: u16, me: ProcessId, seed: u64, wall: Millis, now: Millis) -> Self {
         let limits = LogLimits::default();
         Self {
             me,
-            offset: wall.since(now),
+            wall_offset: wall.since(now),
             assigned: false,
-            rested: Millis::ZERO,
+            next_takeover: Millis::ZERO,
             phase: Phase::Idle,
             queue: VecDeque::new(),
             calls: Calls::new(shard, Pcg64::seed_from_u64(seed), &limits),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sets limits other than the usual ones.
+    /// Replaces the default limits.
     pub fn with_limits(mut self, limits: LogLimits) -> Self {
         self.calls.set_limits(&limits);
         self.takeover_backoff = limits.takeover_backoff();
@@ -100,64 +100,64 @@
         self
     }
 
-    /// Takes an event at machine time `now` and returns what has to be done.
+    /// Handles an event at machine time `now` and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         match event {
-            Event::Tick { wall } => self.offset = wall.since(now),
+            Event::Tick { wall } => self.wall_offset = wall.since(now),
             Event::Assign(assigned) => self.set_assigned(assigned),
-            Event::Ask(ask) => self.ask(ask, now),
+            Event::Ask(ask) => self.enqueue(ask, now),
             Event::Reply { call, reply } => self.reply(call, reply, now),
         }
         self.advance(now);
         self.calls.take_actions()
     }
 
-    /// When the next [`Event::Tick`] is wanted.
+    /// Machine time at which the next [`Event::Tick`] is due.
     pub fn wake(&self) -> Millis {
         let retry = match &self.phase {
             Phase::Idle | Phase::Fenced { .. } if !self.assigned => Millis::MAX,
-            Phase::Idle => self.rested,
-            Phase::Fenced { until } => self.rested.max(*until),
+            Phase::Idle => self.next_takeover,
+            Phase::Fenced { until } => self.next_takeover.max(*until),
             Phase::Reading(reader) => reader.wake(),
-            Phase::Opening { tenure, .. } => tenure.wake(),
+            Phase::Opening { ownership, .. } => ownership.wake(),
             Phase::Checking {
                 call: None, retry, ..
             } => *retry,
             Phase::Checking { .. } => Millis::MAX,
-            Phase::Owner(tenure) if self.queue.is_empty() => tenure.wake(),
-            Phase::Owner(tenure) => tenure.wake().min(tenure.write_at()),
+            Phase::Owner(ownership) if self.queue.is_empty() => ownership.wake(),
+            Phase::Owner(ownership) => ownership.wake().min(ownership.next_batch()),
         };
         let written = match &self.phase {
-            Phase::Owner(tenure) => tenure.oldest_ask(),
+            Phase::Owner(ownership) => ownership.oldest_ask(),
             _ => None,
         };
-        let queued = self.queue.front().map(|waiting| waiting.since);
+        let queued = self.queue.front().map(|pending| pending.since);
         let oldest = written.into_iter().chain(queued).min();
         let expiry = oldest.map_or(Millis::MAX, |since| since + self.limits.claim_timeout);
         retry.min(expiry)
     }
 
-    /// Whether it neither owns the shard nor is about to.
+    /// Whether the daemon neither owns the shard nor is taking it over.
     pub const fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Idle | Phase::Fenced { .. })
     }
 
-    /// Where it stands.
+    /// Current state.
     pub fn state(&self) -> LogState {
         match &self.phase {
             Phase::Idle => LogState::Idle,
             Phase::Fenced { .. } => LogState::Fenced,
             Phase::Reading(_) => LogState::Reading,
             Phase::Opening { .. } | Phase::Checking { .. } => LogState::Opening,
-            Phase::Owner(tenure) if tenure.is_settling() => LogState::Settling,
+            Phase::Owner(ownership) if ownership.is_settling() => LogState::Settling,
             Phase::Owner(_) => LogState::Owner,
         }
     }
 
-    /// The chain that it owns; `None` unless it is the owner by its own knowledge.
+    /// The chain, if this daemon owns the shard as far as it knows.
     pub const fn chain(&self) -> Option<&Chain> {
         match &self.phase {
-            Phase::Owner(tenure) => Some(tenure.chain()),
+            Phase::Owner(ownership) => Some(ownership.chain()),
             _ => None,
         }
     }
@@ -168,7 +168,7 @@
     }
 
     fn wall(&self, now: Millis) -> Millis {
-        now + self.offset
+        now + self.wall_offset
     }
 
     fn set_assigned(&mut self, assigned: bool) {
@@ -180,16 +180,16 @@
             return;
         }
         self.refuse_queue(ClaimStatus::NotOwner);
-        // An owner closes its chain first; an `open` on its way may still take effect, and harms nothing.
+        // An owner closes its chain first. An `Open` in flight may still take effect, which is harmless.
         if !matches!(self.phase, Phase::Owner(_) | Phase::Fenced { .. }) {
             self.phase = Phase::Idle;
         }
     }
 
-    fn ask(&mut self, ask: ClaimAsk, now: Millis) {
-        self.stats.asks += 1;
-        let waiting = match Waiting::read(&ask, now) {
-            Ok(waiting) => waiting,
+    fn enqueue(&mut self, ask: ClaimAsk, now: Millis) {
+        self.stats.requests += 1;
+        let pending = match PendingClaim::read(&ask, now) {
+            Ok(pending) => pending,
             Err(_) => {
                 let status = ClaimStatus::Unavailable;
                 return self.calls.answer(&ask, status, None, &mut self.stats);
@@ -197,31 +197,31 @@
         };
         let is_full = self.queue.len() >= self.limits.max_queue;
         if !self.assigned || self.is_idle() {
-            waiting.answer(ClaimStatus::NotOwner, &mut self.calls, &mut self.stats);
+            pending.answer(ClaimStatus::NotOwner, &mut self.calls, &mut self.stats);
         } else if self.calls.is_down() || is_full {
-            waiting.answer(ClaimStatus::Unavailable, &mut self.calls, &mut self.stats);
+            pending.answer(ClaimStatus::Unavailable, &mut self.calls, &mut self.stats);
         } else {
-            self.queue.push_back(waiting);
+            self.queue.push_back(pending);
         }
     }
 
     fn refuse_queue(&mut self, status: ClaimStatus) {
-        for waiting in std::mem::take(&mut self.queue) {
-            waiting.answer(status, &mut self.calls, &mut self.stats);
+        for pending in std::mem::take(&mut self.queue) {
+            pending.answer(status, &mut self.calls, &mut self.stats);
         }
     }
 
     fn advance(&mut self, now: Millis) {
-        self.start(now);
+        self.start_takeover(now);
         self.expire(now);
         match &mut self.phase {
             Phase::Reading(reader) => reader.tick(&mut self.calls, now),
-            Phase::Opening { tenure, .. } => tenure.tick(&mut self.calls, now),
+            Phase::Opening { ownership, .. } => ownership.tick(&mut self.calls, now),
             Phase::Checking {
-                tenure,
+                ownership,
                 call: call @ None,
                 retry,
-            } if *retry <= now => *call = Some(tenure.list_later(&mut self.calls)),
+            } if *retry <= now => *call = Some(ownership.list_successors(&mut self.calls)),
             Phase::Owner(_) => self.advance_owner(now),
             _ => {}
         }
@@ -229,18 +229,18 @@
 
     fn advance_owner(&mut self, now: Millis) {
         let wall = self.wall(now);
-        let Phase::Owner(tenure) = &mut self.phase else {
+        let Phase::Owner(ownership) = &mut self.phase else {
             return;
         };
-        if tenure.lasted(now) > self.limits.takeover_max {
+        if ownership.duration(now) > self.limits.takeover_max {
             self.takeover_backoff.reset();
         }
-        tenure.tick(&mut self.calls, now);
+        ownership.tick(&mut self.calls, now);
         if !self.assigned {
-            tenure.close(&mut self.calls, &self.me);
+            ownership.close(&mut self.calls, &self.me);
             return;
         }
-        let mut work = batch::Work {
+        let mut context = batch::BatchContext {
             queue: &mut self.queue,
             calls: &mut self.calls,
             stats: &mut self.stats,
@@ -248,34 +248,34 @@
             limits: &self.limits,
             wall,
         };
-        tenure.pump(&mut work, now);
+        ownership.write_due(&mut context, now);
     }
 
-    /// Starts to take over if placement wants it and the last try is long enough ago.
-    fn start(&mut self, now: Millis) {
-        let may = match &self.phase {
-            Phase::Idle => self.rested <= now,
-            Phase::Fenced { until } => self.rested.max(*until) <= now,
+    /// Starts a takeover if the shard is assigned to this daemon and the delay has passed.
+    fn start_takeover(&mut self, now: Millis) {
+        let is_due = match &self.phase {
+            Phase::Idle => self.next_takeover <= now,
+            Phase::Fenced { until } => self.next_takeover.max(*until) <= now,
             _ => false,
         };
-        if self.assigned && may {
-            self.rested = now + self.limits.takeover_min;
+        if self.assigned && is_due {
+            self.next_takeover = now + self.limits.takeover_min;
             self.phase = Phase::Reading(Reader::new(now));
         }
     }
 
-    /// Refuses what has waited too long, or all while the platform is down.
+    /// Refuses claims that have waited too long, and all claims while the platform is down.
     fn expire(&mut self, now: Millis) {
         let down = self.calls.is_down();
         let wait = self.limits.claim_timeout;
-        let late = |waiting: &Waiting| down || now.since(waiting.since) >= wait;
-        while self.queue.front().is_some_and(late) {
-            if let Some(waiting) = self.queue.pop_front() {
-                waiting.answer(ClaimStatus::Unavailable, &mut self.calls, &mut self.stats);
+        let is_overdue = |pending: &PendingClaim| down || now.since(pending.since) >= wait;
+        while self.queue.front().is_some_and(is_overdue) {
+            if let Some(pending) = self.queue.pop_front() {
+                pending.answer(ClaimStatus::Unavailable, &mut self.calls, &mut self.stats);
             }
         }
-        if let Phase::Owner(tenure) = &mut self.phase {
-            tenure.expire(late, &mut self.calls, &mut self.stats);
+        if let Phase::Owner(ownership) = &mut self.phase {
+            ownership.expire(is_overdue, &mut self.calls, &mut self.stats);
         }
     }
 }
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -1,4 +1,4 @@
-//! Claimants that wait, and the batches that are made of them.
+//! Pending claims, and batches built from them.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -18,24 +18,24 @@
 /// Most voids in a batch.
 const MAX_VOIDS: usize = 512;
 
-/// A claimant that waits for its answer.
+/// A requested claim that has not been answered yet.
 #[derive(Clone)]
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct PendingClaim {
     ask: ClaimAsk,
     pub(super) key: KeyHash,
     daemon: DaemonId,
     digest: Digest,
     request: RequestId,
-    /// When it asked.
+    /// When the request was received.
     pub(super) since: Millis,
-    /// Whether it was refused while its claim was being written.
+    /// Whether the claimant was refused while the claim was being written.
     pub(super) refused: bool,
 }
 
-/// What a tenure needs to make batches.
-pub(super) struct Work<'a> {
-    pub(super) queue: &'a mut VecDeque<Waiting>,
+/// State needed to build and write batches.
+pub(super) struct BatchContext<'a> {
+    pub(super) queue: &'a mut VecDeque<PendingClaim>,
     pub(super) calls: &'a mut Calls,
     pub(super) stats: &'a mut LogStats,
     pub(super) me: &'a ProcessId,
@@ -43,10 +43,10 @@
     pub(super) wall: Millis,
 }
 
-/// A batch and the claimants whose claims are in it.
-pub(super) struct Draft {
+/// A batch and the pending claims in it.
+pub(super) struct BatchDraft {
     pub(super) batch: Batch,
-    pub(super) asks: Vec<Waiting>,
+    pub(super) claims: Vec<PendingClaim>,
 }
 
 impl From<HashError> for RecordError {
@@ -55,7 +55,7 @@
     }
 }
 
-impl Waiting {
+impl PendingClaim {
     pub(super) fn read(ask: &ClaimAsk, now: Millis) -> Result<Self> {
         let daemon = ask.daemon.parse();
         let request = RequestId::from_bytes(&ask.request);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The claim that its claimant says will never be run, by the claimant's own word.
+    /// An earlier claim of the key that, according to the claimant, never runs.
     const fn given_up(&self) -> ClaimId {
         ClaimId {
             claimant: Incarnation(self.ask.given_claimant),
@@ -101,56 +101,60 @@
     }
 }
 
-/// Whether a claim may be made, given who holds the key.
-fn judge(waiting: &Waiting, holder: Option<&Claim>, is_refused: bool) -> ClaimStatus {
+/// Decides whether to grant a claim, given the claim that holds the key.
+///
+/// `is_refused` tells whether the claimant of `holder` was refused.
+fn decide(pending: &PendingClaim, holder: Option<&Claim>, is_refused: bool) -> ClaimStatus {
     match holder {
         None => ClaimStatus::Granted,
-        // A question that came twice: a void of its first claim is on its way.
-        Some(claim) if is_refused && claim.id == waiting.id() => ClaimStatus::Unavailable,
+        // The request was received twice, and its first claim is about to be cancelled.
+        Some(claim) if is_refused && claim.id == pending.id() => ClaimStatus::Unavailable,
         Some(_) if is_refused => ClaimStatus::Granted,
-        Some(claim) if claim.id == waiting.given_up() => ClaimStatus::Granted,
-        Some(claim) if claim.digest != waiting.digest => ClaimStatus::Reused,
+        Some(claim) if claim.id == pending.given_up() => ClaimStatus::Granted,
+        Some(claim) if claim.digest != pending.digest => ClaimStatus::Reused,
         Some(_) => ClaimStatus::Held,
     }
 }
 
-/// Answers claimants whose keys are held, and makes a batch of the others up to the limit.
-pub(super) fn draft(
-    work: &mut Work<'_>,
+/// Refuses claims whose keys are held, and builds a batch of the others up to the limit.
+pub(super) fn build_batch(
+    context: &mut BatchContext<'_>,
     chain: &Chain,
     refused: &HashMap<ClaimId, KeyHash>,
-) -> Draft {
+) -> BatchDraft {
     let mut writer = EntryWriter::default();
-    let mut asks = Vec::new();
+    let mut claims = Vec::new();
     let mut keys = HashSet::new();
     let mut later = VecDeque::new();
-    for waiting in std::mem::take(work.queue) {
-        // A second claim of a key waits until the fate of the first is known.
-        if asks.len() >= work.limits.max_batch || keys.contains(&waiting.key) {
-            later.push_back(waiting);
+    for pending in std::mem::take(context.queue) {
+        // A second claim of a key waits until the first one's write is resolved.
+        if claims.len() >= context.limits.max_batch || keys.contains(&pending.key) {
+            later.push_back(pending);
             continue;
         }
-        let holder = chain.holder(&waiting.key, work.wall);
+        let holder = chain.holder(&pending.key, context.wall);
         let is_refused = holder.is_some_and(|claim| refused.contains_key(&claim.id));
-        let status = judge(&waiting, holder, is_refused);
+        let status = decide(&pending, holder, is_refused);
         if status != ClaimStatus::Granted {
             let shown = holder.filter(|_| status == ClaimStatus::Held);
-            work.calls.answer(&waiting.ask, status, shown, work.stats);
+            context
+                .calls
+                .answer(&pending.ask, status, shown, context.stats);
             continue;
         }
-        keys.insert(waiting.key);
+        keys.insert(pending.key);
         writer.push(
-            &waiting.key,
-            &waiting.claim(work.wall, work.limits.clock_skew),
+            &pending.key,
+            &pending.claim(context.wall, context.limits.clock_skew),
         );
-        asks.push(waiting);
+        claims.push(pending);
     }
-    *work.queue = later;
+    *context.queue = later;
     let voids = refused.iter().take(MAX_VOIDS);
     let batch = Batch {
         voids: voids.map(|(id, key)| Void::new(key, *id)).collect(),
         claims: writer.entries,
         holders: writer.holders,
     };
-    Draft { batch, asks }
+    BatchDraft { batch, claims }
 }
--- a/crates/core/src/claims/log/calls.rs
+++ b/crates/core/src/claims/log/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform and answers to claimants that wait to be carried out.
+//! Collects calls to the platform and answers to claimants for the driver.
 
 use bytes::Bytes;
 use derive_more::Debug;
@@ -13,10 +13,10 @@
 use crate::ids::Incarnation;
 use crate::wire::{ClaimAnswer, ClaimAsk};
 
-/// Failures in a row after which the platform counts as down.
+/// Consecutive failures after which the platform counts as down.
 const DOWN_FAILURES: u32 = 2;
 
-/// Numbers calls and collects actions.
+/// Numbers calls, collects actions and tracks failures of the platform.
 #[derive(Debug)]
 pub(super) struct Calls {
     shard: u16,
@@ -125,7 +125,7 @@
         });
     }
 
-    /// Counts a failure; returns when to try again.
+    /// Counts a failure and returns the time of the next attempt.
     pub(super) fn record_failure(&mut self, now: Millis) -> Millis {
         now + self.backoff.next_delay(&mut self.rng)
     }
@@ -134,7 +134,7 @@
         self.backoff.reset();
     }
 
-    /// Delay before a reader starts anew.
+    /// Delay before a reader restarts.
     pub(super) fn restart_delay(&mut self) -> Millis {
         let mut backoff = self.backoff.clone();
         backoff.reset();
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -1,4 +1,4 @@
-//! Events, actions and limits of a shard's machine.
+//! Events, actions and limits of [`ShardLog`](super::ShardLog).
 
 use bytes::Bytes;
 use derive_more::{Debug, Display};
@@ -8,23 +8,23 @@
 use crate::ids::{DaemonId, Incarnation};
 use crate::wire::{ClaimAnswer, ClaimAsk};
 
-/// A process of the fleet.
+/// Identifies a process of the fleet.
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(Debug)]
 pub struct ProcessId {
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Its run.
+    /// Incarnation of the daemon, which differs after each start.
     pub incarnation: Incarnation,
 }
 
-/// Number of one call to the platform.
+/// Identifies a call to the platform.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug, Display)]
 #[display("{_0}")]
 pub struct CallId(pub u64);
 
-/// What a machine is told.
+/// Input of the state machine.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Event {
@@ -33,15 +33,15 @@
         /// Wall time.
         wall: Millis,
     },
-    /// Whether placement wants this daemon to own the shard.
+    /// Placement assigns the shard to this daemon, or no longer does.
     Assign(bool),
-    /// A claimant asks.
+    /// A claimant requests a claim.
     Ask(ClaimAsk),
     /// The platform replied to a call.
     Reply {
-        /// The call.
+        /// The call that is replied to.
         call: CallId,
-        /// The reply.
+        /// Result of the call.
         reply: Reply,
     },
 }
@@ -52,102 +52,102 @@
 pub enum Reply {
     /// The object was created.
     Created,
-    /// An object of this name exists.
+    /// An object of this name exists already.
     Exists,
-    /// The object read.
+    /// Content of the object.
     Found(Bytes),
     /// There is no such object.
     NotFound,
-    /// Objects in the order of their names.
+    /// Objects, ordered by name.
     Listed {
-        /// The objects.
+        /// The listed objects.
         objects: Vec<ListedObject>,
-        /// Whether there are more.
+        /// Whether there are more objects after these.
         more: bool,
     },
     /// The object was deleted.
     Deleted,
     /// The object to delete has another version.
     Changed,
-    /// No reply within the timeout, a cut connection, 503 or 429: it may have taken effect, or may yet.
+    /// Timeout, broken connection, 503 or 429: the call may have taken effect, or may still do so.
     Lost,
 }
 
-/// An object in a list.
+/// An object in a listing.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct ListedObject {
-    /// Its name.
+    /// Name of the object.
     pub key: String,
-    /// Its version.
+    /// Version of the object, needed to delete it.
     pub version: u64,
 }
 
-/// What a machine wants done.
+/// Output of the state machine, carried out by the driver.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Action {
-    /// Create an object unless one of its name exists.
+    /// Create an object unless one of this name exists.
     Create {
-        /// The call to reply to.
+        /// Identifies the call in the reply.
         call: CallId,
-        /// Its name.
+        /// Name of the object.
         key: String,
-        /// Its bytes.
+        /// Content of the object.
         bytes: Bytes,
     },
     /// Read an object.
     Read {
-        /// The call to reply to.
+        /// Identifies the call in the reply.
         call: CallId,
-        /// Its name.
+        /// Name of the object.
         key: String,
     },
-    /// List the objects that start with `prefix` and come after `after`.
+    /// List the objects whose names start with `prefix` and sort after `after`.
     List {
-        /// The call to reply to.
+        /// Identifies the call in the reply.
         call: CallId,
-        /// Start of the names.
+        /// Common prefix of the names.
         prefix: String,
-        /// The name to start behind.
+        /// The name after which the listing starts.
         after: String,
-        /// Most objects.
+        /// Largest number of objects to list.
         limit: usize,
     },
     /// Delete an object if it has this version.
     Delete {
-        /// The call to reply to.
+        /// Identifies the call in the reply.
         call: CallId,
-        /// Its name.
+        /// Name of the object.
         key: String,
-        /// Its version.
+        /// Version to delete.
         version: u64,
     },
     /// Answer a claimant.
     Answer {
-        /// The claimant's daemon, as it named itself.
+        /// The claimant's daemon, as named in its request.
         to: String,
-        /// The claimant.
+        /// Incarnation of the claimant.
         claimant: Incarnation,
-        /// The answer.
+        /// The answer to send.
         answer: ClaimAnswer,
     },
 }
 
-/// What an owner says of a claim asked for.
+/// An owner's answer to a requested claim.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 pub enum ClaimStatus {
-    /// It stands in the chain.
+    /// The claim is recorded in the chain.
     #[display("granted")]
     Granted,
     /// Another claim holds the key.
     #[display("held")]
     Held,
-    /// The key was used for another request.
+    /// The key was used for a request with another digest.
     #[display("reused")]
     Reused,
-    /// It can't be had now; whatever is recorded later, the claimant must not use it.
+    /// The claim can't be granted now. Even if it is recorded later, the claimant must not use it.
     #[display("unavailable")]
     Unavailable,
     /// Another daemon owns the shard.
@@ -156,7 +156,7 @@
 }
 
 impl ClaimStatus {
-    /// Every verdict, in the order of its code.
+    /// Every status, in the order of its code.
     pub const ALL: [Self; 5] = [
         Self::Granted,
         Self::Held,
@@ -170,42 +170,42 @@
         self as u32
     }
 
-    /// Reads a code; an unknown one grants nothing.
+    /// Decodes a code; an unknown one counts as `Unavailable`.
     pub fn from_code(code: u32) -> Self {
         let known = Self::ALL.get(code as usize);
         known.copied().unwrap_or(Self::Unavailable)
     }
 }
 
-/// Times and sizes of a shard's machine.
+/// Timing and size limits of [`ShardLog`](super::ShardLog).
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct LogLimits {
-    /// Shortest time between two batches.
+    /// Shortest interval between two batches.
     pub batch_interval: Millis,
-    /// Longest wait of a claimant for its answer.
+    /// Longest time until a requested claim is answered.
     pub claim_timeout: Millis,
-    /// Most claimants that wait.
+    /// Largest number of queued claims.
     pub max_queue: usize,
-    /// Most claims in a batch.
+    /// Largest number of claims in a batch.
     pub max_batch: usize,
-    /// Objects after which a checkpoint is written.
+    /// Number of objects after which a checkpoint is written.
     pub checkpoint_objects: u64,
-    /// Claims in no checkpoint after which one is written.
+    /// Number of claims in no checkpoint after which one is written.
     pub checkpoint_claims: usize,
-    /// Claims up to which a checkpoint repeats those of earlier ones, so that it stays well under 1 MiB.
+    /// Number of claims up to which a checkpoint copies those of earlier ones; keeps it well under 1 MiB.
     pub segment_claims: usize,
-    /// Added to a key's lifetime, for wall clocks that differ.
+    /// Added to a key's lifetime to allow for differences between wall clocks.
     pub clock_skew: Millis,
-    /// Delay after a first failure of the platform.
+    /// Delay after the first failure of a platform call.
     pub retry_min: Millis,
-    /// Longest delay between tries.
+    /// Longest delay between attempts of a platform call.
     pub retry_max: Millis,
-    /// Delay before a second takeover.
+    /// Shortest delay between two takeovers.
     pub takeover_min: Millis,
-    /// Longest delay before a takeover.
+    /// Longest delay between two takeovers.
     pub takeover_max: Millis,
-    /// Shortest time between two deletions.
+    /// Shortest interval between two deletions.
     pub delete_interval: Millis,
 }
 
--- a/crates/core/src/claims/log/tenure.rs
+++ b/crates/core/src/claims/log/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership of a chain, from its `open` to its `close` or to the next owner's `open`.
+//! Ownership of a chain, from its `Open` to its `Close` or the next owner's `Open`.
 
 use std::collections::HashMap;
 
@@ -7,38 +7,39 @@
 
 use crate::claims::chain::{Chain, Result};
 use crate::claims::hash::KeyHash;
-use crate::claims::log::batch::{Waiting, Work, draft};
+use crate::claims::log::batch::{BatchContext, PendingClaim, build_batch};
 use crate::claims::log::calls::Calls;
 use crate::claims::log::event::{CallId, ClaimStatus, LogLimits, ProcessId, Reply};
 use crate::claims::log::stats::LogStats;
 use crate::claims::log::sweep::Sweep;
-use crate::claims::log::write::{Settled, Write};
+use crate::claims::log::write::{Write, WriteOutcome};
 use crate::claims::record::{Body, Close, Record};
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 
+/// State of the owner of a chain.
 #[derive(Debug)]
-pub(super) struct Tenure {
+pub(super) struct Ownership {
     chain: Chain,
-    /// The one write on its way; no number after it is used before it is settled.
+    /// The write in flight; the next number isn't used before its outcome is known.
     write: Option<Write>,
     sweep: Sweep,
-    /// Claims that are recorded though their claimants were refused.
+    /// Recorded claims whose claimants were refused; they have to be cancelled.
     refused: HashMap<ClaimId, KeyHash>,
     /// Earliest time of the next batch.
-    write_at: Millis,
-    since: Millis,
+    next_batch: Millis,
+    started: Millis,
 }
 
-impl Tenure {
+impl Ownership {
     pub(super) fn new(chain: Chain, now: Millis) -> Self {
         Self {
             chain,
             write: None,
             sweep: Sweep::default(),
             refused: HashMap::new(),
-            write_at: now,
-            since: now,
+            next_batch: now,
+            started: now,
         }
     }
 
@@ -54,38 +55,38 @@
         self.write.as_ref().is_some_and(Write::is_settling)
     }
 
-    pub(super) const fn lasted(&self, now: Millis) -> Millis {
-        now.since(self.since)
+    pub(super) const fn duration(&self, now: Millis) -> Millis {
+        now.since(self.started)
     }
 
-    pub(super) const fn write_at(&self) -> Millis {
+    pub(super) const fn next_batch(&self) -> Millis {
         match self.write {
             Some(_) => Millis::MAX,
-            None => self.write_at,
+            None => self.next_batch,
         }
     }
 
-    /// When the claimant that has waited longest for the present write asked.
+    /// When the oldest pending claim in the current write was received.
     pub(super) fn oldest_ask(&self) -> Option<Millis> {
-        let asks = self.write.iter().flat_map(|write| &write.asks);
-        asks.filter(|w| !w.refused).map(|w| w.since).min()
+        let claims = self.write.iter().flat_map(|write| &write.claims);
+        claims.filter(|w| !w.refused).map(|w| w.since).min()
     }
 
     pub(super) fn wake(&self) -> Millis {
         let idle = if self.refused.is_empty() {
             Millis::MAX
         } else {
-            self.write_at
+            self.next_batch
         };
         let write = self.write.as_ref().map_or(idle, Write::wake);
         write.min(self.sweep.wake())
     }
 
-    /// Starts a write at the next number.
+    /// Starts writing a record at the next number.
     pub(super) fn write(
         &mut self,
         body: Body,
-        asks: Vec<Waiting>,
+        claims: Vec<PendingClaim>,
         calls: &mut Calls,
         me: &ProcessId,
     ) {
@@ -96,51 +97,53 @@
         };
         let nonce = calls.rng().random();
         let record = Record::new(me.incarnation, nonce, base, body);
-        self.write = Some(Write::new(number, record, asks, calls));
+        self.write = Some(Write::new(number, record, claims, calls));
     }
 
-    /// Takes the reply to a call of the write; a recorded one joins the chain.
-    pub(super) fn settle(
+    /// Handles the reply to a call of the current write; applies a recorded write to the chain.
+    pub(super) fn write_reply(
         &mut self,
         call: CallId,
         reply: Reply,
         calls: &mut Calls,
         now: Millis,
-    ) -> Settled {
+    ) -> WriteOutcome {
         let Some(write) = &mut self.write else {
-            return Settled::Pending;
+            return WriteOutcome::Pending;
         };
-        let settled = write.reply(call, reply, calls, now);
-        if let Settled::Recorded(_) = settled {
+        let outcome = write.reply(call, reply, calls, now);
+        if let WriteOutcome::Recorded(_) = outcome {
             let number = self.chain.next();
             if self.chain.apply(number, write.record()).is_err() {
-                return Settled::Unreadable;
+                return WriteOutcome::Unreadable;
             }
             self.write = None;
         }
-        settled
+        outcome
     }
 
-    /// The chain with another writer's object at the number that was tried.
-    pub(super) fn follow(mut self, record: &Record) -> Result<Chain> {
+    /// The chain, continued by another writer's record at the number of the attempted write.
+    pub(super) fn into_chain_with(mut self, record: &Record) -> Result<Chain> {
         let number = self.chain.next();
         self.chain.apply(number, record)?;
         Ok(self.chain)
     }
 
-    /// Lists objects after the last: there are some if the last was deleted once, or if it was replaced.
-    pub(super) fn list_later(&self, calls: &mut Calls) -> CallId {
+    /// Lists objects after the last one.
+    ///
+    /// There are some if the last number had been used and deleted before, or if there is a newer owner.
+    pub(super) fn list_successors(&self, calls: &mut Calls) -> CallId {
         calls.list(self.chain.last, 1)
     }
 
-    /// Starts work as the owner.
+    /// Starts batches and deletions as the owner.
     pub(super) fn begin(&mut self, now: Millis) {
         self.sweep.start(self.chain.obsolete.clone(), now);
-        self.write_at = now;
-        self.since = now;
+        self.next_batch = now;
+        self.started = now;
     }
 
-    /// Whether the reply was to a deletion.
+    /// Handles the reply to a call of the sweep; returns whether it was one.
     pub(super) fn sweep_reply(
         &mut self,
         call: CallId,
@@ -148,20 +151,20 @@
         calls: &mut Calls,
         now: Millis,
     ) -> bool {
-        if !self.sweep.is_waiting(call) {
+        if !self.sweep.is_own_call(call) {
             return false;
         }
-        let pace = calls.delete_interval();
-        if self.sweep.reply(reply, calls.shard(), pace, now) {
+        let interval = calls.delete_interval();
+        if self.sweep.reply(reply, calls.shard(), interval, now) {
             self.chain.obsolete.clear();
         }
         true
     }
 
-    /// Answers the claimants of a recorded write.
-    pub(super) fn recorded(
+    /// Grants the claims of a recorded write.
+    pub(super) fn finish_write(
         &mut self,
-        asks: Vec<Waiting>,
+        claims: Vec<PendingClaim>,
         calls: &mut Calls,
         stats: &mut LogStats,
         now: Millis,
@@ -176,35 +179,35 @@
         let holds =
             |id: &ClaimId, key: &mut KeyHash| table.get(key).is_some_and(|claim| claim.id == *id);
         self.refused.retain(holds);
-        for waiting in asks {
-            if waiting.refused {
+        for pending in claims {
+            if pending.refused {
                 stats.late += 1;
-                self.refused.insert(waiting.id(), waiting.key);
+                self.refused.insert(pending.id(), pending.key);
             } else {
-                waiting.answer(ClaimStatus::Granted, calls, stats);
+                pending.answer(ClaimStatus::Granted, calls, stats);
             }
         }
     }
 
-    /// Sends the claimants of a write that lost its number to the next owner.
-    pub(super) fn fenced(&mut self, calls: &mut Calls, stats: &mut LogStats) {
-        let asks = self.write.take().map(|write| write.asks);
-        for waiting in asks.into_iter().flatten().filter(|w| !w.refused) {
-            waiting.answer(ClaimStatus::NotOwner, calls, stats);
+    /// Answers the claims of a write whose number was taken with `NotOwner`.
+    pub(super) fn refuse_write(&mut self, calls: &mut Calls, stats: &mut LogStats) {
+        let claims = self.write.take().map(|write| write.claims);
+        for pending in claims.into_iter().flatten().filter(|w| !w.refused) {
+            pending.answer(ClaimStatus::NotOwner, calls, stats);
         }
     }
 
-    /// Refuses claimants whose claims are being written, where `late` holds.
+    /// Refuses the overdue claims of the current write.
     pub(super) fn expire(
         &mut self,
-        late: impl Fn(&Waiting) -> bool,
+        is_overdue: impl Fn(&PendingClaim) -> bool,
         calls: &mut Calls,
         stats: &mut LogStats,
     ) {
-        let asks = self.write.iter_mut().flat_map(|write| &mut write.asks);
-        for waiting in asks.filter(|w| !w.refused && late(w)) {
-            waiting.refused = true;
-            waiting.answer(ClaimStatus::Unavailable, calls, stats);
+        let claims = self.write.iter_mut().flat_map(|write| &mut write.claims);
+        for pending in claims.filter(|w| !w.refused && is_overdue(w)) {
+            pending.refused = true;
+            pending.answer(ClaimStatus::Unavailable, calls, stats);
         }
     }
 
@@ -215,40 +218,47 @@
         self.sweep.tick(calls, now);
     }
 
-    /// Ends the tenure, unless a write has to be settled first.
+    /// Writes `Close`, unless a write is in flight.
     pub(super) fn close(&mut self, calls: &mut Calls, me: &ProcessId) {
         if self.write.is_none() {
             self.write(Body::Close(Close {}), Vec::new(), calls, me);
         }
     }
 
-    /// Writes what is due.
-    pub(super) fn pump(&mut self, work: &mut Work<'_>, now: Millis) {
+    /// Writes a checkpoint or a batch if one is due.
+    pub(super) fn write_due(&mut self, context: &mut BatchContext<'_>, now: Millis) {
         if self.write.is_some() {
             return;
         }
-        if self.is_checkpoint_due(work.limits) {
+        if self.is_checkpoint_due(context.limits) {
             for (id, key) in std::mem::take(&mut self.refused) {
                 self.chain.void(&key, id);
             }
-            let checkpoint = self.chain.checkpoint(work.wall, work.limits.segment_claims);
+            let checkpoint = self
+                .chain
+                .checkpoint(context.wall, context.limits.segment_claims);
             self.write(
                 Body::Checkpoint(checkpoint),
                 Vec::new(),
-                work.calls,
-                work.me,
+                context.calls,
+                context.me,
             );
             return;
         }
-        if now < self.write_at || (work.queue.is_empty() && self.refused.is_empty()) {
+        if now < self.next_batch || (context.queue.is_empty() && self.refused.is_empty()) {
             return;
         }
-        let draft = draft(work, &self.chain, &self.refused);
-        if draft.asks.is_empty() && draft.batch.voids.is_empty() {
+        let draft = build_batch(context, &self.chain, &self.refused);
+        if draft.claims.is_empty() && draft.batch.voids.is_empty() {
             return;
         }
-        self.write_at = now + work.limits.batch_interval;
-        self.write(Body::Batch(draft.batch), draft.asks, work.calls, work.me);
+        self.next_batch = now + context.limits.batch_interval;
+        self.write(
+            Body::Batch(draft.batch),
+            draft.claims,
+            context.calls,
+            context.me,
+        );
     }
 
     fn is_checkpoint_due(&self, limits: &LogLimits) -> bool {
--- a/crates/core/src/claims/log/reader.rs
+++ b/crates/core/src/claims/log/reader.rs
@@ -1,8 +1,8 @@
-//! Reads a chain to its end.
+//! Reads a chain up to its last object.
 //!
-//! The last object listed names the latest checkpoint; that one names the
-//! earlier checkpoints that it keeps. Objects in between may be left over
-//! from before and are not read.
+//! The last object contains the number of the latest checkpoint, which in turn
+//! lists the earlier checkpoints that it retains. Other objects before the
+//! latest checkpoint are obsolete and are not read.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -17,22 +17,23 @@
 /// Objects listed by one call.
 const LIST_LIMIT: usize = 1000;
 
-/// Reads on their way at once.
+/// Largest number of concurrent reads.
 const WINDOW: usize = 8;
 
+/// A read of a chain in progress.
 #[derive(Debug)]
 pub(super) struct Reader {
     /// Number up to which objects were listed.
     listed: u64,
     step: Step,
     chain: Chain,
-    /// Numbers to ask for.
-    wanted: VecDeque<u64>,
-    /// Numbers to apply, in order.
-    order: VecDeque<u64>,
-    found: BTreeMap<u64, Record>,
+    /// Numbers of objects still to be requested.
+    to_read: VecDeque<u64>,
+    /// Numbers of objects to apply to the chain, in order.
+    to_apply: VecDeque<u64>,
+    records: BTreeMap<u64, Record>,
     pending: HashMap<CallId, u64>,
-    retry: Millis,
+    next_call: Millis,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -40,43 +41,43 @@
 enum Step {
     List,
     Listing(CallId),
-    /// Reads the last object, then the checkpoint that it names.
-    Ends,
-    /// Reads all that the chain consists of.
-    Bulk {
+    /// Reads the last object, then the latest checkpoint.
+    LastAndBase,
+    /// Reads the remaining objects of the chain.
+    Remaining {
         base: u64,
     },
 }
 
-/// How far a reader is.
+/// Progress of a reader.
 #[derive(Debug)]
 pub(super) enum Progress {
     Pending,
     Done(Chain),
-    /// Objects went away meanwhile.
+    /// Objects were deleted meanwhile: the read has to start over.
     Restart,
-    /// An object can't be understood.
+    /// An object can't be decoded.
     Unreadable,
 }
 
 impl Reader {
-    /// Starts at machine time `at`.
+    /// A reader that sends its first call at machine time `at`.
     pub(super) fn new(at: Millis) -> Self {
         Self {
             listed: 0,
             step: Step::List,
             chain: Chain::new(),
-            wanted: VecDeque::new(),
-            order: VecDeque::new(),
-            found: BTreeMap::new(),
+            to_read: VecDeque::new(),
+            to_apply: VecDeque::new(),
+            records: BTreeMap::new(),
             pending: HashMap::new(),
-            retry: at,
+            next_call: at,
         }
     }
 
     pub(super) fn wake(&self) -> Millis {
-        if self.step == Step::List || !self.wanted.is_empty() {
-            self.retry
+        if self.step == Step::List || !self.to_read.is_empty() {
+            self.next_call
         } else {
             Millis::MAX
         }
@@ -84,14 +85,14 @@
 
     /// Sends the calls that are due.
     pub(super) fn tick(&mut self, calls: &mut Calls, now: Millis) {
-        if self.retry > now {
+        if self.next_call > now {
             return;
         }
         if self.step == Step::List {
             self.step = Step::Listing(calls.list(self.listed, LIST_LIMIT));
         }
         while self.pending.len() < WINDOW {
-            let Some(number) = self.wanted.pop_front() else {
+            let Some(number) = self.to_read.pop_front() else {
                 break;
             };
             self.pending.insert(calls.read(number), number);
@@ -117,13 +118,13 @@
                 let Ok(record) = Record::read(bytes) else {
                     return Progress::Unreadable;
                 };
-                self.found.insert(number, record);
+                self.records.insert(number, record);
                 self.proceed()
             }
             Reply::NotFound => Progress::Restart,
             _ => {
-                self.wanted.push_front(number);
-                self.retry = calls.record_failure(now);
+                self.to_read.push_front(number);
+                self.next_call = calls.record_failure(now);
                 Progress::Pending
             }
         }
@@ -132,7 +133,7 @@
     fn reply_list(&mut self, reply: Reply, calls: &mut Calls, now: Millis) -> Progress {
         let Reply::Listed { objects, more } = reply else {
             self.step = Step::List;
-            self.retry = calls.record_failure(now);
+            self.next_call = calls.record_failure(now);
             return Progress::Pending;
         };
         calls.record_success();
@@ -147,23 +148,23 @@
         if self.listed == 0 {
             return Progress::Done(std::mem::take(&mut self.chain));
         }
-        self.step = Step::Ends;
-        self.wanted.push_back(self.listed);
+        self.step = Step::LastAndBase;
+        self.to_read.push_back(self.listed);
         Progress::Pending
     }
 
     fn proceed(&mut self) -> Progress {
-        if self.step == Step::Ends && !self.plan() {
+        if self.step == Step::LastAndBase && !self.plan_reads() {
             return Progress::Restart;
         }
-        let Step::Bulk { base } = self.step else {
+        let Step::Remaining { base } = self.step else {
             return Progress::Pending;
         };
-        while let Some(number) = self.order.front().copied() {
-            let Some(record) = self.found.remove(&number) else {
+        while let Some(number) = self.to_apply.front().copied() {
+            let Some(record) = self.records.remove(&number) else {
                 return Progress::Pending;
             };
-            self.order.pop_front();
+            self.to_apply.pop_front();
             let applied = if number < base {
                 self.chain.apply_retained(number, &record)
             } else {
@@ -176,29 +177,29 @@
         Progress::Done(std::mem::take(&mut self.chain))
     }
 
-    /// Finds out what to read; `false` if the checkpoint named is none.
-    fn plan(&mut self) -> bool {
-        let Some(last) = self.found.get(&self.listed) else {
+    /// Determines which objects to read; `false` if the object at `base` is not a checkpoint.
+    fn plan_reads(&mut self) -> bool {
+        let Some(last) = self.records.get(&self.listed) else {
             return true;
         };
         let base = last.base;
-        let mut order = Vec::new();
+        let mut numbers = Vec::new();
         if base != 0 {
-            let Some(record) = self.found.get(&base) else {
-                self.wanted.push_back(base);
+            let Some(record) = self.records.get(&base) else {
+                self.to_read.push_back(base);
                 return true;
             };
             let Some(Body::Checkpoint(checkpoint)) = &record.body else {
                 return false;
             };
-            order.extend(&checkpoint.keep);
-            order.push(base);
+            numbers.extend(&checkpoint.keep);
+            numbers.push(base);
         }
-        order.extend(base + 1..=self.listed);
-        let missing = order.iter().filter(|n| !self.found.contains_key(n));
-        self.wanted.extend(missing);
-        self.order = order.into();
-        self.step = Step::Bulk { base };
+        numbers.extend(base + 1..=self.listed);
+        let missing = numbers.iter().filter(|n| !self.records.contains_key(n));
+        self.to_read.extend(missing);
+        self.to_apply = numbers.into();
+        self.step = Step::Remaining { base };
         true
     }
 }
--- a/crates/core/src/claims/log/replies.rs
+++ b/crates/core/src/claims/log/replies.rs
@@ -1,15 +1,15 @@
-//! What the platform's replies lead to, phase by phase.
+//! Handling of the platform's replies in each phase.
 
 use crate::claims::chain::Chain;
 use crate::claims::log::event::{CallId, ClaimStatus, Reply};
+use crate::claims::log::ownership::Ownership;
 use crate::claims::log::reader::{Progress, Reader};
-use crate::claims::log::tenure::Tenure;
-use crate::claims::log::write::Settled;
+use crate::claims::log::write::WriteOutcome;
 use crate::claims::log::{Phase, ShardLog};
 use crate::claims::record::{Body, Open};
 use crate::clock::Millis;
 
-/// Opens lost to other writers before the takeover is put off.
+/// Number of `Open` writes lost to other writers after which the takeover is postponed.
 const MAX_LOST_OPENS: u32 = 8;
 
 impl ShardLog {
@@ -17,13 +17,16 @@
         let phase = std::mem::replace(&mut self.phase, Phase::Idle);
         self.phase = match phase {
             Phase::Reading(reader) => self.reply_reading(reader, call, reply, now),
-            Phase::Opening { tenure, lost } => self.reply_opening(tenure, lost, call, reply, now),
+            Phase::Opening {
+                ownership,
+                lost_opens,
+            } => self.reply_opening(ownership, lost_opens, call, reply, now),
             Phase::Checking {
-                tenure,
-                call: Some(asked),
+                ownership,
+                call: Some(pending),
                 ..
-            } if asked == call => self.reply_checking(tenure, reply, now),
-            Phase::Owner(tenure) => self.reply_owner(tenure, call, reply, now),
+            } if pending == call => self.reply_checking(ownership, reply, now),
+            Phase::Owner(ownership) => self.reply_owner(ownership, call, reply, now),
             other => other,
         };
     }
@@ -47,51 +50,57 @@
         }
     }
 
-    fn open(&mut self, chain: Chain, lost: u32, now: Millis) -> Phase {
+    fn open(&mut self, chain: Chain, lost_opens: u32, now: Millis) -> Phase {
         let open = Open {
             daemon: self.me.daemon.to_string(),
             fence: !chain.closed,
         };
-        let mut tenure = Tenure::new(chain, now);
-        tenure.write(Body::Open(open), Vec::new(), &mut self.calls, &self.me);
-        Phase::Opening { tenure, lost }
+        let mut ownership = Ownership::new(chain, now);
+        ownership.write(Body::Open(open), Vec::new(), &mut self.calls, &self.me);
+        Phase::Opening {
+            ownership,
+            lost_opens,
+        }
     }
 
     fn reply_opening(
         &mut self,
-        mut tenure: Tenure,
-        lost: u32,
+        mut ownership: Ownership,
+        lost_opens: u32,
         call: CallId,
         reply: Reply,
         now: Millis,
     ) -> Phase {
-        match tenure.settle(call, reply, &mut self.calls, now) {
-            Settled::Pending => Phase::Opening { tenure, lost },
-            Settled::Unreadable => self.give_up(now),
-            Settled::Recorded(_) => Phase::Checking {
-                call: Some(tenure.list_later(&mut self.calls)),
-                tenure,
+        match ownership.write_reply(call, reply, &mut self.calls, now) {
+            WriteOutcome::Pending => Phase::Opening {
+                ownership,
+                lost_opens,
+            },
+            WriteOutcome::Unreadable => self.give_up(now),
+            WriteOutcome::Recorded(_) => Phase::Checking {
+                call: Some(ownership.list_successors(&mut self.calls)),
+                ownership,
                 retry: Millis::ZERO,
             },
-            Settled::Taken(_) if lost >= MAX_LOST_OPENS => self.fence(now),
-            Settled::Taken(record) => match tenure.follow(&record) {
-                Ok(chain) => self.open(chain, lost + 1, now),
+            WriteOutcome::Taken(_) if lost_opens >= MAX_LOST_OPENS => self.fence(now),
+            WriteOutcome::Taken(record) => match ownership.into_chain_with(&record) {
+                Ok(chain) => self.open(chain, lost_opens + 1, now),
                 Err(_) => self.give_up(now),
             },
         }
     }
 
-    fn reply_checking(&mut self, mut tenure: Tenure, reply: Reply, now: Millis) -> Phase {
+    fn reply_checking(&mut self, mut ownership: Ownership, reply: Reply, now: Millis) -> Phase {
         match reply {
             Reply::Listed { objects, .. } if objects.is_empty() => {
                 self.calls.record_success();
                 self.stats.takeovers += 1;
-                tenure.begin(now);
-                Phase::Owner(tenure)
+                ownership.begin(now);
+                Phase::Owner(ownership)
             }
             Reply::Listed { .. } => self.fence(now),
             _ => Phase::Checking {
-                tenure,
+                ownership,
                 call: None,
                 retry: self.calls.record_failure(now),
             },
@@ -100,29 +109,29 @@
 
     fn reply_owner(
         &mut self,
-        mut tenure: Tenure,
+        mut ownership: Ownership,
         call: CallId,
         reply: Reply,
         now: Millis,
     ) -> Phase {
-        if tenure.sweep_reply(call, &reply, &mut self.calls, now) {
-            return Phase::Owner(tenure);
+        if ownership.sweep_reply(call, &reply, &mut self.calls, now) {
+            return Phase::Owner(ownership);
         }
-        match tenure.settle(call, reply, &mut self.calls, now) {
-            Settled::Pending => Phase::Owner(tenure),
-            Settled::Recorded(asks) => {
-                tenure.recorded(asks, &mut self.calls, &mut self.stats, now);
-                if tenure.is_closed() {
+        match ownership.write_reply(call, reply, &mut self.calls, now) {
+            WriteOutcome::Pending => Phase::Owner(ownership),
+            WriteOutcome::Recorded(asks) => {
+                ownership.finish_write(asks, &mut self.calls, &mut self.stats, now);
+                if ownership.is_closed() {
                     return Phase::Idle;
                 }
-                Phase::Owner(tenure)
+                Phase::Owner(ownership)
             }
-            Settled::Taken(_) => {
-                tenure.fenced(&mut self.calls, &mut self.stats);
+            WriteOutcome::Taken(_) => {
+                ownership.refuse_write(&mut self.calls, &mut self.stats);
                 self.fence(now)
             }
-            Settled::Unreadable => {
-                tenure.fenced(&mut self.calls, &mut self.stats);
+            WriteOutcome::Unreadable => {
+                ownership.refuse_write(&mut self.calls, &mut self.stats);
                 self.give_up(now)
             }
         }
@@ -135,7 +144,7 @@
         Phase::Fenced { until }
     }
 
-    /// Leaves a chain that this version can't read to others.
+    /// Leaves a chain that this version can't read to other daemons.
     fn give_up(&mut self, now: Millis) -> Phase {
         self.stats.unreadable += 1;
         self.fence(now)
--- a/crates/core/src/claims/log/stats.rs
+++ b/crates/core/src/claims/log/stats.rs
@@ -1,26 +1,26 @@
-//! Counters and standing of a shard's machine.
+//! State and counters of [`ShardLog`](super::ShardLog).
 
 use derive_more::Display;
 
 use crate::claims::log::event::ClaimStatus;
 
-/// Where a shard's machine stands.
+/// State of a shard's claim log on one daemon.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 #[derive(Display)]
 pub enum LogState {
-    /// It has nothing to do with the shard.
+    /// The daemon doesn't own the shard.
     #[display("idle")]
     Idle,
-    /// It reads the chain to its end.
+    /// The daemon reads the chain to take it over.
     #[display("reading")]
     Reading,
-    /// It writes its `open`.
+    /// The daemon writes its `Open`.
     #[display("opening")]
     Opening,
-    /// It owns the shard.
+    /// The daemon owns the shard.
     #[display("owner")]
     Owner,
-    /// It owns the shard, and a write's answer was lost.
+    /// The daemon owns the shard, and resolves a write whose reply was lost.
     #[display("settling")]
     Settling,
     /// Another daemon has taken over.
@@ -28,24 +28,24 @@
     Fenced,
 }
 
-/// Counters of a shard's machine since its start.
+/// Counters since the start of the process.
 #[derive(Clone, PartialEq, Eq, Default, Debug)]
 pub struct LogStats {
-    /// Claims asked for.
-    pub asks: u64,
-    /// Answers by the code of their status.
+    /// Claims requested.
+    pub requests: u64,
+    /// Answers, indexed by the code of their status.
     pub statuses: [u64; ClaimStatus::ALL.len()],
     /// Takeovers that succeeded.
     pub takeovers: u64,
-    /// Times that another daemon took over.
+    /// Times that another daemon took over, or that the chain could not be read.
     pub fenced: u64,
     /// Batches recorded.
     pub batches: u64,
     /// Checkpoints recorded.
     pub checkpoints: u64,
-    /// Claims recorded after their claimants had been refused.
+    /// Claims recorded after their claimants were refused.
     pub late: u64,
-    /// Reads begun anew since objects went away meanwhile.
+    /// Reads restarted because objects were deleted meanwhile.
     pub restarts: u64,
     /// Chains that could not be read.
     pub unreadable: u64,
--- a/crates/core/src/claims/log/write.rs
+++ b/crates/core/src/claims/log/write.rs
@@ -1,47 +1,52 @@
-//! One write at one number, until it is known whose object stands there.
+//! A write of one object, until it is known which writer's object has the number.
 
 use bytes::Bytes;
 use derive_more::Debug;
 
-use crate::claims::log::batch::Waiting;
+use crate::claims::log::batch::PendingClaim;
 use crate::claims::log::calls::Calls;
 use crate::claims::log::event::{CallId, Reply};
 use crate::claims::record::Record;
 use crate::clock::Millis;
 
-/// A write on its way.
+/// A write in flight.
 #[derive(Debug)]
 pub(super) struct Write {
     number: u64,
     record: Record,
     bytes: Bytes,
     step: Step,
-    /// Claimants whose claims are in it.
-    pub(super) asks: Vec<Waiting>,
+    /// Pending claims in the record.
+    pub(super) claims: Vec<PendingClaim>,
 }
 
 #[derive(Debug)]
 enum Step {
     Creating(CallId),
     Reading(CallId),
-    Resting(Millis),
+    Waiting(Millis),
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug)]
-pub(super) enum Settled {
+pub(super) enum WriteOutcome {
     /// Not known yet.
     Pending,
-    /// It stands at its number.
-    Recorded(Vec<Waiting>),
-    /// Another write stands there.
+    /// The object was created by this write.
+    Recorded(Vec<PendingClaim>),
+    /// Another writer's object has the number.
     Taken(Record),
-    /// Something stands there that can't be read.
+    /// The object at the number can't be decoded.
     Unreadable,
 }
 
 impl Write {
-    pub(super) fn new(number: u64, record: Record, asks: Vec<Waiting>, calls: &mut Calls) -> Self {
+    pub(super) fn new(
+        number: u64,
+        record: Record,
+        claims: Vec<PendingClaim>,
+        calls: &mut Calls,
+    ) -> Self {
         let bytes = record.to_bytes();
         let call = calls.create(number, bytes.clone());
         Self {
@@ -49,7 +54,7 @@
             record,
             bytes,
             step: Step::Creating(call),
-            asks,
+            claims,
         }
     }
 
@@ -63,14 +68,14 @@
 
     pub(super) const fn wake(&self) -> Millis {
         match self.step {
-            Step::Resting(until) => until,
+            Step::Waiting(until) => until,
             _ => Millis::MAX,
         }
     }
 
-    /// Reads the number back once the delay after a failure is over.
+    /// Reads the object back once the delay after a failure has passed.
     pub(super) fn tick(&mut self, calls: &mut Calls, now: Millis) {
-        if let Step::Resting(until) = self.step
+        if let Step::Waiting(until) = self.step
             && until <= now
         {
             self.step = Step::Reading(calls.read(self.number));
@@ -83,39 +88,39 @@
         reply: Reply,
         calls: &mut Calls,
         now: Millis,
-    ) -> Settled {
+    ) -> WriteOutcome {
         match (&self.step, reply) {
-            (Step::Creating(asked), reply) if *asked == call => match reply {
+            (Step::Creating(pending), reply) if *pending == call => match reply {
                 Reply::Created => {
                     calls.record_success();
-                    return Settled::Recorded(std::mem::take(&mut self.asks));
+                    return WriteOutcome::Recorded(std::mem::take(&mut self.claims));
                 }
                 Reply::Exists => self.step = Step::Reading(calls.read(self.number)),
-                _ => self.step = Step::Resting(calls.record_failure(now)),
+                _ => self.step = Step::Waiting(calls.record_failure(now)),
             },
-            (Step::Reading(asked), reply) if *asked == call => match reply {
+            (Step::Reading(pending), reply) if *pending == call => match reply {
                 Reply::Found(bytes) => {
                     calls.record_success();
                     return self.compare(bytes);
                 }
-                // The create may yet take effect: only the same write may follow it.
+                // The earlier create may still take effect, so only the same record may be written.
                 Reply::NotFound => {
                     self.step = Step::Creating(calls.create(self.number, self.bytes.clone()));
                 }
-                _ => self.step = Step::Resting(calls.record_failure(now)),
+                _ => self.step = Step::Waiting(calls.record_failure(now)),
             },
             _ => {}
         }
-        Settled::Pending
+        WriteOutcome::Pending
     }
 
-    fn compare(&mut self, bytes: Bytes) -> Settled {
+    fn compare(&mut self, bytes: Bytes) -> WriteOutcome {
         match Record::read(bytes) {
             Ok(found) if found.is_same_write(&self.record) => {
-                Settled::Recorded(std::mem::take(&mut self.asks))
+                WriteOutcome::Recorded(std::mem::take(&mut self.claims))
             }
-            Ok(found) => Settled::Taken(found),
-            Err(_) => Settled::Unreadable,
+            Ok(found) => WriteOutcome::Taken(found),
+            Err(_) => WriteOutcome::Unreadable,
         }
     }
 }
