--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -1,9 +1,9 @@
-//! The entry's side: from a caller's keyed request to its one run.
+//! The entry's side: runs a caller's keyed request at most once.
 //!
-//! Each claim asked for gets a fresh number. A number is dead as soon as it is
-//! no longer asked for: a grant that comes later is ignored. So a process may
-//! say "not run" of every number that is neither asked for nor was granted in
-//! time, without any record.
+//! Each requested claim gets a new number. Once a process no longer waits for
+//! the answer to a number, it ignores a later grant. It can therefore report
+//! "not run" for every number that is neither pending nor was granted in time,
+//! without any record.
 
 mod event;
 mod keys;
@@ -27,18 +27,18 @@
 
 pub use event::{Action, ClaimantLimits, Event, KeyState, KeyedRequest, RunOutcome};
 
-/// Keyed requests of one process.
+/// State machine for the keyed requests of one process.
 #[derive(Debug)]
 pub struct Claimant {
     me: ProcessId,
     limits: ClaimantLimits,
     keys: Keys,
     answers: AnswerCache,
-    /// Keys by the number that is asked for.
-    asks: HashMap<u64, KeyHash>,
-    /// Keys by the caller's request.
+    /// Keys by the number of a claim or query that is waiting for its answer.
+    pending: HashMap<u64, KeyHash>,
+    /// Keys by the identifier of the caller's request.
     requests: HashMap<RequestId, KeyHash>,
-    /// When something is due, by key.
+    /// Timers of the keys, earliest first.
     timers: BTreeSet<(Millis, KeyHash)>,
     next: u64,
     stopped: bool,
@@ -46,14 +46,14 @@
 }
 
 impl Claimant {
-    /// A machine for one process.
+    /// A claimant without requests, in process `me`.
     pub fn new(me: ProcessId) -> Self {
         Self {
             me,
             limits: ClaimantLimits::default(),
             keys: Keys::default(),
             answers: AnswerCache::new(ClaimantLimits::default().answers),
-            asks: HashMap::new(),
+            pending: HashMap::new(),
             requests: HashMap::new(),
             timers: BTreeSet::new(),
             next: 1,
@@ -62,27 +62,27 @@
         }
     }
 
-    /// Sets limits other than the usual ones.
+    /// Replaces the default limits.
     pub fn with_limits(mut self, limits: ClaimantLimits) -> Self {
         self.answers = AnswerCache::new(limits.answers.clone());
         self.limits = limits;
         self
     }
 
-    /// Takes an event at machine time `now` and returns what has to be done.
+    /// Handles an event at machine time `now` and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
-        // Expiry goes first: what was given up must not be revived by a late answer.
+        // Expire first, so that a late answer can't revive a claim that was given up.
         self.expire(now);
         match event {
             Event::Tick => {}
-            Event::Start(start) => self.start(start, now),
+            Event::Start(keyed) => self.request(keyed, now),
             Event::Answer(answer) => self.answer(&answer, now),
             Event::AskLost { ask } => self.retry(ask, now),
-            Event::KeyAsked { from, ask } => self.key_asked(from, &ask, now),
+            Event::KeyAsked { from, ask } => self.answer_key(from, &ask, now),
             Event::KeyAnswer(answer) => self.key_answer(answer, now),
             Event::KeyAskLost { ask } => self.read_shutdown_record(ask),
             Event::ShutdownRecord { claimant, bytes } => {
-                self.shutdown_record_read(claimant, bytes, now);
+                self.apply_shutdown_record(claimant, bytes, now);
             }
             Event::Ended { request, end } => self.ended(request, end, now),
             Event::Cancelled { request } => self.cancelled(request),
@@ -91,64 +91,64 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When the next [`Event::Tick`] is wanted.
+    /// Machine time at which the next [`Event::Tick`] is due.
     pub fn wake(&self) -> Millis {
         self.timers.first().map_or(Millis::MAX, |(due, _)| *due)
     }
 
-    /// Bytes of answers held for callers that ask again.
+    /// Size of the cached answers, in bytes.
     pub const fn cached_bytes(&self) -> u64 {
         self.answers.bytes()
     }
 
-    /// Keys that it knows of.
+    /// Number of keys, pending and ended.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether it knows of no key.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.len() == 0
     }
 
-    /// What became of its claims, for the object that it leaves; only after [`Event::Stop`].
+    /// Outcomes of the claims, for the shutdown record; `None` before [`Event::Stop`].
     pub fn outcomes(&self) -> Option<NumberOutcomes> {
         self.stopped.then(|| self.keys.outcomes(self.next))
     }
 
-    fn start(&mut self, start: KeyedRequest, now: Millis) {
-        let request = start.request;
+    fn request(&mut self, keyed: KeyedRequest, now: Millis) {
+        let request = keyed.request;
         if self.stopped {
             return self.refuse(request, Reason::Stopping);
         }
-        let Some(entry) = self.keys.get(&start.key) else {
-            return self.begin(start, now);
+        let Some(entry) = self.keys.get(&keyed.key) else {
+            return self.begin(keyed, now);
         };
-        if entry.start.digest != start.digest {
+        if entry.keyed.digest != keyed.digest {
             return self.refuse(request, Reason::KeyReused);
         }
-        let ask = entry.ask;
+        let number = entry.number;
         match entry.phase {
             Phase::Asking | Phase::Waiting | Phase::Inquiring { .. } | Phase::Running => {
                 self.refuse(request, Reason::KeyRunning);
             }
             Phase::Unknown => self.refuse(request, Reason::KeyUnknown),
-            Phase::Ran => match self.answers.get(ask, now).cloned() {
+            Phase::Ran => match self.answers.get(number, now).cloned() {
                 Some(answer) => self.actions.push(Action::Replay { request, answer }),
                 None => self.refuse(request, Reason::KeyRan),
             },
         }
     }
 
-    fn begin(&mut self, start: KeyedRequest, now: Millis) {
-        let key = start.key;
+    fn begin(&mut self, keyed: KeyedRequest, now: Millis) {
+        let key = keyed.key;
         let until = now + self.limits.claim_timeout;
-        self.requests.insert(start.request, key);
-        self.keys.insert(start, until);
+        self.requests.insert(keyed.request, key);
+        self.keys.insert(keyed, until);
         self.ask(&key, None);
     }
 
-    /// Asks for the key under a fresh number.
+    /// Requests a claim of the key under a new number.
     fn ask(&mut self, key: &KeyHash, given_up: Option<ClaimId>) {
         let Some(entry) = self.keys.get_mut(key) else {
             return;
@@ -156,24 +156,24 @@
         let ask = self.next;
         self.next += 1;
         if entry.phase == Phase::Asking {
-            self.asks.remove(&entry.ask);
+            self.pending.remove(&entry.number);
         }
         self.timers.remove(&(entry.due, *key));
-        entry.ask = ask;
+        entry.number = ask;
         entry.due = entry.until;
         entry.phase = Phase::Asking;
         entry.given_up = given_up.or(entry.given_up);
         self.timers.insert((entry.due, *key));
-        self.asks.insert(ask, *key);
+        self.pending.insert(ask, *key);
         let given_up = entry.given_up.unwrap_or(ClaimId::NONE);
         self.actions.push(Action::Ask(ClaimAsk {
             ask,
             key: key.to_bytes(),
-            digest: entry.start.digest.to_bytes(),
+            digest: entry.keyed.digest.to_bytes(),
             claimant: self.me.incarnation.0,
             daemon: self.me.daemon.to_string(),
-            lifetime: entry.start.lifetime.0,
-            request: entry.start.request.to_bytes().to_vec().into(),
+            lifetime: entry.keyed.lifetime.0,
+            request: entry.keyed.request.to_bytes().to_vec().into(),
             given_claimant: given_up.claimant.0,
             given_ask: given_up.number,
         }));
@@ -183,30 +183,30 @@
         if answer.asker != self.me.incarnation.0 {
             return;
         }
-        let Some(key) = self.asks.get(&answer.ask).copied() else {
+        let Some(key) = self.pending.get(&answer.ask).copied() else {
             return;
         };
         match ClaimStatus::from_code(answer.verdict) {
             ClaimStatus::Granted => self.granted(&key, answer.ask),
-            ClaimStatus::Held => self.found_held(&key, answer),
-            ClaimStatus::Reused => self.finish(&key, Reason::KeyReused),
-            ClaimStatus::Unavailable => self.finish(&key, Reason::ClaimUnavailable),
+            ClaimStatus::Held => self.key_held(&key, answer),
+            ClaimStatus::Reused => self.refuse_key(&key, Reason::KeyReused),
+            ClaimStatus::Unavailable => self.refuse_key(&key, Reason::ClaimUnavailable),
             ClaimStatus::NotOwner => self.retry(answer.ask, now),
         }
     }
 
     fn granted(&mut self, key: &KeyHash, ask: u64) {
-        self.asks.remove(&ask);
+        self.pending.remove(&ask);
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
         self.timers.remove(&(entry.due, *key));
         entry.phase = Phase::Running;
-        let request = entry.start.request;
+        let request = entry.keyed.request;
         self.actions.push(Action::Dispatch { request });
     }
 
-    fn found_held(&mut self, key: &KeyHash, answer: &ClaimAnswer) {
+    fn key_held(&mut self, key: &KeyHash, answer: &ClaimAnswer) {
         let holder = ClaimId {
             claimant: Incarnation(answer.claimant),
             number: answer.held,
@@ -214,17 +214,17 @@
         if holder.claimant != self.me.incarnation {
             return self.inquire(key, holder, &answer.daemon);
         }
-        // The key is not running here, so its claim is dead, unless what became of it was forgotten.
+        // The key isn't running here, so its claim is dead, unless its outcome was forgotten.
         if self.keys.is_forgotten(holder.number) {
-            self.finish(key, Reason::KeyUnknown);
+            self.refuse_key(key, Reason::KeyUnknown);
         } else {
             self.ask(key, Some(holder));
         }
     }
 
-    /// Gives up the present number and asks again a little later.
+    /// Gives up the current number and requests the claim again after a delay.
     fn retry(&mut self, ask: u64, now: Millis) {
-        let Some(key) = self.asks.remove(&ask) else {
+        let Some(key) = self.pending.remove(&ask) else {
             return;
         };
         let Some(entry) = self.keys.get_mut(&key) else {
@@ -240,25 +240,25 @@
         self.actions.push(Action::Refuse { request, reason });
     }
 
-    /// Forgets a request that was not dispatched, and says why.
-    fn finish(&mut self, key: &KeyHash, reason: Reason) {
-        if let Some(request) = self.drop_pending(key) {
+    /// Removes a key that is not dispatched and refuses its request.
+    fn refuse_key(&mut self, key: &KeyHash, reason: Reason) {
+        if let Some(request) = self.remove_undispatched(key) {
             self.refuse(request, reason);
         }
     }
 
-    /// Gives up a key that is not dispatched; returns its request.
-    fn drop_pending(&mut self, key: &KeyHash) -> Option<RequestId> {
+    /// Removes a key that is not dispatched; returns its request.
+    fn remove_undispatched(&mut self, key: &KeyHash) -> Option<RequestId> {
         let entry = self.keys.remove(key)?;
         if entry.phase == Phase::Asking {
-            self.asks.remove(&entry.ask);
+            self.pending.remove(&entry.number);
         }
         if let Phase::Inquiring { inquiry, .. } = entry.phase {
-            self.asks.remove(&inquiry);
+            self.pending.remove(&inquiry);
         }
         self.timers.remove(&(entry.due, *key));
-        self.requests.remove(&entry.start.request);
-        Some(entry.start.request)
+        self.requests.remove(&entry.keyed.request);
+        Some(entry.keyed.request)
     }
 
     fn expire(&mut self, now: Millis) {
@@ -268,18 +268,18 @@
             && due <= now
         {
             self.timers.pop_first();
-            self.due(&key, now);
+            self.timer_due(&key, now);
         }
     }
 
-    fn due(&mut self, key: &KeyHash, now: Millis) {
+    fn timer_due(&mut self, key: &KeyHash, now: Millis) {
         let Some(entry) = self.keys.get(key) else {
             return;
         };
         match entry.phase {
             Phase::Waiting if now < entry.until => self.ask(key, None),
-            Phase::Inquiring { .. } => self.finish(key, Reason::KeyUnknown),
-            Phase::Asking | Phase::Waiting => self.finish(key, Reason::ClaimUnavailable),
+            Phase::Inquiring { .. } => self.refuse_key(key, Reason::KeyUnknown),
+            Phase::Asking | Phase::Waiting => self.refuse_key(key, Reason::ClaimUnavailable),
             Phase::Running | Phase::Ran | Phase::Unknown => {}
         }
     }
@@ -290,14 +290,14 @@
         };
         let is_running = |phase| matches!(phase, Phase::Running);
         if !self.keys.get(&key).is_some_and(|e| is_running(e.phase)) {
-            self.drop_pending(&key);
+            self.remove_undispatched(&key);
         }
     }
 
     fn stop(&mut self) {
         self.stopped = true;
-        for key in self.keys.pending() {
-            self.finish(&key, Reason::Stopping);
+        for key in self.keys.undispatched() {
+            self.refuse_key(&key, Reason::Stopping);
         }
     }
 }
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -1,4 +1,4 @@
-//! Events, actions and limits of the entry's machine.
+//! Events, actions and limits of [`Claimant`](super::Claimant).
 
 use bytes::Bytes;
 use derive_more::{Debug, Display};
@@ -10,17 +10,17 @@
 use crate::reason::Reason;
 use crate::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
 
-/// A caller's keyed request.
+/// A caller's request with an idempotency key.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct KeyedRequest {
-    /// The request; never used twice.
+    /// Identifier of the request, which must be unique.
     pub request: RequestId,
-    /// Its institution and key.
+    /// Hash of institution and idempotency key.
     pub key: KeyHash,
-    /// What it asks for.
+    /// Digest of method, path and body.
     pub digest: Digest,
-    /// How long the key is remembered.
+    /// How long the key stays in use after the request.
     pub lifetime: Millis,
 }
 
@@ -28,129 +28,129 @@
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum RunOutcome {
-    /// It ran; the answer, if it is whole and known.
+    /// It ran; contains the answer if it was received completely.
     Ran(Option<CachedAnswer>),
-    /// It was not sent to an endpoint and never will be, or the endpoint's refusal means so.
+    /// It was never sent to an endpoint, or the endpoint's refusal means that it did not run.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// What a machine is told.
+/// Input of the state machine.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A caller's request came.
+    /// A caller's request was received.
     Start(KeyedRequest),
-    /// An owner answered.
+    /// An owner answered a requested claim.
     Answer(ClaimAnswer),
-    /// A question could not be sent, or its answer can't come any more.
+    /// A claim request could not be sent, or its answer was lost.
     AskLost {
-        /// Number of the question.
+        /// Number of the request.
         ask: u64,
     },
-    /// Another daemon asks what became of a key.
+    /// Another daemon queries the outcome of a key.
     KeyAsked {
-        /// The daemon.
+        /// Name of the daemon.
         from: String,
-        /// Its question.
+        /// The query.
         ask: KeyAsk,
     },
-    /// Another claimant said what became of a key.
+    /// Another claimant answered a query.
     KeyAnswer(KeyAnswer),
-    /// Another claimant can't be reached.
+    /// Another claimant could not be reached.
     KeyAskLost {
-        /// Number of the question.
+        /// Number of the request.
         ask: u64,
     },
-    /// The object that a claimant left; `None` if there is none or it can't be read.
+    /// A claimant's shutdown record was read, or could not be.
     ShutdownRecord {
-        /// The claimant.
+        /// Incarnation of the claimant.
         claimant: Incarnation,
-        /// The object.
+        /// The encoded record; `None` if there is none or it can't be read.
         bytes: Option<Bytes>,
     },
     /// A dispatched request ended.
     Ended {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         end: RunOutcome,
     },
-    /// The caller of a request that is not dispatched went away.
+    /// The caller of a request that is not dispatched has disconnected.
     Cancelled {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
     },
-    /// The daemon stops: no request is dispatched from now on.
+    /// The daemon stops: no more requests are dispatched.
     Stop,
 }
 
-/// What a machine wants done.
+/// Output of the state machine, carried out by the driver.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Action {
-    /// Send a question to the owner of the key's shard.
+    /// Request a claim from the owner of the key's shard.
     Ask(ClaimAsk),
-    /// Run the request; it ends with [`Event::Ended`].
+    /// Run the request, then report [`Event::Ended`].
     Dispatch {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
     },
-    /// Refuse the request; the reason's outcome is about this request alone.
+    /// Refuse the request. The reason's outcome applies to this request only, not to its key.
     Refuse {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Why.
+        /// Why it is refused.
         reason: Reason,
     },
-    /// Answer the request as the earlier one with its key was.
+    /// Answer the request with the cached answer of the earlier one with its key.
     Replay {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// The answer.
+        /// The cached answer.
         answer: CachedAnswer,
     },
-    /// Ask another claimant what became of a key.
+    /// Query another claimant about the outcome of a key.
     AskKey {
-        /// Its daemon.
+        /// Name of its daemon.
         to: String,
-        /// The question.
+        /// The query.
         ask: KeyAsk,
     },
-    /// Read the object that a claimant left.
+    /// Read a claimant's shutdown record.
     ReadShutdownRecord {
-        /// The claimant.
+        /// Incarnation of the claimant.
         claimant: Incarnation,
     },
-    /// Answer another daemon.
+    /// Answer a query of another daemon.
     AnswerKey {
-        /// The daemon.
+        /// Name of the daemon.
         to: String,
-        /// The answer.
+        /// The answer to send.
         answer: KeyAnswer,
     },
 }
 
-/// What a claimant says of a key.
+/// State of a key, as reported by its claimant.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 pub enum KeyState {
-    /// It may have run.
+    /// The request may have run.
     #[display("unknown")]
     Unknown,
-    /// It is asked for or running.
+    /// The claim is pending or the request is running.
     #[display("running")]
     Running,
-    /// It ran, and the answer is with this.
+    /// The request ran, and the answer is included.
     #[display("held")]
     Held,
-    /// It ran.
+    /// The request ran.
     #[display("ran")]
     Ran,
-    /// It has not run and never will.
+    /// The request has not run and never will.
     #[display("not-run")]
     NotRun,
 }
@@ -170,24 +170,24 @@
         self as u32
     }
 
-    /// Reads a code; an unknown one says nothing.
+    /// Decodes a code; an unknown one counts as `Unknown`.
     pub fn from_code(code: u32) -> Self {
         let known = Self::ALL.get(code as usize);
         known.copied().unwrap_or(Self::Unknown)
     }
 }
 
-/// Times and sizes of the entry's machine.
+/// Timing and size limits of [`Claimant`](super::Claimant).
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct ClaimantLimits {
-    /// Longest time from a request to its claim.
+    /// Longest time from a request's receipt until its claim is granted.
     pub claim_timeout: Millis,
-    /// Delay before an owner is asked again.
+    /// Delay before a claim is requested again.
     pub retry_delay: Millis,
-    /// Most keys that are remembered after their requests have ended.
+    /// Largest number of keys whose requests have ended.
     pub max_keys: usize,
-    /// Answers that are kept.
+    /// Bounds of the cache of answers.
     pub answers: CacheLimits,
 }
 
--- a/crates/core/src/claims/claimant/keys.rs
+++ b/crates/core/src/claims/claimant/keys.rs
@@ -1,4 +1,4 @@
-//! What a process knows of its keys.
+//! State of the idempotency keys of one process.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,51 +10,53 @@
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 
+/// Phase of a key.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// Waits for an owner's answer.
+    /// Waits for the owner's answer to a requested claim.
     Asking,
-    /// Waits to ask again.
+    /// Waits before the claim is requested again.
     Waiting,
-    /// Asks the process that holds the key.
+    /// Waits for the outcome from the process that holds the key.
     Inquiring {
         inquiry: u64,
         holder: ClaimId,
-        /// Whether it reads the object that the holder left.
+        /// Whether the holder's shutdown record is being read.
         is_reading: bool,
     },
-    /// Dispatched.
+    /// The request was dispatched.
     Running,
-    /// Has run.
+    /// The request ran.
     Ran,
-    /// May have run.
+    /// The request may have run.
     Unknown,
 }
 
+/// A key and the progress of its request.
 #[derive(Clone)]
 #[derive(Debug)]
-pub(super) struct Entry {
-    pub(super) start: KeyedRequest,
+pub(super) struct KeyEntry {
+    pub(super) keyed: KeyedRequest,
     pub(super) phase: Phase,
-    /// Number of its claim.
-    pub(super) ask: u64,
-    /// An earlier claim of the key that never runs.
+    /// Number of the latest claim requested for the key.
+    pub(super) number: u64,
+    /// An earlier claim of the key whose request never runs.
     pub(super) given_up: Option<ClaimId>,
-    /// When its present step is over.
+    /// When the timer of the current phase expires.
     pub(super) due: Millis,
-    /// When it is given up, or forgotten.
+    /// When the claim is given up, or an ended key is forgotten.
     pub(super) until: Millis,
 }
 
-/// Keys that are pending, running, or remembered.
+/// Keys whose requests are pending, running or ended.
 #[derive(Default)]
 #[derive(Debug)]
 pub(super) struct Keys {
-    entries: HashMap<KeyHash, Entry>,
-    /// Ended keys by the time at which they are forgotten, then by number.
+    entries: HashMap<KeyHash, KeyEntry>,
+    /// Ended keys, ordered by the time at which they are forgotten, then by number.
     ended: BTreeMap<(Millis, u64), KeyHash>,
-    /// Of numbers up to this one, some that ran are forgotten.
+    /// Largest number of a forgotten key; outcomes up to it are no longer known.
     forgotten: u64,
 }
 
@@ -63,45 +65,51 @@
         self.entries.len()
     }
 
-    pub(super) fn get(&self, key: &KeyHash) -> Option<&Entry> {
+    pub(super) fn get(&self, key: &KeyHash) -> Option<&KeyEntry> {
         self.entries.get(key)
     }
 
-    pub(super) fn get_mut(&mut self, key: &KeyHash) -> Option<&mut Entry> {
+    pub(super) fn get_mut(&mut self, key: &KeyHash) -> Option<&mut KeyEntry> {
         self.entries.get_mut(key)
     }
 
-    pub(super) fn insert(&mut self, start: KeyedRequest, until: Millis) {
-        let entry = Entry {
+    pub(super) fn insert(&mut self, keyed: KeyedRequest, until: Millis) {
+        let entry = KeyEntry {
             phase: Phase::Waiting,
-            ask: 0,
+            number: 0,
             given_up: None,
             due: until,
             until,
-            start,
+            keyed,
         };
-        self.entries.insert(entry.start.key, entry);
+        self.entries.insert(entry.keyed.key, entry);
     }
 
-    pub(super) fn remove(&mut self, key: &KeyHash) -> Option<Entry> {
+    pub(super) fn remove(&mut self, key: &KeyHash) -> Option<KeyEntry> {
         self.entries.remove(key)
     }
 
-    /// Whether a number that ran may be forgotten.
+    /// Whether the outcome of a number may have been forgotten.
     pub(super) const fn is_forgotten(&self, ask: u64) -> bool {
         ask <= self.forgotten
     }
 
-    /// Remembers that a dispatched key ran or may have run; the earliest to expire make room.
-    pub(super) fn end(&mut self, key: &KeyHash, phase: Phase, until: Millis, most: usize) {
+    /// Records the end of a dispatched key; forgets the earliest to expire beyond `max_keys`.
+    pub(super) fn record_end(
+        &mut self,
+        key: &KeyHash,
+        phase: Phase,
+        until: Millis,
+        max_keys: usize,
+    ) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
         entry.phase = phase;
         entry.until = until;
-        self.ended.insert((until, entry.ask), *key);
-        while self.ended.len() > most {
-            self.forget_first();
+        self.ended.insert((until, entry.number), *key);
+        while self.ended.len() > max_keys {
+            self.forget_earliest();
         }
     }
 
@@ -111,20 +119,20 @@
             .first_key_value()
             .is_some_and(|((until, _), _)| *until <= now)
         {
-            self.forget_first();
+            self.forget_earliest();
         }
     }
 
-    fn forget_first(&mut self) {
+    fn forget_earliest(&mut self) {
         if let Some(((_, ask), key)) = self.ended.pop_first() {
             self.entries.remove(&key);
             self.forgotten = self.forgotten.max(ask);
         }
     }
 
-    /// Keys that are not dispatched.
-    pub(super) fn pending(&self) -> Vec<KeyHash> {
-        let is_pending = |entry: &Entry| {
+    /// Keys that are not dispatched, sorted.
+    pub(super) fn undispatched(&self) -> Vec<KeyHash> {
+        let is_pending = |entry: &KeyEntry| {
             matches!(
                 entry.phase,
                 Phase::Asking | Phase::Waiting | Phase::Inquiring { .. }
@@ -140,20 +148,20 @@
     }
 
     pub(super) fn outcomes(&self, next: u64) -> NumberOutcomes {
-        let asks = |wanted: &[Phase]| {
+        let numbers = |wanted: &[Phase]| {
             let entries = self.entries.values();
-            let mut asks: Vec<_> = entries
+            let mut numbers: Vec<_> = entries
                 .filter(|entry| wanted.contains(&entry.phase))
-                .map(|entry| entry.ask)
+                .map(|entry| entry.number)
                 .collect();
-            asks.sort_unstable();
-            asks
+            numbers.sort_unstable();
+            numbers
         };
         NumberOutcomes {
             next,
             forgotten: self.forgotten,
-            ran: asks(&[Phase::Ran]),
-            unknown: asks(&[Phase::Unknown, Phase::Running]),
+            ran: numbers(&[Phase::Ran]),
+            unknown: numbers(&[Phase::Unknown, Phase::Running]),
         }
     }
 }
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -1,4 +1,4 @@
-//! Talk between claimants: what became of a key that another process holds.
+//! Queries between claimants about the outcome of a key that another process holds.
 
 use bytes::Bytes;
 
@@ -16,15 +16,15 @@
 use crate::wire::{KeyAnswer, KeyAsk};
 
 impl Claimant {
-    /// Asks the process that holds a key.
+    /// Queries the process that holds a key.
     pub(super) fn inquire(&mut self, key: &KeyHash, holder: ClaimId, daemon: &str) {
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
         let inquiry = self.next;
         self.next += 1;
-        self.asks.remove(&entry.ask);
-        self.asks.insert(inquiry, *key);
+        self.pending.remove(&entry.number);
+        self.pending.insert(inquiry, *key);
         entry.phase = Phase::Inquiring {
             inquiry,
             holder,
@@ -50,12 +50,12 @@
             return;
         };
         match KeyState::from_code(answer.state) {
-            KeyState::Running => self.finish(&key, Reason::KeyRunning),
-            KeyState::Ran => self.finish(&key, Reason::KeyRan),
-            KeyState::NotRun => self.ask_instead(&key, holder, now),
+            KeyState::Running => self.refuse_key(&key, Reason::KeyRunning),
+            KeyState::Ran => self.refuse_key(&key, Reason::KeyRan),
+            KeyState::NotRun => self.claim_again(&key, holder, now),
             KeyState::Unknown => self.read_shutdown_record(answer.ask),
             KeyState::Held => {
-                let Some(request) = self.drop_pending(&key) else {
+                let Some(request) = self.remove_undispatched(&key) else {
                     return;
                 };
                 let answer = CachedAnswer {
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Key and holder of a question to another claimant.
+    /// Key and holder of a query to another claimant.
     fn inquiry(&self, ask: u64) -> Option<(KeyHash, ClaimId)> {
-        let key = self.asks.get(&ask)?;
+        let key = self.pending.get(&ask)?;
         match self.keys.get(key)?.phase {
             Phase::Inquiring {
                 inquiry, holder, ..
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Asks for a key whose holder never runs it.
-    fn ask_instead(&mut self, key: &KeyHash, holder: ClaimId, now: Millis) {
+    /// Requests a claim of a key again, because its holder never runs it.
+    fn claim_again(&mut self, key: &KeyHash, holder: ClaimId, now: Millis) {
         let is_late = self.keys.get(key).is_none_or(|entry| entry.until <= now);
         if is_late {
-            return self.finish(key, Reason::ClaimUnavailable);
+            return self.refuse_key(key, Reason::ClaimUnavailable);
         }
-        self.asks.retain(|_, asked| asked != key);
+        self.pending.retain(|_, asked| asked != key);
         self.ask(key, Some(holder));
     }
 
-    /// Looks for the last word of a holder that can't say what became of the key.
+    /// Reads the shutdown record of a holder that can't report the outcome of the key.
     pub(super) fn read_shutdown_record(&mut self, ask: u64) {
         let Some((key, holder)) = self.inquiry(ask) else {
             return;
@@ -105,15 +105,15 @@
         self.actions.push(Action::ReadShutdownRecord { claimant });
     }
 
-    pub(super) fn shutdown_record_read(
+    pub(super) fn apply_shutdown_record(
         &mut self,
         claimant: Incarnation,
         bytes: Option<Bytes>,
         now: Millis,
     ) {
         let record = bytes.and_then(|bytes| ShutdownRecord::read(bytes).ok());
-        let record = record.filter(|f| f.writer == claimant.0);
-        for key in self.keys.pending() {
+        let record = record.filter(|record| record.writer == claimant.0);
+        for key in self.keys.undispatched() {
             let Some(Phase::Inquiring {
                 holder,
                 is_reading: true,
@@ -125,17 +125,17 @@
             if holder.claimant != claimant {
                 continue;
             }
-            let outcome = record.as_ref().map(|f| f.claim(holder.number));
+            let outcome = record.as_ref().map(|record| record.claim(holder.number));
             match outcome.unwrap_or(Outcome::Unknown) {
-                Outcome::Ran => self.finish(&key, Reason::KeyRan),
-                Outcome::NotRun => self.ask_instead(&key, holder, now),
-                Outcome::Unknown => self.finish(&key, Reason::KeyUnknown),
+                Outcome::Ran => self.refuse_key(&key, Reason::KeyRan),
+                Outcome::NotRun => self.claim_again(&key, holder, now),
+                Outcome::Unknown => self.refuse_key(&key, Reason::KeyUnknown),
             }
         }
     }
 
-    /// Answers another daemon; "not run" only of a number that this process can't dispatch any more.
-    pub(super) fn key_asked(&mut self, from: String, ask: &KeyAsk, now: Millis) {
+    /// Answers a query; reports "not run" only if this process can no longer dispatch the number.
+    pub(super) fn answer_key(&mut self, from: String, ask: &KeyAsk, now: Millis) {
         let mut answer = KeyAnswer {
             ask: ask.ask,
             asker: ask.asker,
@@ -145,8 +145,8 @@
         let number = KeyHash::from_bytes(&ask.key)
             .ok()
             .and_then(|key| self.keys.get(&key))
-            .map_or(0, |entry| entry.ask);
-        // The answer of a later claim may be to another request.
+            .map_or(0, |entry| entry.number);
+        // The cached answer of a later claim may belong to another request.
         let is_same = number == ask.held && state == KeyState::Ran;
         let held = self.answers.get(number, now).filter(|_| is_same);
         answer.state = held.map_or(state, |_| KeyState::Held).code();
@@ -182,20 +182,20 @@
         let Some(entry) = running else {
             return;
         };
-        let ask = entry.ask;
-        let until = now + entry.start.lifetime;
-        let most = self.limits.max_keys;
+        let number = entry.number;
+        let until = now + entry.keyed.lifetime;
+        let max_keys = self.limits.max_keys;
         self.requests.remove(&request);
         match end {
             RunOutcome::NotRun => {
                 self.keys.remove(&key);
             }
-            RunOutcome::Unknown => self.keys.end(&key, Phase::Unknown, until, most),
+            RunOutcome::Unknown => self.keys.record_end(&key, Phase::Unknown, until, max_keys),
             RunOutcome::Ran(answer) => {
                 if let Some(answer) = answer {
-                    self.answers.put(ask, answer, now);
+                    self.answers.put(number, answer, now);
                 }
-                self.keys.end(&key, Phase::Ran, until, most);
+                self.keys.record_end(&key, Phase::Ran, until, max_keys);
             }
         }
     }
