--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -1,10 +1,10 @@
-//! Tickets: the right to run a request once, kept in one process's memory.
+//! Tickets: the right to run a request once, kept in the memory of one process.
 //!
-//! While the platform is down no claim can be recorded. A caller may then ask
-//! for a ticket first and send its request with it. Only the process that
-//! issued a ticket may run it, so no write is needed; whoever else is shown
-//! it can say at most that its outcome is unknown. A request is identified
-//! by its ticket or by its idempotency key, never by both.
+//! While the platform is down, no claim can be recorded. A caller can then
+//! obtain a ticket first and send its request with it. Only the process that
+//! issued a ticket may run it, so no write is needed; to any other process, its
+//! outcome is unknown. A request is identified by its ticket or by its
+//! idempotency key, never by both.
 
 mod event;
 
@@ -25,31 +25,31 @@
     Redemption, Ticket, TicketAction, TicketError, TicketEvent, TicketHolder, TicketLimits,
 };
 
-/// Tickets of one process.
+/// State machine for the tickets of one process.
 #[derive(Debug)]
 pub struct Tickets {
     me: ProcessId,
     limits: TicketLimits,
-    /// Tickets that can be used or were used, by number.
-    issued: BTreeMap<u64, Issued>,
-    /// Unused tickets by holder.
+    /// Unused and used tickets in memory, by number.
+    issued: BTreeMap<u64, IssuedTicket>,
+    /// Number of unused tickets by holder.
     unused: HashMap<TicketHolder, u32>,
-    /// Numbers by the request that runs.
+    /// Ticket numbers by running request.
     requests: HashMap<RequestId, u64>,
     answers: AnswerCache,
     next: u64,
-    /// Of numbers up to this one, some that ran are forgotten.
+    /// Largest number of a forgotten used ticket; outcomes up to it are no longer known.
     forgotten: u64,
     stopped: bool,
 }
 
 #[derive(Debug)]
-struct Issued {
+struct IssuedTicket {
     holder: TicketHolder,
-    /// Machine time at which it can no longer be used.
+    /// Machine time at which the ticket is removed from memory.
     expiry: Millis,
     state: State,
-    /// The request that it was used for.
+    /// Digest of the request that it was used for.
     digest: Option<Digest>,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl Tickets {
-    /// A machine for one process.
+    /// Ticket state of process `me`, without tickets.
     pub fn new(me: ProcessId) -> Self {
         Self {
             me,
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Sets limits other than the usual ones.
+    /// Replaces the default limits.
     pub fn with_limits(mut self, limits: TicketLimits) -> Self {
         self.answers = AnswerCache::new(limits.answers.clone());
         self.limits = limits;
         self
     }
 
-    /// Takes an event at machine time `now` and returns what has to be done, if anything.
+    /// Handles an event at machine time `now` and returns the action to carry out, if any.
     pub fn handle(&mut self, event: TicketEvent, now: Millis) -> Option<TicketAction> {
         self.answers.expire(now);
         self.expire(now);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Tickets in memory.
+    /// Number of tickets in memory.
     pub fn len(&self) -> usize {
         self.issued.len()
     }
@@ -118,7 +118,7 @@
         self.issued.is_empty()
     }
 
-    /// What became of its tickets, for the object that it leaves; only after [`TicketEvent::Stop`].
+    /// Outcomes of the tickets, for the shutdown record; `None` before [`TicketEvent::Stop`].
     pub fn outcomes(&self) -> Option<NumberOutcomes> {
         let numbers = |states: &[State]| {
             let issued = self.issued.iter();
@@ -146,7 +146,7 @@
         *self.unused.entry(holder.clone()).or_default() += 1;
         let number = self.next;
         self.next += 1;
-        let issued = Issued {
+        let issued = IssuedTicket {
             holder,
             expiry: now + self.limits.lifetime,
             state: State::Unused,
@@ -162,7 +162,7 @@
         TicketAction::Issued { request, ticket }
     }
 
-    /// Why no ticket can be issued.
+    /// The reason why no ticket can be issued to `holder`, if any.
     fn refusal(&self, holder: &TicketHolder) -> Option<Reason> {
         let unused = self.unused.get(holder).copied().unwrap_or(0);
         match () {
@@ -175,7 +175,7 @@
 
     fn redeem(&mut self, redemption: &Redemption, now: Millis) -> TicketAction {
         let request = redemption.request;
-        match self.judge(redemption) {
+        match self.check(redemption) {
             Ok(()) => self.dispatch(redemption),
             Err(Reason::KeyRan) => match self.answers.get(redemption.ticket.number, now).cloned() {
                 Some(answer) => TicketAction::Replay { request, answer },
@@ -188,14 +188,18 @@
         }
     }
 
-    /// Whether a ticket may be used now, or why not.
-    fn judge(&self, redemption: &Redemption) -> Result<(), Reason> {
+    /// Checks whether a ticket may be used now.
+    ///
+    /// # Errors
+    ///
+    /// The reason why it may not.
+    fn check(&self, redemption: &Redemption) -> Result<(), Reason> {
         let ticket = &redemption.ticket;
         if ticket.incarnation != self.me.incarnation || ticket.number >= self.next {
             return Err(Reason::TicketUnknown);
         }
         let Some(issued) = self.issued.get(&ticket.number) else {
-            // Not forgotten and not in memory: it expired before anything ran with it.
+            // Neither in memory nor forgotten: it expired unused.
             let is_unused = ticket.number > self.forgotten;
             let reason = if is_unused {
                 Reason::TicketExpired
@@ -228,7 +232,7 @@
         if let Some(issued) = self.issued.get_mut(&number) {
             issued.state = State::Running;
             issued.digest = Some(redemption.digest);
-            release(&mut self.unused, &issued.holder);
+            decrement_unused(&mut self.unused, &issued.holder);
         }
         self.requests.insert(request, number);
         TicketAction::Dispatch { request }
@@ -257,12 +261,13 @@
         };
     }
 
-    /// Forgets tickets whose time is over, unless they run.
+    /// Removes expired tickets whose requests aren't running.
     fn expire(&mut self, now: Millis) {
-        let is_over = |issued: &Issued| issued.expiry <= now && issued.state != State::Running;
+        let is_over =
+            |issued: &IssuedTicket| issued.expiry <= now && issued.state != State::Running;
         for (number, issued) in self.issued.extract_if(.., |_, issued| is_over(issued)) {
             if issued.state == State::Unused {
-                release(&mut self.unused, &issued.holder);
+                decrement_unused(&mut self.unused, &issued.holder);
             } else {
                 self.forgotten = self.forgotten.max(number);
             }
@@ -270,8 +275,8 @@
     }
 }
 
-/// Counts one unused ticket less.
-fn release(unused: &mut HashMap<TicketHolder, u32>, holder: &TicketHolder) {
+/// Decrements the number of a holder's unused tickets.
+fn decrement_unused(unused: &mut HashMap<TicketHolder, u32>, holder: &TicketHolder) {
     if let Some(count) = unused.get_mut(holder) {
         *count -= 1;
         if *count == 0 {
--- a/crates/core/src/claims/tickets/event.rs
+++ b/crates/core/src/claims/tickets/event.rs
@@ -1,4 +1,4 @@
-//! Tickets as callers see them, and events, actions and limits of their machine.
+//! Tickets as sent to callers, and events, actions and limits of [`Tickets`](super::Tickets).
 
 use std::str::FromStr;
 
@@ -12,10 +12,10 @@
 use crate::ids::{AccountId, DaemonId, Incarnation, InstitutionId, RequestId};
 use crate::reason::Reason;
 
-/// Result of reading a ticket.
+/// Result of parsing a ticket.
 pub type Result<T> = std::result::Result<T, TicketError>;
 
-/// A text that is no ticket.
+/// A text that isn't a valid ticket.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 #[display("`{text}` is no ticket: it is daemon, incarnation, number and expiry, parted by colons")]
@@ -24,19 +24,19 @@
     text: String,
 }
 
-/// What a caller gets and sends back.
+/// A ticket as sent to the caller, who sends it back with the request.
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(Debug, Display, SerializeDisplay, DeserializeFromStr)]
 #[debug("{daemon}:{incarnation}:{number}:{}", expiry.0)]
 #[display("{daemon}:{incarnation}:{number}:{}", expiry.0)]
 pub struct Ticket {
-    /// The daemon that issued it.
+    /// Name of the daemon that issued the ticket.
     pub daemon: DaemonId,
-    /// The process that issued it, which alone may run it.
+    /// Incarnation of the process that issued the ticket; no other may run it.
     pub incarnation: Incarnation,
-    /// Its number at that process.
+    /// Number of the ticket in that process.
     pub number: u64,
-    /// When it can no longer be used, in wall time; the process goes by its own memory.
+    /// Wall time at which the ticket expires, for information; the process decides by its own state.
     pub expiry: Millis,
 }
 
@@ -59,103 +59,103 @@
     fields.next().is_none().then_some(ticket)
 }
 
-/// Whom a ticket was issued to.
+/// The client account that a ticket was issued to.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 pub struct TicketHolder {
-    /// The institution.
+    /// The institution of the account.
     pub institution: InstitutionId,
-    /// Its account.
+    /// The client account.
     pub account: AccountId,
 }
 
-/// A request that comes with a ticket.
+/// A request with a ticket.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Redemption {
-    /// The request; never used twice.
+    /// Identifier of the request, which must be unique.
     pub request: RequestId,
-    /// The ticket.
+    /// The ticket sent with the request.
     pub ticket: Ticket,
-    /// Who sends it.
+    /// The account that sends the request.
     pub holder: TicketHolder,
-    /// What it asks for.
+    /// Digest of method, path and body.
     pub digest: Digest,
 }
 
-/// What the machine is told.
+/// Input of the state machine.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum TicketEvent {
     /// Time has passed.
     Tick,
-    /// A caller wants a ticket.
+    /// A caller requests a ticket.
     Issue {
-        /// The caller's request.
+        /// Identifier of the caller's request.
         request: RequestId,
-        /// Who asks.
+        /// The account that requests it.
         holder: TicketHolder,
-        /// Wall time.
+        /// Current wall time.
         wall: Millis,
     },
-    /// A request came with a ticket.
+    /// A request with a ticket was received.
     Redeem(Redemption),
     /// A dispatched request ended.
     Ended {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         end: RunOutcome,
     },
-    /// The daemon stops: no ticket is issued or run from now on.
+    /// The daemon stops: no more tickets are issued or run.
     Stop,
 }
 
-/// What the machine wants done.
+/// Output of the state machine, carried out by the driver.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum TicketAction {
-    /// Give the caller its ticket.
+    /// Send the ticket to the caller.
     Issued {
-        /// The caller's request.
+        /// Identifier of the caller's request.
         request: RequestId,
-        /// The ticket.
+        /// The issued ticket.
         ticket: Ticket,
     },
-    /// Run the request; it ends with [`TicketEvent::Ended`].
+    /// Run the request, then report [`TicketEvent::Ended`].
     Dispatch {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
     },
     /// Refuse the request.
     Refuse {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Why.
+        /// Why it is refused.
         reason: Reason,
     },
-    /// Answer as the earlier request with this ticket was.
+    /// Answer the request with the cached answer of the earlier one with this ticket.
     Replay {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// The answer.
+        /// The cached answer.
         answer: CachedAnswer,
     },
 }
 
-/// Times and sizes of the machine.
+/// Timing and size limits of [`Tickets`](super::Tickets).
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct TicketLimits {
-    /// How long a ticket can be used.
+    /// How long an unused ticket is valid.
     pub lifetime: Millis,
-    /// How long it is remembered that a ticket ran.
+    /// How long a used ticket is kept after its request has ended.
     pub retention: Millis,
-    /// Most tickets in memory.
+    /// Largest number of tickets in memory.
     pub max_tickets: usize,
-    /// Most unused tickets of one account.
+    /// Largest number of unused tickets of one account.
     pub max_unused: u32,
-    /// Answers that are kept.
+    /// Bounds of the cache of answers.
     pub answers: CacheLimits,
 }
 
