--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,16 +1,17 @@
-//! The right to run a non-idempotent request at most once.
+//! At-most-once execution of non-idempotent requests.
 //!
-//! Each shard of idempotency keys has a chain of objects in the platform,
-//! `claims/<shard>/<number>`, made by conditional create and never
-//! overwritten. A [`ShardLog`] is the owner's side: it takes over a chain,
-//! writes claims in batches and settles writes whose answers were lost. A
-//! [`Claimant`] is the entry's side: it asks for claims, says when a request
-//! may be sent, and says what became of a key. [`Tickets`] let a process run
-//! a request once without any write while the platform is down.
+//! Idempotency keys are divided into shards. Each shard has a chain of
+//! numbered objects in the platform's store, `claims/<shard>/<number>`,
+//! written by conditional create and never overwritten. [`ShardLog`] is the
+//! owner's side: it takes over a chain, writes claims in batches and resolves
+//! writes whose replies were lost. [`Claimant`] is the entry's side: it
+//! requests claims, decides when a request may be sent, and reports the
+//! outcome of a key. While the platform is down, [`Tickets`] let a process run
+//! a request once without any write.
 //!
 //! Safety never depends on time: a claim is granted only after its object is
-//! known to stand in the chain, and an owner that was replaced fails at its
-//! next create. `docs/design/claims.md` gives the argument.
+//! known to be in the chain, and an owner that was replaced fails at its next
+//! create. `docs/design/claims.md` gives the argument.
 
 mod answer_cache;
 mod backoff;
--- a/crates/core/src/claims/answer_cache.rs
+++ b/crates/core/src/claims/answer_cache.rs
@@ -1,4 +1,4 @@
-//! Answers kept for callers that ask again, bounded in time and bytes.
+//! Cache of complete answers for retried requests, bounded in time and bytes.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -9,30 +9,30 @@
 use crate::units::ByteSize;
 use crate::wire::Header;
 
-/// Bytes that one answer takes besides its texts.
-const OVERHEAD: u64 = 200;
+/// Estimated overhead of one answer besides headers and body, in bytes.
+const ANSWER_OVERHEAD: u64 = 200;
 
-/// A whole answer.
+/// A complete answer, replayed to a caller that retries its request.
 #[derive(Clone, PartialEq, Default)]
 #[derive(Debug)]
 pub struct CachedAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: Vec<Header>,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// How many answers are kept, and how long.
+/// Bounds of the answer cache.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct CacheLimits {
-    /// Most bytes of all answers.
+    /// Largest total size of the cached answers.
     pub max_total: ByteSize,
-    /// Most bytes of one answer.
+    /// Largest size of one answer; larger ones are not cached.
     pub max_answer: ByteSize,
-    /// How long an answer is kept.
+    /// How long an answer is cached.
     pub retention: Millis,
 }
 
@@ -50,24 +50,24 @@
     fn size(&self) -> u64 {
         let headers = self.headers.iter();
         let texts: usize = headers.map(|h| h.name.len() + h.value.len()).sum();
-        (texts + self.body.len()) as u64 + OVERHEAD
+        (texts + self.body.len()) as u64 + ANSWER_OVERHEAD
     }
 }
 
-/// Answers by the number of their claim or ticket.
+/// Cached answers by the number of their claim or ticket.
 #[derive(Debug)]
 pub(crate) struct AnswerCache {
     limits: CacheLimits,
-    answers: HashMap<u64, Held>,
-    /// Ends of the times, earliest first.
-    ends: BTreeSet<(Millis, u64)>,
+    answers: HashMap<u64, CacheEntry>,
+    /// Expiry times, earliest first.
+    expiries: BTreeSet<(Millis, u64)>,
     bytes: u64,
 }
 
 #[derive(Debug)]
-struct Held {
+struct CacheEntry {
     answer: CachedAnswer,
-    until: Millis,
+    expiry: Millis,
 }
 
 impl AnswerCache {
@@ -75,35 +75,39 @@
         Self {
             limits,
             answers: HashMap::new(),
-            ends: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             bytes: 0,
         }
     }
 
-    /// Keeps an answer, unless it is too large; the oldest ones make room.
+    /// Adds an answer unless it is too large, evicting the earliest to expire if needed.
     pub(crate) fn put(&mut self, number: u64, answer: CachedAnswer, now: Millis) {
         let size = answer.size();
         if size > self.limits.max_answer.0.min(self.limits.max_total.0) {
             return;
         }
-        let until = now + self.limits.retention;
+        let expiry = now + self.limits.retention;
         self.bytes += size;
-        self.ends.insert((until, number));
-        self.answers.insert(number, Held { answer, until });
+        self.expiries.insert((expiry, number));
+        self.answers.insert(number, CacheEntry { answer, expiry });
         while self.bytes > self.limits.max_total.0 {
-            self.drop_first();
+            self.evict_earliest();
         }
     }
 
     pub(crate) fn get(&self, number: u64, now: Millis) -> Option<&CachedAnswer> {
-        let held = self.answers.get(&number)?;
-        Some(&held.answer).filter(|_| now < held.until)
+        let entry = self.answers.get(&number)?;
+        Some(&entry.answer).filter(|_| now < entry.expiry)
     }
 
-    /// Drops the answers whose time is over.
+    /// Removes expired answers.
     pub(crate) fn expire(&mut self, now: Millis) {
-        while self.ends.first().is_some_and(|(until, _)| *until <= now) {
-            self.drop_first();
+        while self
+            .expiries
+            .first()
+            .is_some_and(|(expiry, _)| *expiry <= now)
+        {
+            self.evict_earliest();
         }
     }
 
@@ -111,12 +115,12 @@
         self.bytes
     }
 
-    fn drop_first(&mut self) {
-        let Some((_, number)) = self.ends.pop_first() else {
+    fn evict_earliest(&mut self) {
+        let Some((_, number)) = self.expiries.pop_first() else {
             return;
         };
-        if let Some(held) = self.answers.remove(&number) {
-            self.bytes -= held.answer.size();
+        if let Some(entry) = self.answers.remove(&number) {
+            self.bytes -= entry.answer.size();
         }
     }
 }
--- a/crates/core/src/claims/backoff.rs
+++ b/crates/core/src/claims/backoff.rs
@@ -1,4 +1,4 @@
-//! Delays between tries: doubled each time, with seeded jitter.
+//! Exponential backoff with jitter.
 
 use rand::{Rng, RngExt};
 
@@ -7,19 +7,19 @@
 /// Largest number of doublings.
 const MAX_SHIFT: u32 = 16;
 
-/// Grows the delay with each failure in a row.
+/// Delay between attempts that doubles with each consecutive failure.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    /// Delay after the first failure.
+    /// Delay after the first failure, before jitter.
     min: Millis,
     /// Longest delay.
     max: Millis,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
 }
 
 impl Backoff {
-    /// Starts at `min` and never waits longer than `max`.
+    /// Starts at `min` and never exceeds `max`.
     pub const fn new(min: Millis, max: Millis) -> Self {
         Self {
             min,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Counts a failure and draws the delay: between half of it and the delay.
+    /// Counts a failure and returns a random delay between half the current delay and all of it.
     pub fn next_delay(&mut self, rng: &mut impl Rng) -> Millis {
         let shift = self.failures.min(MAX_SHIFT);
         self.failures = self.failures.saturating_add(1);
@@ -36,12 +36,12 @@
         Millis(rng.random_range(delay / 2..=delay))
     }
 
-    /// Forgets the failures.
+    /// Resets the delay after a success.
     pub const fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub const fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/core/src/claims/chain.rs
+++ b/crates/core/src/claims/chain.rs
@@ -1,4 +1,4 @@
-//! A shard's chain as far as it was read or written.
+//! State of a shard's chain, built from the objects read and written so far.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,25 @@
 use crate::claims::table::{Claim, ClaimId, EntryWriter, Table, read_entries};
 use crate::clock::Millis;
 
-/// Most dead claims named by one checkpoint; keys of those beyond stay held by claims that nobody runs.
-const DEAD_CLAIMS: usize = 2048;
+/// Most dead claims listed by one checkpoint; the keys of any others stay held by claims that never run.
+const MAX_DEAD_CLAIMS: usize = 2048;
 
 /// Result of applying an object.
 pub type Result<T> = std::result::Result<T, ChainError>;
 
-/// An object that doesn't follow from what was read.
+/// An object that doesn't continue the chain.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 pub enum ChainError {
-    /// The object can't be read.
+    /// The object can't be decoded.
     #[display("{_0}")]
     Record(RecordError),
-    /// The checkpoint keeps one that was not read.
+    /// The checkpoint retains an earlier one that was not read.
     #[display("checkpoint {checkpoint} keeps {kept}, which was not read")]
     Kept {
-        /// The checkpoint.
+        /// Number of the checkpoint.
         checkpoint: u64,
-        /// The one it keeps.
+        /// Number of the earlier checkpoint.
         kept: u64,
     },
 }
@@ -38,17 +38,17 @@
     }
 }
 
-/// A checkpoint that still counts.
+/// A checkpoint that is still valid.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Segment {
-    /// Its number.
+    /// Object number of the checkpoint.
     pub number: u64,
-    /// Claims in it when it was written.
+    /// Number of claims in the checkpoint when it was written.
     pub size: usize,
 }
 
-/// A claim that no longer holds its key.
+/// A claim in a valid checkpoint that no longer holds its key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Debug)]
 struct DeadClaim {
@@ -56,7 +56,7 @@
     id: ClaimId,
 }
 
-/// What the objects read so far say.
+/// State of a chain after the objects applied so far.
 #[derive(Clone, Default)]
 #[derive(Debug)]
 pub struct Chain {
@@ -66,15 +66,15 @@
     pub base: u64,
     /// Number of the last object; zero if there is none.
     pub last: u64,
-    /// Whether the last object ends a tenure.
+    /// Whether the last object is a `Close`.
     pub closed: bool,
-    /// Objects that may be deleted.
+    /// Objects that are no longer needed and may be deleted.
     pub obsolete: Vec<Span>,
-    /// Checkpoints that count, in ascending order.
+    /// Valid checkpoints, in ascending order.
     segments: Vec<Segment>,
-    /// Numbers since `base` that must never be deleted.
+    /// Objects after `base` that must never be deleted, so that a former owner's create fails.
     fences: Vec<u64>,
-    /// Claims in segments that no longer count, and their segments.
+    /// Dead claims, with the number of their checkpoint.
     dead: BTreeMap<DeadClaim, u64>,
 }
 
@@ -89,12 +89,12 @@
         self.last + 1
     }
 
-    /// Objects since the latest checkpoint.
+    /// Number of objects after the latest checkpoint.
     pub const fn tail_length(&self) -> u64 {
         self.last - self.base
     }
 
-    /// Claims that stand in no checkpoint.
+    /// Number of live claims that are in no checkpoint.
     pub fn uncheckpointed(&self) -> usize {
         let kept: usize = self
             .segments
@@ -104,12 +104,16 @@
         self.table.len() - kept
     }
 
-    /// The live claim of a key, if it has not expired.
+    /// The claim that holds a key at wall time `wall`.
     pub fn holder(&self, key: &KeyHash, wall: Millis) -> Option<&Claim> {
         self.table.get(key).filter(|claim| claim.expiry > wall)
     }
 
-    /// Adds the next object.
+    /// Applies the next object of the chain.
+    ///
+    /// # Errors
+    ///
+    /// If the object can't be decoded, or retains a checkpoint that was not applied.
     pub fn apply(&mut self, number: u64, record: &Record) -> Result<()> {
         match &record.body {
             Some(Body::Open(open)) if open.fence => self.fences.push(number),
@@ -122,7 +126,11 @@
         Ok(())
     }
 
-    /// Adds an earlier checkpoint that a later one keeps.
+    /// Applies an earlier checkpoint that a later one retains.
+    ///
+    /// # Errors
+    ///
+    /// If the object is not a checkpoint or can't be decoded.
     pub fn apply_retained(&mut self, number: u64, record: &Record) -> Result<()> {
         let Some(Body::Checkpoint(checkpoint)) = &record.body else {
             return Err(RecordError::Kind.into());
@@ -148,7 +156,7 @@
         Ok(())
     }
 
-    /// Frees a key if the claim named still holds it.
+    /// Frees a key if claim `id` still holds it.
     pub fn void(&mut self, key: &KeyHash, id: ClaimId) {
         if self.table.get(key).is_some_and(|claim| claim.id == id) {
             self.free(key);
@@ -178,7 +186,7 @@
         }
         self.segments
             .retain(|segment| checkpoint.keep.contains(&segment.number));
-        // What isn't kept stands in this checkpoint, or is no longer live.
+        // Claims of other objects are in this checkpoint or no longer live.
         let keep: Vec<_> = self.segments.iter().map(|s| s.number).collect();
         self.table.retain(|claim| keep.contains(&claim.object));
         self.dead.retain(|_, object| keep.contains(object));
@@ -203,57 +211,60 @@
         Ok(())
     }
 
-    /// The next checkpoint, as of wall time `wall`, with about `most` claims.
-    pub fn checkpoint(&mut self, wall: Millis, most: usize) -> Checkpoint {
+    /// Builds the next checkpoint as of wall time `wall`, with about `max_claims` claims.
+    pub fn checkpoint(&mut self, wall: Millis, max_claims: usize) -> Checkpoint {
         self.table.retain(|claim| claim.expiry > wall);
-        let keep = self.kept(most);
+        let keep = self.retained_checkpoints(max_claims);
         let mut writer = EntryWriter::default();
-        let fresh: BTreeMap<_, _> = self
+        let uncheckpointed: BTreeMap<_, _> = self
             .table
             .iter()
             .filter(|(_, claim)| !keep.contains(&claim.object))
             .collect();
-        for (key, claim) in fresh {
+        for (key, claim) in uncheckpointed {
             writer.push(key, claim);
         }
         Checkpoint {
             obsolete: self.next_obsolete(&keep),
-            voids: self.kept_voids(&keep),
+            voids: self.retained_voids(&keep),
             keep,
             claims: writer.entries,
             holders: writer.holders,
         }
     }
 
-    /// Which checkpoints stay: those that don't fit into the next one and are at least half live.
-    fn kept(&self, most: usize) -> Vec<u64> {
-        let mut room = most.saturating_sub(self.uncheckpointed());
+    /// Checkpoints that the next one retains instead of copying their live claims.
+    ///
+    /// A checkpoint is copied if its live claims fit, and either all newer ones
+    /// are copied too or less than half of its claims are live.
+    fn retained_checkpoints(&self, max_claims: usize) -> Vec<u64> {
+        let mut capacity = max_claims.saturating_sub(self.uncheckpointed());
         let mut keep = Vec::new();
-        let mut newest = true;
+        let mut newer_copied = true;
         for segment in self.segments.iter().rev() {
             let live = self.table.count(segment.number);
-            let wanted = newest || live * 2 < segment.size || live == 0;
-            if wanted && live <= room {
-                room -= live;
+            let should_fold = newer_copied || live * 2 < segment.size || live == 0;
+            if should_fold && live <= capacity {
+                capacity -= live;
             } else {
                 keep.push(segment.number);
-                newest = false;
+                newer_copied = false;
             }
         }
         keep.reverse();
         keep
     }
 
-    fn kept_voids(&self, keep: &[u64]) -> Vec<Void> {
+    fn retained_voids(&self, keep: &[u64]) -> Vec<Void> {
         self.dead
             .iter()
             .filter(|(_, object)| keep.contains(object))
-            .take(DEAD_CLAIMS)
+            .take(MAX_DEAD_CLAIMS)
             .map(|(dead, _)| Void::new(&dead.key, dead.id))
             .collect()
     }
 
-    /// What may be deleted once the next object is a checkpoint that keeps `keep`.
+    /// Objects that may be deleted once the next object is a checkpoint that retains `keep`.
     fn next_obsolete(&self, keep: &[u64]) -> Vec<Span> {
         let mut obsolete = self.obsolete.clone();
         let folded = self.segments.iter().map(|segment| segment.number);
--- a/crates/core/src/claims/hash.rs
+++ b/crates/core/src/claims/hash.rs
@@ -10,7 +10,7 @@
 /// Result of reading a hash.
 pub type Result<T> = std::result::Result<T, HashError>;
 
-/// A hash of the wrong form.
+/// A hash of the wrong length, or with characters other than hexadecimal digits.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 #[display("a hash has {HASH_LEN} bytes, or twice as many hexadecimal digits")]
@@ -29,12 +29,12 @@
         pub struct $name(pub [u8; HASH_LEN]);
 
         impl $name {
-            /// Reads the bytes of a message.
+            /// Decodes a hash of 32 bytes.
             pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
                 bytes.try_into().map(Self).map_err(|_| HashError)
             }
 
-            /// The bytes for a message.
+            /// Encodes the hash as 32 bytes.
             pub fn to_bytes(self) -> Bytes {
                 Bytes::copy_from_slice(&self.0)
             }
@@ -59,7 +59,7 @@
     Digest,
 }
 
-/// Adds one field with its length, so that no two lists of fields are alike.
+/// Hashes one field with its length as prefix, so that different lists of fields differ.
 fn update(hasher: &mut blake3::Hasher, field: &[u8]) {
     hasher.update(&(field.len() as u64).to_be_bytes());
     hasher.update(field);
@@ -74,20 +74,20 @@
 }
 
 impl KeyHash {
-    /// Hashes an institution's idempotency key.
+    /// Hashes an idempotency key together with its institution.
     pub fn of(institution: &InstitutionId, key: &[u8]) -> Self {
         Self(digest(&[institution.as_str().as_bytes(), key]))
     }
 }
 
 impl Digest {
-    /// Digests a request.
+    /// Hashes a request's method, path and body.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         Self(digest(&[method.as_bytes(), path.as_bytes(), body]))
     }
 }
 
-/// The shard of a key, out of `shards`.
+/// The shard of a key, from 0 to `shards` - 1.
 pub fn shard_of(key: &KeyHash, shards: u16) -> u16 {
     let [a, b, c, d, ..] = key.0;
     let number = u32::from_be_bytes([a, b, c, d]);
--- a/crates/core/src/claims/shutdown.rs
+++ b/crates/core/src/claims/shutdown.rs
@@ -1,7 +1,7 @@
-//! The last word of a process that stops in order: what ran of its claims and tickets.
+//! Record of the outcomes of a process's claims and tickets, written at a graceful shutdown.
 //!
 //! It is one object, written after the last request has ended. Numbers that
-//! it does not name were never sent to an endpoint.
+//! it does not list were never sent to an endpoint.
 
 use bytes::Bytes;
 use prost::Message;
@@ -11,47 +11,47 @@
 use crate::ids::Incarnation;
 use crate::outcome::Outcome;
 
-/// Start of the names of all these objects.
+/// Common prefix of the names of shutdown records.
 pub const SHUTDOWN_PREFIX: &str = "farewell/";
 
-/// What became of a process's claims and tickets.
+/// Outcomes of a process's claims and tickets.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct ShutdownRecord {
-    /// The process.
+    /// Incarnation of the process.
     #[prost(fixed64, tag = "1")]
     pub writer: u64,
-    /// Its claims.
+    /// Outcomes of its claims.
     #[prost(message, optional, tag = "2")]
     pub claims: Option<NumberOutcomes>,
-    /// Its tickets.
+    /// Outcomes of its tickets.
     #[prost(message, optional, tag = "3")]
     pub tickets: Option<NumberOutcomes>,
-    /// When the object is of no more use, in milliseconds of wall time.
+    /// When the object may be deleted, in milliseconds of wall time.
     #[prost(uint64, tag = "4")]
     pub expiry: u64,
 }
 
-/// What became of numbers handed out in order.
+/// Outcomes of consecutively issued numbers.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct NumberOutcomes {
-    /// The first number never handed out.
+    /// The first number that was never issued.
     #[prost(uint64, tag = "1")]
     pub next: u64,
-    /// Nothing is known of numbers up to this one.
+    /// The outcomes of numbers up to this one are unknown.
     #[prost(uint64, tag = "2")]
     pub forgotten: u64,
-    /// Numbers that ran.
+    /// Numbers whose requests ran.
     #[prost(uint64, repeated, tag = "3")]
     pub ran: Vec<u64>,
-    /// Numbers that may have run.
+    /// Numbers whose requests may have run.
     #[prost(uint64, repeated, tag = "4")]
     pub unknown: Vec<u64>,
 }
 
 impl NumberOutcomes {
-    /// What became of a number.
+    /// The outcome of a number.
     pub fn outcome(&self, number: u64) -> Outcome {
         if self.ran.contains(&number) {
             return Outcome::Ran;
@@ -62,14 +62,14 @@
         Outcome::NotRun
     }
 
-    /// Whether nothing that is known of the numbers is worth keeping.
+    /// Whether no number was issued.
     pub const fn is_empty(&self) -> bool {
         self.next <= 1
     }
 }
 
 impl ShutdownRecord {
-    /// The last word of a process, of use until wall time `expiry`.
+    /// A record of process `writer` that is kept until wall time `expiry`.
     pub const fn new(
         writer: Incarnation,
         claims: Option<NumberOutcomes>,
@@ -84,36 +84,36 @@
         }
     }
 
-    /// Whether there is anything to say.
+    /// Whether the process issued no numbers, so that no record is needed.
     pub fn is_empty(&self) -> bool {
-        let accounts = self.claims.iter().chain(&self.tickets);
-        accounts.into_iter().all(NumberOutcomes::is_empty)
+        let all = self.claims.iter().chain(&self.tickets);
+        all.into_iter().all(NumberOutcomes::is_empty)
     }
 
-    /// The name of a process's object.
+    /// The object name of a process's record.
     pub fn object_key(incarnation: Incarnation) -> String {
         format!("{SHUTDOWN_PREFIX}{incarnation}")
     }
 
-    /// Reads an object.
+    /// Decodes a record.
     pub fn read(bytes: Bytes) -> Result<Self> {
         Self::decode(bytes).map_err(|e| RecordError::Coding(e.to_string()))
     }
 
-    /// The bytes of the object.
+    /// Encodes the record.
     pub fn to_bytes(&self) -> Bytes {
         self.encode_to_vec().into()
     }
 
-    /// What became of a claim.
+    /// The outcome of a claim.
     pub fn claim(&self, number: u64) -> Outcome {
-        let account = self.claims.as_ref();
-        account.map_or(Outcome::Unknown, |account| account.outcome(number))
+        let outcomes = self.claims.as_ref();
+        outcomes.map_or(Outcome::Unknown, |outcomes| outcomes.outcome(number))
     }
 
-    /// What became of a ticket.
+    /// The outcome of a ticket.
     pub fn ticket(&self, number: u64) -> Outcome {
-        let account = self.tickets.as_ref();
-        account.map_or(Outcome::Unknown, |account| account.outcome(number))
+        let outcomes = self.tickets.as_ref();
+        outcomes.map_or(Outcome::Unknown, |outcomes| outcomes.outcome(number))
     }
 }
--- a/crates/core/src/claims/table.rs
+++ b/crates/core/src/claims/table.rs
@@ -7,41 +7,41 @@
 use crate::clock::Millis;
 use crate::ids::{DaemonId, Incarnation, RequestId};
 
-/// One claim among all: a process numbers its own.
+/// Identifies a claim; each process numbers its own claims.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ClaimId {
-    /// The claimant.
+    /// Incarnation of the claimant.
     pub claimant: Incarnation,
-    /// The claimant's number for it.
+    /// The claimant's number for the claim.
     pub number: u64,
 }
 
 impl ClaimId {
-    /// The number of no claim: claimants count from one.
+    /// Identifies no claim: claimants count from one.
     pub const NONE: Self = Self {
         claimant: Incarnation(0),
         number: 0,
     };
 }
 
-/// A claim as recorded.
+/// A recorded claim.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Claim {
-    /// Who holds it.
+    /// The claim's identifier.
     pub id: ClaimId,
     /// The claimant's daemon.
     pub daemon: DaemonId,
-    /// The claimed request.
+    /// Digest of the claimed request.
     pub digest: Digest,
-    /// The caller's request.
+    /// Identifier of the caller's request.
     pub request: RequestId,
-    /// When the key is forgotten, in wall time.
+    /// Wall time at which the key becomes free again.
     pub expiry: Millis,
-    /// Number of the object that says so.
+    /// Number of the object that records the claim.
     pub object: u64,
 }
 
-/// Live claims, and the objects that they stand in.
+/// Live claims, with the number of claims in each object.
 #[derive(Clone, Default, Debug)]
 pub struct Table {
     /// Claims by key.
@@ -56,7 +56,7 @@
         self.claims.get(key)
     }
 
-    /// Number of claims.
+    /// Number of live claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -66,24 +66,24 @@
         self.claims.is_empty()
     }
 
-    /// Number of claims that stand in one object.
+    /// Number of live claims recorded in one object.
     pub fn count(&self, object: u64) -> usize {
         self.counts.get(&object).copied().unwrap_or(0)
     }
 
-    /// Claims and their keys, in no order.
+    /// Keys and their claims, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (&KeyHash, &Claim)> {
         self.claims.iter()
     }
 
-    /// Records a claim; it replaces an earlier one of the same key.
+    /// Inserts a claim, replacing an earlier one of the same key.
     pub fn insert(&mut self, key: KeyHash, claim: Claim) {
         self.remove(&key);
         *self.counts.entry(claim.object).or_default() += 1;
         self.claims.insert(key, claim);
     }
 
-    /// Frees a key.
+    /// Removes the claim of a key.
     pub fn remove(&mut self, key: &KeyHash) -> Option<Claim> {
         let claim = self.claims.remove(key)?;
         if let Some(count) = self.counts.get_mut(&claim.object) {
@@ -95,21 +95,21 @@
         Some(claim)
     }
 
-    /// Keeps the claims for which `keep` holds.
+    /// Removes the claims for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(&Claim) -> bool) {
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .claims
             .iter()
             .filter(|(_, claim)| !keep(claim))
             .map(|(key, _)| *key)
             .collect();
-        for key in gone {
+        for key in removed {
             self.remove(&key);
         }
     }
 }
 
-/// Makes the coded form of claims, naming each claimant once.
+/// Encodes claims, listing each claimant once.
 #[derive(Default)]
 pub(crate) struct EntryWriter {
     pub(crate) entries: Vec<ClaimEntry>,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Reads claims from their coded form.
+/// Decodes claims recorded in object `object`.
 pub(crate) fn read_entries(
     entries: &[ClaimEntry],
     holders: &[Holder],
@@ -167,18 +167,18 @@
     object: u64,
 ) -> Result<(KeyHash, Claim)> {
     let index = entry.holder as usize;
-    let bad = RecordError::Field;
-    let holder = holders.get(index).ok_or(bad("holder"))?;
-    let daemon = daemons.get(index).ok_or(bad("holder"))?;
-    let key = KeyHash::from_bytes(&entry.key).map_err(|_| bad("key"))?;
+    let invalid = RecordError::Field;
+    let holder = holders.get(index).ok_or(invalid("holder"))?;
+    let daemon = daemons.get(index).ok_or(invalid("holder"))?;
+    let key = KeyHash::from_bytes(&entry.key).map_err(|_| invalid("key"))?;
     let claim = Claim {
         id: ClaimId {
             claimant: Incarnation(holder.claimant),
             number: entry.number,
         },
         daemon: daemon.clone(),
-        digest: Digest::from_bytes(&entry.digest).map_err(|_| bad("digest"))?,
-        request: RequestId::from_bytes(&entry.request).ok_or(bad("request"))?,
+        digest: Digest::from_bytes(&entry.digest).map_err(|_| invalid("digest"))?,
+        request: RequestId::from_bytes(&entry.request).ok_or(invalid("request"))?,
         expiry: Millis(entry.expiry),
         object,
     };
@@ -186,7 +186,7 @@
 }
 
 impl Void {
-    /// Gives up a claim.
+    /// Cancels a claim.
     pub fn new(key: &KeyHash, id: ClaimId) -> Self {
         Self {
             key: key.to_bytes(),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The claim that is given up.
+    /// The cancelled claim.
     pub const fn id(&self) -> ClaimId {
         ClaimId {
             claimant: Incarnation(self.claimant),
