--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -77,10 +77,10 @@
             Event::Tick => {}
             Event::Start(keyed) => self.request(keyed, now),
             Event::Answer(answer) => self.answer(&answer, now),
-            Event::AskLost { ask } => self.retry(ask, now),
-            Event::KeyAsked { from, ask } => self.answer_key(from, &ask, now),
+            Event::ClaimRequestLost { number } => self.retry(number, now),
+            Event::KeyQueried { from, query } => self.answer_key(from, &query, now),
             Event::KeyAnswer(answer) => self.key_answer(answer, now),
-            Event::KeyAskLost { ask } => self.read_shutdown_record(ask),
+            Event::QueryLost { number } => self.read_shutdown_record(number),
             Event::ShutdownRecord { claimant, bytes } => {
                 self.apply_shutdown_record(claimant, bytes, now);
             }
@@ -129,7 +129,7 @@
         }
         let number = entry.number;
         match entry.phase {
-            Phase::Asking | Phase::Waiting | Phase::Inquiring { .. } | Phase::Running => {
+            Phase::Claiming | Phase::Waiting | Phase::Querying { .. } | Phase::Running => {
                 self.refuse(request, Reason::KeyRunning);
             }
             Phase::Unknown => self.refuse(request, Reason::KeyUnknown),
@@ -145,37 +145,37 @@
         let until = now + self.limits.claim_timeout;
         self.requests.insert(keyed.request, key);
         self.keys.insert(keyed, until);
-        self.ask(&key, None);
+        self.request_claim(&key, None);
     }
 
     /// Requests a claim of the key under a new number.
-    fn ask(&mut self, key: &KeyHash, given_up: Option<ClaimId>) {
+    fn request_claim(&mut self, key: &KeyHash, abandoned: Option<ClaimId>) {
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
-        let ask = self.next;
+        let number = self.next;
         self.next += 1;
-        if entry.phase == Phase::Asking {
+        if entry.phase == Phase::Claiming {
             self.pending.remove(&entry.number);
         }
         self.timers.remove(&(entry.due, *key));
-        entry.number = ask;
+        entry.number = number;
         entry.due = entry.until;
-        entry.phase = Phase::Asking;
-        entry.given_up = given_up.or(entry.given_up);
+        entry.phase = Phase::Claiming;
+        entry.abandoned = abandoned.or(entry.abandoned);
         self.timers.insert((entry.due, *key));
-        self.pending.insert(ask, *key);
-        let given_up = entry.given_up.unwrap_or(ClaimId::NONE);
-        self.actions.push(Action::Ask(ClaimAsk {
-            ask,
+        self.pending.insert(number, *key);
+        let abandoned = entry.abandoned.unwrap_or(ClaimId::NONE);
+        self.actions.push(Action::RequestClaim(ClaimAsk {
+            ask: number,
             key: key.to_bytes(),
             digest: entry.keyed.digest.to_bytes(),
             claimant: self.me.incarnation.0,
             daemon: self.me.daemon.to_string(),
             lifetime: entry.keyed.lifetime.0,
             request: entry.keyed.request.to_bytes().to_vec().into(),
-            given_claimant: given_up.claimant.0,
-            given_ask: given_up.number,
+            given_claimant: abandoned.claimant.0,
+            given_ask: abandoned.number,
         }));
     }
 
@@ -195,8 +195,8 @@
         }
     }
 
-    fn granted(&mut self, key: &KeyHash, ask: u64) {
-        self.pending.remove(&ask);
+    fn granted(&mut self, key: &KeyHash, number: u64) {
+        self.pending.remove(&number);
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
@@ -212,19 +212,19 @@
             number: answer.held,
         };
         if holder.claimant != self.me.incarnation {
-            return self.inquire(key, holder, &answer.daemon);
+            return self.query_holder(key, holder, &answer.daemon);
         }
         // The key isn't running here, so its claim is dead, unless its outcome was forgotten.
         if self.keys.is_forgotten(holder.number) {
             self.refuse_key(key, Reason::KeyUnknown);
         } else {
-            self.ask(key, Some(holder));
+            self.request_claim(key, Some(holder));
         }
     }
 
     /// Gives up the current number and requests the claim again after a delay.
-    fn retry(&mut self, ask: u64, now: Millis) {
-        let Some(key) = self.pending.remove(&ask) else {
+    fn retry(&mut self, number: u64, now: Millis) {
+        let Some(key) = self.pending.remove(&number) else {
             return;
         };
         let Some(entry) = self.keys.get_mut(&key) else {
@@ -250,11 +250,11 @@
     /// Removes a key that is not dispatched; returns its request.
     fn remove_undispatched(&mut self, key: &KeyHash) -> Option<RequestId> {
         let entry = self.keys.remove(key)?;
-        if entry.phase == Phase::Asking {
+        if entry.phase == Phase::Claiming {
             self.pending.remove(&entry.number);
         }
-        if let Phase::Inquiring { inquiry, .. } = entry.phase {
-            self.pending.remove(&inquiry);
+        if let Phase::Querying { query, .. } = entry.phase {
+            self.pending.remove(&query);
         }
         self.timers.remove(&(entry.due, *key));
         self.requests.remove(&entry.keyed.request);
@@ -277,9 +277,9 @@
             return;
         };
         match entry.phase {
-            Phase::Waiting if now < entry.until => self.ask(key, None),
-            Phase::Inquiring { .. } => self.refuse_key(key, Reason::KeyUnknown),
-            Phase::Asking | Phase::Waiting => self.refuse_key(key, Reason::ClaimUnavailable),
+            Phase::Waiting if now < entry.until => self.request_claim(key, None),
+            Phase::Querying { .. } => self.refuse_key(key, Reason::KeyUnknown),
+            Phase::Claiming | Phase::Waiting => self.refuse_key(key, Reason::ClaimUnavailable),
             Phase::Running | Phase::Ran | Phase::Unknown => {}
         }
     }
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -30,7 +30,7 @@
 pub enum RunOutcome {
     /// It ran; contains the answer if it was received completely.
     Ran(Option<CachedAnswer>),
-    /// It was never sent to an endpoint, or the endpoint's refusal means that it did not run.
+    /// It was not and will not be sent to an endpoint, or the endpoint's refusal means that it did not run.
     NotRun,
     /// It may have run.
     Unknown,
@@ -47,23 +47,23 @@
     /// An owner answered a requested claim.
     Answer(ClaimAnswer),
     /// A claim request could not be sent, or its answer was lost.
-    AskLost {
-        /// Number of the request.
-        ask: u64,
+    ClaimRequestLost {
+        /// Number of the claim.
+        number: u64,
     },
     /// Another daemon queries the outcome of a key.
-    KeyAsked {
+    KeyQueried {
         /// Name of the daemon.
         from: String,
         /// The query.
-        ask: KeyAsk,
+        query: KeyAsk,
     },
     /// Another claimant answered a query.
     KeyAnswer(KeyAnswer),
     /// Another claimant could not be reached.
-    KeyAskLost {
-        /// Number of the request.
-        ask: u64,
+    QueryLost {
+        /// Number of the query.
+        number: u64,
     },
     /// A claimant's shutdown record was read, or could not be.
     ShutdownRecord {
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub enum Action {
     /// Request a claim from the owner of the key's shard.
-    Ask(ClaimAsk),
+    RequestClaim(ClaimAsk),
     /// Run the request, then report [`Event::Ended`].
     Dispatch {
         /// Identifier of the request.
@@ -114,11 +114,11 @@
         answer: CachedAnswer,
     },
     /// Query another claimant about the outcome of a key.
-    AskKey {
+    QueryKey {
         /// Name of its daemon.
         to: String,
         /// The query.
-        ask: KeyAsk,
+        query: KeyAsk,
     },
     /// Read a claimant's shutdown record.
     ReadShutdownRecord {
--- a/crates/core/src/claims/claimant/keys.rs
+++ b/crates/core/src/claims/claimant/keys.rs
@@ -15,12 +15,12 @@
 #[derive(Debug)]
 pub(super) enum Phase {
     /// Waits for the owner's answer to a requested claim.
-    Asking,
+    Claiming,
     /// Waits before the claim is requested again.
     Waiting,
     /// Waits for the outcome from the process that holds the key.
-    Inquiring {
-        inquiry: u64,
+    Querying {
+        query: u64,
         holder: ClaimId,
         /// Whether the holder's shutdown record is being read.
         is_reading: bool,
@@ -42,7 +42,7 @@
     /// Number of the latest claim requested for the key.
     pub(super) number: u64,
     /// An earlier claim of the key whose request never runs.
-    pub(super) given_up: Option<ClaimId>,
+    pub(super) abandoned: Option<ClaimId>,
     /// When the timer of the current phase expires.
     pub(super) due: Millis,
     /// When the claim is given up, or an ended key is forgotten.
@@ -77,7 +77,7 @@
         let entry = KeyEntry {
             phase: Phase::Waiting,
             number: 0,
-            given_up: None,
+            abandoned: None,
             due: until,
             until,
             keyed,
@@ -90,8 +90,8 @@
     }
 
     /// Whether the outcome of a number may have been forgotten.
-    pub(super) const fn is_forgotten(&self, ask: u64) -> bool {
-        ask <= self.forgotten
+    pub(super) const fn is_forgotten(&self, number: u64) -> bool {
+        number <= self.forgotten
     }
 
     /// Records the end of a dispatched key; forgets the earliest to expire beyond `max_keys`.
@@ -124,9 +124,9 @@
     }
 
     fn forget_earliest(&mut self) {
-        if let Some(((_, ask), key)) = self.ended.pop_first() {
+        if let Some(((_, number), key)) = self.ended.pop_first() {
             self.entries.remove(&key);
-            self.forgotten = self.forgotten.max(ask);
+            self.forgotten = self.forgotten.max(number);
         }
     }
 
@@ -135,7 +135,7 @@
         let is_pending = |entry: &KeyEntry| {
             matches!(
                 entry.phase,
-                Phase::Asking | Phase::Waiting | Phase::Inquiring { .. }
+                Phase::Claiming | Phase::Waiting | Phase::Querying { .. }
             )
         };
         let entries = self.entries.iter();
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -17,23 +17,23 @@
 
 impl Claimant {
     /// Queries the process that holds a key.
-    pub(super) fn inquire(&mut self, key: &KeyHash, holder: ClaimId, daemon: &str) {
+    pub(super) fn query_holder(&mut self, key: &KeyHash, holder: ClaimId, daemon: &str) {
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
-        let inquiry = self.next;
+        let query = self.next;
         self.next += 1;
         self.pending.remove(&entry.number);
-        self.pending.insert(inquiry, *key);
-        entry.phase = Phase::Inquiring {
-            inquiry,
+        self.pending.insert(query, *key);
+        entry.phase = Phase::Querying {
+            query,
             holder,
             is_reading: false,
         };
-        self.actions.push(Action::AskKey {
+        self.actions.push(Action::QueryKey {
             to: daemon.into(),
-            ask: KeyAsk {
-                ask: inquiry,
+            query: KeyAsk {
+                ask: query,
                 key: key.to_bytes(),
                 claimant: holder.claimant.0,
                 held: holder.number,
@@ -46,7 +46,7 @@
         if answer.asker != self.me.incarnation.0 {
             return;
         }
-        let Some((key, holder)) = self.inquiry(answer.ask) else {
+        let Some((key, holder)) = self.pending_query(answer.ask) else {
             return;
         };
         match KeyState::from_code(answer.state) {
@@ -69,12 +69,10 @@
     }
 
     /// Key and holder of a query to another claimant.
-    fn inquiry(&self, ask: u64) -> Option<(KeyHash, ClaimId)> {
-        let key = self.pending.get(&ask)?;
+    fn pending_query(&self, number: u64) -> Option<(KeyHash, ClaimId)> {
+        let key = self.pending.get(&number)?;
         match self.keys.get(key)?.phase {
-            Phase::Inquiring {
-                inquiry, holder, ..
-            } if inquiry == ask => Some((*key, holder)),
+            Phase::Querying { query, holder, .. } if query == number => Some((*key, holder)),
             _ => None,
         }
     }
@@ -86,17 +84,17 @@
             return self.refuse_key(key, Reason::ClaimUnavailable);
         }
         self.pending.retain(|_, asked| asked != key);
-        self.ask(key, Some(holder));
+        self.request_claim(key, Some(holder));
     }
 
     /// Reads the shutdown record of a holder that can't report the outcome of the key.
-    pub(super) fn read_shutdown_record(&mut self, ask: u64) {
-        let Some((key, holder)) = self.inquiry(ask) else {
+    pub(super) fn read_shutdown_record(&mut self, number: u64) {
+        let Some((key, holder)) = self.pending_query(number) else {
             return;
         };
         if let Some(entry) = self.keys.get_mut(&key) {
-            entry.phase = Phase::Inquiring {
-                inquiry: ask,
+            entry.phase = Phase::Querying {
+                query: number,
                 holder,
                 is_reading: true,
             };
@@ -114,7 +112,7 @@
         let record = bytes.and_then(|bytes| ShutdownRecord::read(bytes).ok());
         let record = record.filter(|record| record.writer == claimant.0);
         for key in self.keys.undispatched() {
-            let Some(Phase::Inquiring {
+            let Some(Phase::Querying {
                 holder,
                 is_reading: true,
                 ..
@@ -135,19 +133,19 @@
     }
 
     /// Answers a query; reports "not run" only if this process can no longer dispatch the number.
-    pub(super) fn answer_key(&mut self, from: String, ask: &KeyAsk, now: Millis) {
+    pub(super) fn answer_key(&mut self, from: String, query: &KeyAsk, now: Millis) {
         let mut answer = KeyAnswer {
-            ask: ask.ask,
-            asker: ask.asker,
+            ask: query.ask,
+            asker: query.asker,
             ..KeyAnswer::default()
         };
-        let state = self.key_state(ask);
-        let number = KeyHash::from_bytes(&ask.key)
+        let state = self.key_state(query);
+        let number = KeyHash::from_bytes(&query.key)
             .ok()
             .and_then(|key| self.keys.get(&key))
             .map_or(0, |entry| entry.number);
         // The cached answer of a later claim may belong to another request.
-        let is_same = number == ask.held && state == KeyState::Ran;
+        let is_same = number == query.held && state == KeyState::Ran;
         let held = self.answers.get(number, now).filter(|_| is_same);
         answer.state = held.map_or(state, |_| KeyState::Held).code();
         if let Some(held) = held {
@@ -158,18 +156,18 @@
         self.actions.push(Action::AnswerKey { to: from, answer });
     }
 
-    fn key_state(&self, ask: &KeyAsk) -> KeyState {
-        let Ok(key) = KeyHash::from_bytes(&ask.key) else {
+    fn key_state(&self, query: &KeyAsk) -> KeyState {
+        let Ok(key) = KeyHash::from_bytes(&query.key) else {
             return KeyState::Unknown;
         };
-        if ask.claimant != self.me.incarnation.0 || ask.held >= self.next {
+        if query.claimant != self.me.incarnation.0 || query.held >= self.next {
             return KeyState::Unknown;
         }
         match self.keys.get(&key).map(|entry| entry.phase) {
             Some(Phase::Ran) => KeyState::Ran,
             Some(Phase::Unknown) => KeyState::Unknown,
             Some(_) => KeyState::Running,
-            None if self.keys.is_forgotten(ask.held) => KeyState::Unknown,
+            None if self.keys.is_forgotten(query.held) => KeyState::Unknown,
             None => KeyState::NotRun,
         }
     }
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -105,7 +105,7 @@
         match event {
             Event::Tick { wall } => self.wall_offset = wall.since(now),
             Event::Assign(assigned) => self.set_assigned(assigned),
-            Event::Ask(ask) => self.enqueue(ask, now),
+            Event::Request(request) => self.enqueue(request, now),
             Event::Reply { call, reply } => self.reply(call, reply, now),
         }
         self.advance(now);
@@ -128,7 +128,7 @@
             Phase::Owner(ownership) => ownership.wake().min(ownership.next_batch()),
         };
         let written = match &self.phase {
-            Phase::Owner(ownership) => ownership.oldest_ask(),
+            Phase::Owner(ownership) => ownership.oldest_pending(),
             _ => None,
         };
         let queued = self.queue.front().map(|pending| pending.since);
@@ -186,13 +186,13 @@
         }
     }
 
-    fn enqueue(&mut self, ask: ClaimAsk, now: Millis) {
+    fn enqueue(&mut self, request: ClaimAsk, now: Millis) {
         self.stats.requests += 1;
-        let pending = match PendingClaim::read(&ask, now) {
+        let pending = match PendingClaim::read(&request, now) {
             Ok(pending) => pending,
             Err(_) => {
                 let status = ClaimStatus::Unavailable;
-                return self.calls.answer(&ask, status, None, &mut self.stats);
+                return self.calls.answer(&request, status, None, &mut self.stats);
             }
         };
         let is_full = self.queue.len() >= self.limits.max_queue;
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 #[derive(Debug)]
 pub(super) struct PendingClaim {
-    ask: ClaimAsk,
+    message: ClaimAsk,
     pub(super) key: KeyHash,
     daemon: DaemonId,
     digest: Digest,
@@ -56,15 +56,15 @@
 }
 
 impl PendingClaim {
-    pub(super) fn read(ask: &ClaimAsk, now: Millis) -> Result<Self> {
-        let daemon = ask.daemon.parse();
-        let request = RequestId::from_bytes(&ask.request);
+    pub(super) fn read(message: &ClaimAsk, now: Millis) -> Result<Self> {
+        let daemon = message.daemon.parse();
+        let request = RequestId::from_bytes(&message.request);
         Ok(Self {
-            key: KeyHash::from_bytes(&ask.key)?,
+            key: KeyHash::from_bytes(&message.key)?,
             daemon: daemon.map_err(|_| RecordError::Field("daemon"))?,
-            digest: Digest::from_bytes(&ask.digest)?,
+            digest: Digest::from_bytes(&message.digest)?,
             request: request.ok_or(RecordError::Field("request"))?,
-            ask: ask.clone(),
+            message: message.clone(),
             since: now,
             refused: false,
         })
@@ -72,21 +72,21 @@
 
     pub(super) const fn id(&self) -> ClaimId {
         ClaimId {
-            claimant: Incarnation(self.ask.claimant),
-            number: self.ask.ask,
+            claimant: Incarnation(self.message.claimant),
+            number: self.message.ask,
         }
     }
 
     /// An earlier claim of the key that, according to the claimant, never runs.
-    const fn given_up(&self) -> ClaimId {
+    const fn abandoned(&self) -> ClaimId {
         ClaimId {
-            claimant: Incarnation(self.ask.given_claimant),
-            number: self.ask.given_ask,
+            claimant: Incarnation(self.message.given_claimant),
+            number: self.message.given_ask,
         }
     }
 
     pub(super) fn answer(&self, status: ClaimStatus, calls: &mut Calls, stats: &mut LogStats) {
-        calls.answer(&self.ask, status, None, stats);
+        calls.answer(&self.message, status, None, stats);
     }
 
     fn claim(&self, wall: Millis, skew: Millis) -> Claim {
@@ -95,7 +95,7 @@
             daemon: self.daemon.clone(),
             digest: self.digest,
             request: self.request,
-            expiry: wall + Millis(self.ask.lifetime) + skew,
+            expiry: wall + Millis(self.message.lifetime) + skew,
             object: 0,
         }
     }
@@ -110,7 +110,7 @@
         // The request was received twice, and its first claim is about to be cancelled.
         Some(claim) if is_refused && claim.id == pending.id() => ClaimStatus::Unavailable,
         Some(_) if is_refused => ClaimStatus::Granted,
-        Some(claim) if claim.id == pending.given_up() => ClaimStatus::Granted,
+        Some(claim) if claim.id == pending.abandoned() => ClaimStatus::Granted,
         Some(claim) if claim.digest != pending.digest => ClaimStatus::Reused,
         Some(_) => ClaimStatus::Held,
     }
@@ -139,7 +139,7 @@
             let shown = holder.filter(|_| status == ClaimStatus::Held);
             context
                 .calls
-                .answer(&pending.ask, status, shown, context.stats);
+                .answer(&pending.message, status, shown, context.stats);
             continue;
         }
         keys.insert(pending.key);
--- a/crates/core/src/claims/log/calls.rs
+++ b/crates/core/src/claims/log/calls.rs
@@ -100,16 +100,16 @@
 
     pub(super) fn answer(
         &mut self,
-        ask: &ClaimAsk,
+        request: &ClaimAsk,
         status: ClaimStatus,
         holder: Option<&Claim>,
         stats: &mut LogStats,
     ) {
         stats.statuses[status as usize] += 1;
         let mut answer = ClaimAnswer {
-            ask: ask.ask,
+            ask: request.ask,
             verdict: status.code(),
-            asker: ask.claimant,
+            asker: request.claimant,
             ..ClaimAnswer::default()
         };
         if let Some(claim) = holder {
@@ -119,8 +119,8 @@
             answer.held = claim.id.number;
         }
         self.actions.push(Action::Answer {
-            to: ask.daemon.clone(),
-            claimant: Incarnation(ask.claimant),
+            to: request.daemon.clone(),
+            claimant: Incarnation(request.claimant),
             answer,
         });
     }
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -36,7 +36,7 @@
     /// Placement assigns the shard to this daemon, or no longer does.
     Assign(bool),
     /// A claimant requests a claim.
-    Ask(ClaimAsk),
+    Request(ClaimAsk),
     /// The platform replied to a call.
     Reply {
         /// The call that is replied to.
--- a/crates/core/src/claims/log/ownership.rs
+++ b/crates/core/src/claims/log/ownership.rs
@@ -67,7 +67,7 @@
     }
 
     /// When the oldest pending claim in the current write was received.
-    pub(super) fn oldest_ask(&self) -> Option<Millis> {
+    pub(super) fn oldest_pending(&self) -> Option<Millis> {
         let claims = self.write.iter().flat_map(|write| &write.claims);
         claims.filter(|w| !w.refused).map(|w| w.since).min()
     }
--- a/crates/core/tests/claims/bench.rs
+++ b/crates/core/tests/claims/bench.rs
@@ -108,7 +108,7 @@
     }
 
     pub fn ask(&mut self, log: usize, ask: &ClaimAsk) {
-        self.event(log, LogEvent::Ask(ask.clone()));
+        self.event(log, LogEvent::Request(ask.clone()));
     }
 
     /// Lets time pass in small steps.
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -32,7 +32,7 @@
 /// The one question among the actions.
 fn asked(actions: &[ClaimantAction]) -> ClaimAsk {
     match actions {
-        [ClaimantAction::Ask(ask)] => ask.clone(),
+        [ClaimantAction::RequestClaim(ask)] => ask.clone(),
         other => panic!("no question: {other:?}"),
     }
 }
@@ -85,7 +85,7 @@
         asker: 9,
     };
     let from = "d9".into();
-    match &claimant.handle(ClaimantEvent::KeyAsked { from, ask }, now)[..] {
+    match &claimant.handle(ClaimantEvent::KeyQueried { from, query: ask }, now)[..] {
         [ClaimantAction::AnswerKey { answer, .. }] => answer.clone(),
         other => panic!("no answer: {other:?}"),
     }
@@ -105,7 +105,7 @@
         ..answer(&ask, ClaimStatus::Held)
     };
     match &claimant.handle(ClaimantEvent::Answer(held), NOW)[..] {
-        [ClaimantAction::AskKey { to, ask }] if to == "d9" => ask.clone(),
+        [ClaimantAction::QueryKey { to, query: ask }] if to == "d9" => ask.clone(),
         other => panic!("no question: {other:?}"),
     }
 }
@@ -250,7 +250,7 @@
         ..KeyAsk::default()
     };
     let from = "d9".into();
-    let actions = claimant.handle(ClaimantEvent::KeyAsked { from, ask }, NOW);
+    let actions = claimant.handle(ClaimantEvent::KeyQueried { from, query: ask }, NOW);
     let is_unknown =
         matches!(&actions[..], [ClaimantAction::AnswerKey { answer, .. }] if answer.state == 0);
     expect_that!(is_unknown, eq(true));
@@ -293,7 +293,7 @@
     for (record, reason) in cases {
         let mut claimant = claimant();
         let ask = inquire(&mut claimant);
-        let gone = ClaimantEvent::KeyAskLost { ask: ask.ask };
+        let gone = ClaimantEvent::QueryLost { number: ask.ask };
         let reading = claimant.handle(gone, NOW);
         let holder = Incarnation(9);
         let read = ClaimantAction::ReadShutdownRecord { claimant: holder };
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -296,7 +296,7 @@
         let mut claimant_events = Vec::new();
         match input {
             Input::Log(event) => log_events.push(event),
-            Input::Ask(ask) => log_events.push(LogEvent::Ask(ask)),
+            Input::Ask(ask) => log_events.push(LogEvent::Request(ask)),
             Input::Claimant(event) => claimant_events.push(event),
             Input::Placement(owner) => {
                 // A view that a new process takes over must not undo the last one.
@@ -320,7 +320,7 @@
             self.note(daemon, &event);
             for action in self.daemons[daemon].claimant.handle(event.clone(), now) {
                 if let (
-                    ClaimantEvent::KeyAsked { ask, .. },
+                    ClaimantEvent::KeyQueried { query: ask, .. },
                     ClaimantAction::AnswerKey { answer, .. },
                 ) = (&event, &action)
                 {
--- a/crates/core/tests/claims/network.rs
+++ b/crates/core/tests/claims/network.rs
@@ -115,13 +115,13 @@
     pub fn claimant_action(&mut self, daemon: usize, action: ClaimantAction) {
         self.oracle.decided(&action);
         match action {
-            ClaimantAction::Ask(ask) => self.send_ask(daemon, ask),
+            ClaimantAction::RequestClaim(ask) => self.send_ask(daemon, ask),
             ClaimantAction::Dispatch { request } => self.dispatch(daemon, request),
             ClaimantAction::Refuse { reason, .. } => {
                 *self.counts.refusals.entry(reason.code()).or_default() += 1;
             }
             ClaimantAction::Replay { .. } => self.counts.replays += 1,
-            ClaimantAction::AskKey { to, ask } => self.ask_key(daemon, &to, ask),
+            ClaimantAction::QueryKey { to, query: ask } => self.ask_key(daemon, &to, ask),
             ClaimantAction::AnswerKey { to, answer } => {
                 let event = ClaimantEvent::KeyAnswer(answer);
                 self.send(daemon, &to, Input::Claimant(event));
@@ -141,7 +141,7 @@
         let owner = format!("d{}", self.daemons[daemon].owner);
         if self.chance(5) {
             let at = self.soon(200);
-            let event = ClaimantEvent::AskLost { ask: ask.ask };
+            let event = ClaimantEvent::ClaimRequestLost { number: ask.ask };
             self.push_input(daemon, at, Input::Claimant(event));
         }
         self.send(daemon, &owner, Input::Ask(ask));
@@ -150,11 +150,11 @@
     fn ask_key(&mut self, daemon: usize, to: &str, ask: KeyAsk) {
         if self.chance(10) {
             let at = self.soon(200);
-            let event = ClaimantEvent::KeyAskLost { ask: ask.ask };
+            let event = ClaimantEvent::QueryLost { number: ask.ask };
             self.push_input(daemon, at, Input::Claimant(event));
         }
         let from = self.daemons[daemon].member.daemon.to_string();
-        let event = ClaimantEvent::KeyAsked { from, ask };
+        let event = ClaimantEvent::KeyQueried { from, query: ask };
         self.send(daemon, to, Input::Claimant(event));
     }
 
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -48,7 +48,7 @@
             ask: u64::from(u32::MAX) + number,
             ..ask(number, 1)
         };
-        event(&mut log, &mut platform, LogEvent::Ask(ask), now);
+        event(&mut log, &mut platform, LogEvent::Request(ask), now);
         if number % per_batch == 0 {
             now += LogLimits::default().batch_interval;
             let wall = WALL + now;
@@ -116,7 +116,7 @@
         number: 1,
     };
     let now = Millis::from_secs(3000);
-    event(&mut log, &mut single, LogEvent::Ask(first), now);
+    event(&mut log, &mut single, LogEvent::Request(first), now);
     let size = single.objects.last_key_value().unwrap().1.bytes.len();
     println!("object with one claim ({id:?}): {size} B");
     expect_that!(log.state(), eq(LogState::Owner));
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -114,9 +114,9 @@
                 self.asked.remove(&answer.ask);
                 self.claim(ClaimantEvent::Answer(answer));
             }
-            Message::KeyAsk(from, ask) => self.claim(ClaimantEvent::KeyAsked {
+            Message::KeyAsk(from, ask) => self.claim(ClaimantEvent::KeyQueried {
                 from: from.daemon.to_string(),
-                ask,
+                query: ask,
             }),
             Message::KeyAnswer(answer) => {
                 self.asked.remove(&answer.ask);
@@ -143,8 +143,8 @@
     fn lost(&mut self, ask: u64, is_key: bool) {
         self.asked.remove(&ask);
         self.claim(match is_key {
-            true => ClaimantEvent::KeyAskLost { ask },
-            false => ClaimantEvent::AskLost { ask },
+            true => ClaimantEvent::QueryLost { number: ask },
+            false => ClaimantEvent::ClaimRequestLost { number: ask },
         });
     }
 
@@ -163,7 +163,7 @@
             log::warn!(target: "claims", "claims: {} asks for a key of the wrong length", ask.daemon);
             return;
         };
-        self.drive(shard_of(&key, SHARDS), LogEvent::Ask(ask));
+        self.drive(shard_of(&key, SHARDS), LogEvent::Request(ask));
     }
 
     fn drive(&mut self, shard: u16, event: LogEvent) {
@@ -211,8 +211,8 @@
 
     fn act_as_claimant(&mut self, action: ClaimantAction) {
         match action {
-            ClaimantAction::Ask(ask) => self.ask(ask),
-            ClaimantAction::AskKey { to, ask } => self.ask_key(&to, ask),
+            ClaimantAction::RequestClaim(ask) => self.ask(ask),
+            ClaimantAction::QueryKey { to, query: ask } => self.ask_key(&to, ask),
             ClaimantAction::Dispatch { request } => self.decide(request, Decision::Dispatch),
             ClaimantAction::Refuse { request, reason } => {
                 self.decide(request, Decision::Refuse(reason));
