--- a/crates/core/src/claims/log/ownership.rs
+++ b/crates/core/src/claims/log/ownership.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Answers the claims of a write whose number was taken with `NotOwner`.
+    /// Answers `NotOwner` to the claims of a write whose number another writer has taken.
     pub(super) fn refuse_write(&mut self, calls: &mut Calls, stats: &mut LogStats) {
         let claims = self.write.take().map(|write| write.claims);
         for pending in claims.into_iter().flatten().filter(|w| !w.refused) {
--- a/crates/core/src/claims/record.rs
+++ b/crates/core/src/claims/record.rs
@@ -71,7 +71,8 @@
     /// The daemon that takes over.
     #[prost(string, tag = "1")]
     pub daemon: String,
-    /// Whether the former owner may still attempt to write this number; if so, the object is never deleted.
+    /// Whether the former owner may still attempt to write this number; if so, the object is never deleted,
+    /// so that the attempt fails.
     #[prost(bool, tag = "2")]
     pub fence: bool,
 }
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 struct IssuedTicket {
     holder: TicketHolder,
-    /// Machine time at which the ticket is removed from memory.
+    /// Machine time from which the ticket is unusable and removed, unless its request is running.
     expiry: Millis,
     state: State,
     /// Digest of the request that it was used for.
