--- a/crates/core/src/claims/backoff.rs
+++ b/crates/core/src/claims/backoff.rs
@@ -1,4 +1,4 @@
-//! Delays between tries: doubled each time, with seeded jitter.
+//! Exponential backoff with jitter.
 
 use rand::{Rng, RngExt};
 
@@ -7,41 +7,41 @@
 /// Largest number of doublings.
 const MAX_SHIFT: u32 = 16;
 
-/// Grows the delay with each failure in a row.
+/// Delay between attempts that doubles with each consecutive failure.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    /// Delay after the first failure.
-    first: Millis,
+    /// Delay after the first failure, before jitter.
+    min: Millis,
     /// Longest delay.
-    most: Millis,
-    /// Failures in a row.
+    max: Millis,
+    /// Consecutive failures.
     failures: u32,
 }
 
 impl Backoff {
-    /// Starts at `first` and never waits longer than `most`.
-    pub const fn new(first: Millis, most: Millis) -> Self {
+    /// Starts at `min` and never exceeds `max`.
+    pub const fn new(min: Millis, max: Millis) -> Self {
         Self {
-            first,
-            most,
+            min,
+            max,
             failures: 0,
         }
     }
 
-    /// Counts a failure and draws the delay: between half of it and the whole.
-    pub fn fail(&mut self, rng: &mut impl Rng) -> Millis {
+    /// Counts a failure and returns a random delay between half the current delay and all of it.
+    pub fn next_delay(&mut self, rng: &mut impl Rng) -> Millis {
         let shift = self.failures.min(MAX_SHIFT);
         self.failures = self.failures.saturating_add(1);
-        let whole = (self.first.0 << shift).min(self.most.0);
-        Millis(rng.random_range(whole / 2..=whole))
+        let delay = (self.min.0 << shift).min(self.max.0);
+        Millis(rng.random_range(delay / 2..=delay))
     }
 
-    /// Forgets the failures.
-    pub const fn succeed(&mut self) {
+    /// Resets the delay after a success.
+    pub const fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub const fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -1,13 +1,13 @@
-//! Talk between claimants: what became of a key that another process holds.
+//! Queries between claimants about the outcome of a key that another process holds.
 
 use bytes::Bytes;
 
+use crate::claims::answer_cache::CachedAnswer;
 use crate::claims::claimant::Claimant;
-use crate::claims::claimant::event::{Action, End, KeyState};
+use crate::claims::claimant::event::{Action, KeyState, RunOutcome};
 use crate::claims::claimant::keys::Phase;
-use crate::claims::farewell::Farewell;
 use crate::claims::hash::KeyHash;
-use crate::claims::held::HeldAnswer;
+use crate::claims::shutdown::ShutdownRecord;
 use crate::claims::table::ClaimId;
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
@@ -16,27 +16,27 @@
 use crate::wire::{KeyAnswer, KeyAsk};
 
 impl Claimant {
-    /// Asks the process that holds a key.
-    pub(super) fn inquire(&mut self, key: &KeyHash, holder: ClaimId, daemon: &str) {
+    /// Queries the process that holds a key.
+    pub(super) fn query_holder(&mut self, key: &KeyHash, holder: ClaimId, daemon: &str) {
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
-        let inquiry = self.next;
+        let query = self.next;
         self.next += 1;
-        self.asks.remove(&entry.ask);
-        self.asks.insert(inquiry, *key);
-        entry.phase = Phase::Inquiring {
-            inquiry,
+        self.pending.remove(&entry.number);
+        self.pending.insert(query, *key);
+        entry.phase = Phase::Querying {
+            query,
             holder,
             is_reading: false,
         };
-        self.actions.push(Action::AskKey {
+        self.actions.push(Action::QueryKey {
             to: daemon.into(),
-            ask: KeyAsk {
-                ask: inquiry,
+            query: KeyAsk {
+                ask: query,
                 key: key.to_bytes(),
                 claimant: holder.claimant.0,
-                held: holder.ask,
+                held: holder.number,
                 asker: self.me.incarnation.0,
             },
         });
@@ -46,19 +46,19 @@
         if answer.asker != self.me.incarnation.0 {
             return;
         }
-        let Some((key, holder)) = self.inquiry(answer.ask) else {
+        let Some((key, holder)) = self.pending_query(answer.ask) else {
             return;
         };
         match KeyState::from_code(answer.state) {
-            KeyState::Running => self.finish(&key, Reason::KeyRunning),
-            KeyState::Ran => self.finish(&key, Reason::KeyRan),
-            KeyState::NotRun => self.ask_instead(&key, holder, now),
-            KeyState::Unknown => self.read_farewell(answer.ask),
+            KeyState::Running => self.refuse_key(&key, Reason::KeyRunning),
+            KeyState::Ran => self.refuse_key(&key, Reason::KeyRan),
+            KeyState::NotRun => self.claim_again(&key, holder, now),
+            KeyState::Unknown => self.read_shutdown_record(answer.ask),
             KeyState::Held => {
-                let Some(request) = self.drop_pending(&key) else {
+                let Some(request) = self.remove_undispatched(&key) else {
                     return;
                 };
-                let answer = HeldAnswer {
+                let answer = CachedAnswer {
                     status: u16::try_from(answer.status).unwrap_or(0),
                     headers: answer.headers,
                     body: answer.body,
@@ -68,53 +68,51 @@
         }
     }
 
-    /// Key and holder of a question to another claimant.
-    fn inquiry(&self, ask: u64) -> Option<(KeyHash, ClaimId)> {
-        let key = self.asks.get(&ask)?;
+    /// Key and holder of a query to another claimant.
+    fn pending_query(&self, number: u64) -> Option<(KeyHash, ClaimId)> {
+        let key = self.pending.get(&number)?;
         match self.keys.get(key)?.phase {
-            Phase::Inquiring {
-                inquiry, holder, ..
-            } if inquiry == ask => Some((*key, holder)),
+            Phase::Querying { query, holder, .. } if query == number => Some((*key, holder)),
             _ => None,
         }
     }
 
-    /// Asks for a key whose holder never runs it.
-    fn ask_instead(&mut self, key: &KeyHash, holder: ClaimId, now: Millis) {
+    /// Requests a claim of a key again, because its holder never runs it.
+    fn claim_again(&mut self, key: &KeyHash, holder: ClaimId, now: Millis) {
         let is_late = self.keys.get(key).is_none_or(|entry| entry.until <= now);
         if is_late {
-            return self.finish(key, Reason::ClaimUnavailable);
+            return self.refuse_key(key, Reason::ClaimUnavailable);
         }
-        self.asks.retain(|_, asked| asked != key);
-        self.ask(key, Some(holder));
+        self.pending.retain(|_, asked| asked != key);
+        self.request_claim(key, Some(holder));
     }
 
-    /// Looks for the last word of a holder that can't say what became of the key.
-    pub(super) fn read_farewell(&mut self, ask: u64) {
-        let Some((key, holder)) = self.inquiry(ask) else {
+    /// Reads the shutdown record of a holder that can't report the outcome of the key.
+    pub(super) fn read_shutdown_record(&mut self, number: u64) {
+        let Some((key, holder)) = self.pending_query(number) else {
             return;
         };
         if let Some(entry) = self.keys.get_mut(&key) {
-            entry.phase = Phase::Inquiring {
-                inquiry: ask,
+            entry.phase = Phase::Querying {
+                query: number,
                 holder,
                 is_reading: true,
             };
         }
         let claimant = holder.claimant;
-        self.actions.push(Action::ReadFarewell { claimant });
+        self.actions.push(Action::ReadShutdownRecord { claimant });
     }
 
-    pub(super) fn farewell_read(
+    pub(super) fn apply_shutdown_record(
         &mut self,
         claimant: Incarnation,
         bytes: Option<Bytes>,
         now: Millis,
     ) {
-        let farewell = bytes.and_then(|bytes| Farewell::read(bytes).ok());
-        let farewell = farewell.filter(|f| f.writer == claimant.0);
-        for key in self.keys.pending() {
-            let Some(Phase::Inquiring {
+        let record = bytes.and_then(|bytes| ShutdownRecord::read(bytes).ok());
+        let record = record.filter(|record| record.writer == claimant.0);
+        for key in self.keys.undispatched() {
+            let Some(Phase::Querying {
                 holder,
                 is_reading: true,
                 ..
@@ -125,56 +123,56 @@
             if holder.claimant != claimant {
                 continue;
             }
-            let outcome = farewell.as_ref().map(|f| f.claim(holder.ask));
+            let outcome = record.as_ref().map(|record| record.claim(holder.number));
             match outcome.unwrap_or(Outcome::Unknown) {
-                Outcome::Ran => self.finish(&key, Reason::KeyRan),
-                Outcome::NotRun => self.ask_instead(&key, holder, now),
-                Outcome::Unknown => self.finish(&key, Reason::KeyUnknown),
+                Outcome::Ran => self.refuse_key(&key, Reason::KeyRan),
+                Outcome::NotRun => self.claim_again(&key, holder, now),
+                Outcome::Unknown => self.refuse_key(&key, Reason::KeyUnknown),
             }
         }
     }
 
-    /// Answers another daemon; "not run" only of a number that this process can't dispatch any more.
-    pub(super) fn key_asked(&mut self, from: String, ask: &KeyAsk, now: Millis) {
+    /// Answers a query; reports "not run" only if this process can no longer dispatch the number.
+    pub(super) fn answer_key(&mut self, from: String, query: &KeyAsk, now: Millis) {
         let mut answer = KeyAnswer {
-            ask: ask.ask,
-            asker: ask.asker,
+            ask: query.ask,
+            asker: query.asker,
             ..KeyAnswer::default()
         };
-        let state = self.key_state(ask);
-        let number = KeyHash::from_bytes(&ask.key)
+        let state = self.key_state(query);
+        let number = KeyHash::from_bytes(&query.key)
             .ok()
             .and_then(|key| self.keys.get(&key))
-            .map_or(0, |entry| entry.ask);
-        // The answer of a later claim may be to another request.
-        let is_same = number == ask.held && state == KeyState::Ran;
-        let held = self.held.get(number, now).filter(|_| is_same);
+            .map_or(0, |entry| entry.number);
+        // The cached answer of a later claim may belong to another request.
+        let is_same = number == query.held && state == KeyState::Ran;
+        let held = self.answers.get(number, now).filter(|_| is_same);
         answer.state = held.map_or(state, |_| KeyState::Held).code();
         if let Some(held) = held {
             answer.status = u32::from(held.status);
             answer.headers.clone_from(&held.headers);
             answer.body = held.body.clone();
         }
-        self.actions.push(Action::TellKey { to: from, answer });
+        self.actions.push(Action::AnswerKey { to: from, answer });
     }
 
-    fn key_state(&self, ask: &KeyAsk) -> KeyState {
-        let Ok(key) = KeyHash::from_bytes(&ask.key) else {
+    fn key_state(&self, query: &KeyAsk) -> KeyState {
+        let Ok(key) = KeyHash::from_bytes(&query.key) else {
             return KeyState::Unknown;
         };
-        if ask.claimant != self.me.incarnation.0 || ask.held >= self.next {
+        if query.claimant != self.me.incarnation.0 || query.held >= self.next {
             return KeyState::Unknown;
         }
         match self.keys.get(&key).map(|entry| entry.phase) {
             Some(Phase::Ran) => KeyState::Ran,
             Some(Phase::Unknown) => KeyState::Unknown,
             Some(_) => KeyState::Running,
-            None if self.keys.is_forgotten(ask.held) => KeyState::Unknown,
+            None if self.keys.is_forgotten(query.held) => KeyState::Unknown,
             None => KeyState::NotRun,
         }
     }
 
-    pub(super) fn ended(&mut self, request: RequestId, end: End, now: Millis) {
+    pub(super) fn ended(&mut self, request: RequestId, end: RunOutcome, now: Millis) {
         let Some(key) = self.requests.get(&request).copied() else {
             return;
         };
@@ -182,20 +180,20 @@
         let Some(entry) = running else {
             return;
         };
-        let ask = entry.ask;
-        let until = now + entry.start.lifetime;
-        let most = self.limits.keys;
+        let number = entry.number;
+        let until = now + entry.keyed.lifetime;
+        let max_keys = self.limits.max_keys;
         self.requests.remove(&request);
         match end {
-            End::NotRun => {
+            RunOutcome::NotRun => {
                 self.keys.remove(&key);
             }
-            End::Unknown => self.keys.end(&key, Phase::Unknown, until, most),
-            End::Ran(answer) => {
+            RunOutcome::Unknown => self.keys.record_end(&key, Phase::Unknown, until, max_keys),
+            RunOutcome::Ran(answer) => {
                 if let Some(answer) = answer {
-                    self.held.put(ask, answer, now);
+                    self.answers.put(number, answer, now);
                 }
-                self.keys.end(&key, Phase::Ran, until, most);
+                self.keys.record_end(&key, Phase::Ran, until, max_keys);
             }
         }
     }
--- a/crates/core/src/claims/tickets.rs
+++ b/crates/core/src/claims/tickets.rs
@@ -1,10 +1,10 @@
-//! Tickets: the right to run a request once, kept in one process's memory.
+//! Tickets: the right to run a request once, kept in the memory of one process.
 //!
-//! While the platform is down no claim can be recorded. A caller may then ask
-//! for a ticket first and send its request with it. Only the process that
-//! issued a ticket may run it, so no write is needed; whoever else is shown
-//! it can say at most that its outcome is unknown. A request is identified
-//! by its ticket or by its idempotency key, never by both.
+//! While the platform is down, no claim can be recorded. A caller can then
+//! obtain a ticket first and send its request with it. Only the process that
+//! issued a ticket may run it, so no write is needed; to any other process, its
+//! outcome is unknown. A request is identified by its ticket or by its
+//! idempotency key, never by both.
 
 mod event;
 
@@ -12,11 +12,11 @@
 
 use derive_more::Debug;
 
-use crate::claims::claimant::End;
-use crate::claims::farewell::Account;
+use crate::claims::answer_cache::AnswerCache;
+use crate::claims::claimant::RunOutcome;
 use crate::claims::hash::Digest;
-use crate::claims::held::HeldAnswers;
-use crate::claims::log::Member;
+use crate::claims::log::ProcessId;
+use crate::claims::shutdown::NumberOutcomes;
 use crate::clock::Millis;
 use crate::ids::RequestId;
 use crate::reason::Reason;
@@ -25,31 +25,31 @@
     Redemption, Ticket, TicketAction, TicketError, TicketEvent, TicketHolder, TicketLimits,
 };
 
-/// Tickets of one process.
+/// State machine for the tickets of one process.
 #[derive(Debug)]
 pub struct Tickets {
-    me: Member,
+    me: ProcessId,
     limits: TicketLimits,
-    /// Tickets that can be used or were used, by number.
-    issued: BTreeMap<u64, Issued>,
-    /// Unused tickets by holder.
+    /// Unused and used tickets in memory, by number.
+    issued: BTreeMap<u64, IssuedTicket>,
+    /// Number of unused tickets by holder.
     unused: HashMap<TicketHolder, u32>,
-    /// Numbers by the request that runs.
+    /// Ticket numbers by running request.
     requests: HashMap<RequestId, u64>,
-    held: HeldAnswers,
+    answers: AnswerCache,
     next: u64,
-    /// Of numbers up to this one, some that ran are forgotten.
-    forgot: u64,
+    /// Largest number of a forgotten used ticket; outcomes up to it are no longer known.
+    forgotten: u64,
     stopped: bool,
 }
 
 #[derive(Debug)]
-struct Issued {
+struct IssuedTicket {
     holder: TicketHolder,
-    /// Machine time at which it can no longer be used.
+    /// Machine time from which the ticket is unusable and removed, unless its request is running.
     expiry: Millis,
     state: State,
-    /// The request that it was used for.
+    /// Digest of the request that it was used for.
     digest: Option<Digest>,
 }
 
@@ -63,31 +63,31 @@
 }
 
 impl Tickets {
-    /// A machine for one process.
-    pub fn new(me: Member) -> Self {
+    /// Ticket state of process `me`, without tickets.
+    pub fn new(me: ProcessId) -> Self {
         Self {
             me,
             limits: TicketLimits::default(),
             issued: BTreeMap::new(),
             unused: HashMap::new(),
             requests: HashMap::new(),
-            held: HeldAnswers::new(TicketLimits::default().held),
+            answers: AnswerCache::new(TicketLimits::default().answers),
             next: 1,
-            forgot: 0,
+            forgotten: 0,
             stopped: false,
         }
     }
 
-    /// Sets limits other than the usual ones.
+    /// Replaces the default limits.
     pub fn with_limits(mut self, limits: TicketLimits) -> Self {
-        self.held = HeldAnswers::new(limits.held.clone());
+        self.answers = AnswerCache::new(limits.answers.clone());
         self.limits = limits;
         self
     }
 
-    /// Takes an event at machine time `now` and returns what has to be done, if anything.
+    /// Handles an event at machine time `now` and returns the action to carry out, if any.
     pub fn handle(&mut self, event: TicketEvent, now: Millis) -> Option<TicketAction> {
-        self.held.expire(now);
+        self.answers.expire(now);
         self.expire(now);
         match event {
             TicketEvent::Tick => None,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Tickets in memory.
+    /// Number of tickets in memory.
     pub fn len(&self) -> usize {
         self.issued.len()
     }
@@ -118,16 +118,16 @@
         self.issued.is_empty()
     }
 
-    /// What became of its tickets, for the object that it leaves; only after [`TicketEvent::Stop`].
-    pub fn account(&self) -> Option<Account> {
+    /// Outcomes of the tickets, for the shutdown record; `None` before [`TicketEvent::Stop`].
+    pub fn outcomes(&self) -> Option<NumberOutcomes> {
         let numbers = |states: &[State]| {
             let issued = self.issued.iter();
             let wanted = issued.filter(|(_, ticket)| states.contains(&ticket.state));
             wanted.map(|(number, _)| *number).collect()
         };
-        self.stopped.then(|| Account {
+        self.stopped.then(|| NumberOutcomes {
             next: self.next,
-            forgot: self.forgot,
+            forgotten: self.forgotten,
             ran: numbers(&[State::Ran]),
             unknown: numbers(&[State::Unknown, State::Running]),
         })
@@ -146,7 +146,7 @@
         *self.unused.entry(holder.clone()).or_default() += 1;
         let number = self.next;
         self.next += 1;
-        let issued = Issued {
+        let issued = IssuedTicket {
             holder,
             expiry: now + self.limits.lifetime,
             state: State::Unused,
@@ -162,22 +162,22 @@
         TicketAction::Issued { request, ticket }
     }
 
-    /// Why no ticket can be issued.
+    /// The reason why no ticket can be issued to `holder`, if any.
     fn refusal(&self, holder: &TicketHolder) -> Option<Reason> {
         let unused = self.unused.get(holder).copied().unwrap_or(0);
         match () {
             () if self.stopped => Some(Reason::Stopping),
-            () if self.issued.len() >= self.limits.total => Some(Reason::QueueFull),
-            () if unused >= self.limits.each => Some(Reason::AccountConcurrency),
+            () if self.issued.len() >= self.limits.max_tickets => Some(Reason::QueueFull),
+            () if unused >= self.limits.max_unused => Some(Reason::AccountConcurrency),
             () => None,
         }
     }
 
     fn redeem(&mut self, redemption: &Redemption, now: Millis) -> TicketAction {
         let request = redemption.request;
-        match self.judge(redemption) {
+        match self.check(redemption) {
             Ok(()) => self.dispatch(redemption),
-            Err(Reason::KeyRan) => match self.held.get(redemption.ticket.number, now).cloned() {
+            Err(Reason::KeyRan) => match self.answers.get(redemption.ticket.number, now).cloned() {
                 Some(answer) => TicketAction::Replay { request, answer },
                 None => TicketAction::Refuse {
                     request,
@@ -188,15 +188,19 @@
         }
     }
 
-    /// Whether a ticket may be used now, or why not.
-    fn judge(&self, redemption: &Redemption) -> Result<(), Reason> {
+    /// Checks whether a ticket may be used now.
+    ///
+    /// # Errors
+    ///
+    /// The reason why it may not.
+    fn check(&self, redemption: &Redemption) -> Result<(), Reason> {
         let ticket = &redemption.ticket;
         if ticket.incarnation != self.me.incarnation || ticket.number >= self.next {
             return Err(Reason::TicketUnknown);
         }
         let Some(issued) = self.issued.get(&ticket.number) else {
-            // Not forgotten and not in memory: it expired before anything ran with it.
-            let is_unused = ticket.number > self.forgot;
+            // Neither in memory nor forgotten: it expired unused.
+            let is_unused = ticket.number > self.forgotten;
             let reason = if is_unused {
                 Reason::TicketExpired
             } else {
@@ -228,50 +232,51 @@
         if let Some(issued) = self.issued.get_mut(&number) {
             issued.state = State::Running;
             issued.digest = Some(redemption.digest);
-            release(&mut self.unused, &issued.holder);
+            decrement_unused(&mut self.unused, &issued.holder);
         }
         self.requests.insert(request, number);
         TicketAction::Dispatch { request }
     }
 
-    fn ended(&mut self, request: RequestId, end: End, now: Millis) {
+    fn ended(&mut self, request: RequestId, end: RunOutcome, now: Millis) {
         let Some(number) = self.requests.remove(&request) else {
             return;
         };
         let Some(issued) = self.issued.get_mut(&number) else {
             return;
         };
-        issued.expiry = issued.expiry.max(now + self.limits.memory);
+        issued.expiry = issued.expiry.max(now + self.limits.retention);
         issued.state = match end {
-            End::Unknown => State::Unknown,
-            End::NotRun => {
+            RunOutcome::Unknown => State::Unknown,
+            RunOutcome::NotRun => {
                 *self.unused.entry(issued.holder.clone()).or_default() += 1;
                 State::Unused
             }
-            End::Ran(answer) => {
+            RunOutcome::Ran(answer) => {
                 if let Some(answer) = answer {
-                    self.held.put(number, answer, now);
+                    self.answers.put(number, answer, now);
                 }
                 State::Ran
             }
         };
     }
 
-    /// Forgets tickets whose time is over, unless they run.
+    /// Removes expired tickets whose requests aren't running.
     fn expire(&mut self, now: Millis) {
-        let is_over = |issued: &Issued| issued.expiry <= now && issued.state != State::Running;
+        let is_over =
+            |issued: &IssuedTicket| issued.expiry <= now && issued.state != State::Running;
         for (number, issued) in self.issued.extract_if(.., |_, issued| is_over(issued)) {
             if issued.state == State::Unused {
-                release(&mut self.unused, &issued.holder);
+                decrement_unused(&mut self.unused, &issued.holder);
             } else {
-                self.forgot = self.forgot.max(number);
+                self.forgotten = self.forgotten.max(number);
             }
         }
     }
 }
 
-/// Counts one unused ticket less.
-fn release(unused: &mut HashMap<TicketHolder, u32>, holder: &TicketHolder) {
+/// Decrements the number of a holder's unused tickets.
+fn decrement_unused(unused: &mut HashMap<TicketHolder, u32>, holder: &TicketHolder) {
     if let Some(count) = unused.get_mut(holder) {
         *count -= 1;
         if *count == 0 {
--- a/crates/core/tests/claims/checks.rs
+++ b/crates/core/tests/claims/checks.rs
@@ -1,6 +1,6 @@
 //! Checks of a fleet during and after a schedule.
 
-use medlarrill_core::claims::{LogEvent, Member, ShardLog};
+use medlarrill_core::claims::{LogEvent, ProcessId, ShardLog};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
 
@@ -13,13 +13,13 @@
     pub fn audit(&mut self) {
         self.counts.audits += 1;
         let mut platform = self.platform.clone();
-        let member = Member {
+        let member = ProcessId {
             daemon: "audit".parse().expect("a name"),
             incarnation: Incarnation(1),
         };
         let wall = WALL + self.now;
         let mut log = ShardLog::new(SHARD, member, 9, wall, self.now);
-        let mut events = vec![LogEvent::Own(true)];
+        let mut events = vec![LogEvent::Assign(true)];
         while let Some(event) = events.pop() {
             for action in log.handle(event, self.now) {
                 let call = call_of(&action).expect("a call");
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, Farewell, HeldAnswer,
-    HeldLimits, KeyHash, KeyState, Start, Verdict,
+    CacheLimits, CachedAnswer, ClaimStatus, Claimant, ClaimantAction, ClaimantEvent,
+    ClaimantLimits, Digest, KeyHash, KeyState, KeyedRequest, RunOutcome, ShutdownRecord,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -21,7 +21,7 @@
 }
 
 fn start(request: u128, key_number: u64) -> ClaimantEvent {
-    ClaimantEvent::Start(Start {
+    ClaimantEvent::Start(KeyedRequest {
         request: RequestId(request),
         key: key(key_number),
         digest: Digest::of("POST", "/book", b"one"),
@@ -32,12 +32,12 @@
 /// The one question among the actions.
 fn asked(actions: &[ClaimantAction]) -> ClaimAsk {
     match actions {
-        [ClaimantAction::Ask(ask)] => ask.clone(),
+        [ClaimantAction::RequestClaim(ask)] => ask.clone(),
         other => panic!("no question: {other:?}"),
     }
 }
 
-fn answer(ask: &ClaimAsk, verdict: Verdict) -> ClaimAnswer {
+fn answer(ask: &ClaimAsk, verdict: ClaimStatus) -> ClaimAnswer {
     ClaimAnswer {
         ask: ask.ask,
         verdict: verdict.code(),
@@ -49,21 +49,21 @@
 /// Starts a request and has its claim granted.
 fn run(claimant: &mut Claimant, request: u128, key_number: u64, now: Millis) -> ClaimAsk {
     let ask = asked(&claimant.handle(start(request, key_number), now));
-    let granted = ClaimantEvent::Answer(answer(&ask, Verdict::Granted));
+    let granted = ClaimantEvent::Answer(answer(&ask, ClaimStatus::Granted));
     let actions = claimant.handle(granted, now);
     let request = RequestId(request);
     assert_that!(actions, eq(&vec![ClaimantAction::Dispatch { request }]));
     ask
 }
 
-fn end(claimant: &mut Claimant, request: u128, end: End) {
+fn end(claimant: &mut Claimant, request: u128, end: RunOutcome) {
     let request = RequestId(request);
     let event = ClaimantEvent::Ended { request, end };
     assert_that!(claimant.handle(event, NOW), is_empty());
 }
 
-fn ran(body: &'static str) -> End {
-    End::Ran(Some(HeldAnswer {
+fn ran(body: &'static str) -> RunOutcome {
+    RunOutcome::Ran(Some(CachedAnswer {
         status: 200,
         headers: Vec::new(),
         body: Bytes::from_static(body.as_bytes()),
@@ -85,8 +85,8 @@
         asker: 9,
     };
     let from = "d9".into();
-    match &claimant.handle(ClaimantEvent::KeyAsked { from, ask }, now)[..] {
-        [ClaimantAction::TellKey { answer, .. }] => answer.clone(),
+    match &claimant.handle(ClaimantEvent::KeyQueried { from, query: ask }, now)[..] {
+        [ClaimantAction::AnswerKey { answer, .. }] => answer.clone(),
         other => panic!("no answer: {other:?}"),
     }
 }
@@ -102,10 +102,10 @@
         claimant: 9,
         daemon: "d9".into(),
         held: 5,
-        ..answer(&ask, Verdict::Held)
+        ..answer(&ask, ClaimStatus::Held)
     };
     match &claimant.handle(ClaimantEvent::Answer(held), NOW)[..] {
-        [ClaimantAction::AskKey { to, ask }] if to == "d9" => ask.clone(),
+        [ClaimantAction::QueryKey { to, query: ask }] if to == "d9" => ask.clone(),
         other => panic!("no question: {other:?}"),
     }
 }
@@ -125,8 +125,8 @@
 fn grant_after_the_deadline_is_ignored() {
     let mut claimant = claimant();
     let ask = asked(&claimant.handle(start(1, 7), NOW));
-    let late = NOW + ClaimantLimits::default().claim_wait;
-    let granted = ClaimantEvent::Answer(answer(&ask, Verdict::Granted));
+    let late = NOW + ClaimantLimits::default().claim_timeout;
+    let granted = ClaimantEvent::Answer(answer(&ask, ClaimStatus::Granted));
     let actions = claimant.handle(granted, late);
     expect_that!(actions, eq(&refused(1, Reason::ClaimUnavailable)));
     expect_that!(
@@ -139,7 +139,7 @@
 fn grant_to_an_earlier_process_of_the_daemon_is_ignored() {
     let mut claimant = claimant();
     let ask = asked(&claimant.handle(start(1, 7), NOW));
-    let mut granted = answer(&ask, Verdict::Granted);
+    let mut granted = answer(&ask, ClaimStatus::Granted);
     granted.asker = 12;
     expect_that!(
         claimant.handle(ClaimantEvent::Answer(granted), NOW),
@@ -163,7 +163,7 @@
         matches!(&replayed[..], [ClaimantAction::Replay { answer, .. }] if answer.body == "done");
     expect_that!(is_replay, eq(true));
     expect_that!(told(&mut claimant, key(7), ask.ask, NOW).body, eq("done"));
-    let late = NOW + HeldLimits::default().time;
+    let late = NOW + CacheLimits::default().retention;
     let state = told(&mut claimant, key(7), ask.ask, late).state;
     expect_that!(KeyState::from_code(state), eq(KeyState::Ran));
     let again = claimant.handle(start(4, 7), late);
@@ -175,7 +175,7 @@
     let mut claimant = claimant();
     // The first claim of the key was given up; the second, which may be of another request, ran.
     let first = asked(&claimant.handle(start(1, 7), NOW));
-    let refusal = ClaimantEvent::Answer(answer(&first, Verdict::Unavailable));
+    let refusal = ClaimantEvent::Answer(answer(&first, ClaimStatus::Unavailable));
     claimant.handle(refusal, NOW);
     let second = run(&mut claimant, 2, 7, NOW);
     end(&mut claimant, 2, ran("done"));
@@ -193,7 +193,7 @@
 fn request_that_was_not_sent_may_run_later() {
     let mut claimant = claimant();
     let first = run(&mut claimant, 1, 7, NOW);
-    end(&mut claimant, 1, End::NotRun);
+    end(&mut claimant, 1, RunOutcome::NotRun);
     expect_that!(
         told_state(&mut claimant, key(7), first.ask),
         eq(KeyState::NotRun)
@@ -202,7 +202,7 @@
     let held = ClaimAnswer {
         claimant: first.claimant,
         held: first.ask,
-        ..answer(&second, Verdict::Held)
+        ..answer(&second, ClaimStatus::Held)
     };
     let third = asked(&claimant.handle(ClaimantEvent::Answer(held), NOW));
     expect_that!(third.given_ask, eq(first.ask));
@@ -213,17 +213,17 @@
 #[gtest]
 fn forgotten_runs_are_not_said_to_be_not_run() {
     let limits = ClaimantLimits {
-        keys: 1,
+        max_keys: 1,
         ..ClaimantLimits::default()
     };
     let mut claimant = claimant().with_limits(limits);
     let first = run(&mut claimant, 1, 1, NOW);
-    end(&mut claimant, 1, End::Ran(None));
+    end(&mut claimant, 1, RunOutcome::Ran(None));
     let second = run(&mut claimant, 2, 2, NOW);
-    end(&mut claimant, 2, End::Ran(None));
+    end(&mut claimant, 2, RunOutcome::Ran(None));
     let third = asked(&claimant.handle(start(3, 3), NOW));
     claimant.handle(
-        ClaimantEvent::Answer(answer(&third, Verdict::Unavailable)),
+        ClaimantEvent::Answer(answer(&third, ClaimStatus::Unavailable)),
         NOW,
     );
     expect_that!(
@@ -250,9 +250,9 @@
         ..KeyAsk::default()
     };
     let from = "d9".into();
-    let actions = claimant.handle(ClaimantEvent::KeyAsked { from, ask }, NOW);
+    let actions = claimant.handle(ClaimantEvent::KeyQueried { from, query: ask }, NOW);
     let is_unknown =
-        matches!(&actions[..], [ClaimantAction::TellKey { answer, .. }] if answer.state == 0);
+        matches!(&actions[..], [ClaimantAction::AnswerKey { answer, .. }] if answer.state == 0);
     expect_that!(is_unknown, eq(true));
 }
 
@@ -290,23 +290,23 @@
         (Some((6, vec![4])), None),
         (None, Some(Reason::KeyUnknown)),
     ];
-    for (farewell, reason) in cases {
+    for (record, reason) in cases {
         let mut claimant = claimant();
         let ask = inquire(&mut claimant);
-        let gone = ClaimantEvent::KeyAskLost { ask: ask.ask };
+        let gone = ClaimantEvent::QueryLost { number: ask.ask };
         let reading = claimant.handle(gone, NOW);
         let holder = Incarnation(9);
-        let read = ClaimantAction::ReadFarewell { claimant: holder };
+        let read = ClaimantAction::ReadShutdownRecord { claimant: holder };
         expect_that!(reading, eq(&vec![read]));
-        let bytes = farewell.map(|(next, ran)| {
-            let claims = medlarrill_core::claims::Account {
+        let bytes = record.map(|(next, ran)| {
+            let claims = medlarrill_core::claims::NumberOutcomes {
                 next,
                 ran,
                 ..Default::default()
             };
-            Farewell::new(holder, Some(claims), None, Millis::MAX).to_bytes()
+            ShutdownRecord::new(holder, Some(claims), None, Millis::MAX).to_bytes()
         });
-        let event = ClaimantEvent::Farewell {
+        let event = ClaimantEvent::ShutdownRecord {
             claimant: holder,
             bytes,
         };
@@ -323,7 +323,7 @@
     let mut claimant = claimant();
     let running = run(&mut claimant, 1, 1, NOW);
     asked(&claimant.handle(start(2, 2), NOW));
-    expect_that!(claimant.account(), none());
+    expect_that!(claimant.outcomes(), none());
     let actions = claimant.handle(ClaimantEvent::Stop, NOW);
     expect_that!(actions, eq(&refused(2, Reason::Stopping)));
     expect_that!(
@@ -331,17 +331,17 @@
         eq(&refused(3, Reason::Stopping))
     );
     end(&mut claimant, 1, ran("done"));
-    let account = claimant.account().unwrap();
-    expect_that!(account.ran, eq(&vec![running.ask]));
+    let outcomes = claimant.outcomes().unwrap();
+    expect_that!(outcomes.ran, eq(&vec![running.ask]));
 }
 
 #[gtest]
 fn held_answers_stay_within_their_bytes() {
     let limits = ClaimantLimits {
-        held: HeldLimits {
-            total: ByteSize(3000),
-            each: ByteSize(1500),
-            time: Millis::from_secs(60),
+        answers: CacheLimits {
+            max_total: ByteSize(3000),
+            max_answer: ByteSize(1500),
+            retention: Millis::from_secs(60),
         },
         ..ClaimantLimits::default()
     };
@@ -349,13 +349,13 @@
     for number in 1..=10 {
         run(&mut claimant, number, number as u64, NOW);
         let size = if number == 10 { 2000 } else { 1000 };
-        let answer = HeldAnswer {
+        let answer = CachedAnswer {
             status: 200,
             headers: Vec::new(),
             body: vec![0; size].into(),
         };
-        end(&mut claimant, number, End::Ran(Some(answer)));
-        expect_that!(claimant.held_bytes(), le(3000));
+        end(&mut claimant, number, RunOutcome::Ran(Some(answer)));
+        expect_that!(claimant.cached_bytes(), le(3000));
     }
     let large = claimant.handle(start(20, 10), NOW);
     expect_that!(large, eq(&refused(20, Reason::KeyRan)));
--- a/crates/core/tests/claims/fleet.rs
+++ b/crates/core/tests/claims/fleet.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, End, Farewell, LogEvent,
-    LogLimits, Member, ShardLog, Standing, Start,
+    Claimant, ClaimantAction, ClaimantEvent, ClaimantLimits, Digest, KeyedRequest, LogEvent,
+    LogLimits, LogState, ProcessId, RunOutcome, ShardLog, ShutdownRecord,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
@@ -23,7 +23,7 @@
 pub const SHARD: u16 = 3;
 
 pub struct Daemon {
-    pub member: Member,
+    pub member: ProcessId,
     pub log: ShardLog,
     pub claimant: Claimant,
     /// Which daemon it takes for the owner.
@@ -47,7 +47,7 @@
     pub now: Millis,
     pub quiet: bool,
     pub platform: Platform,
-    pub farewells: BTreeMap<Incarnation, Bytes>,
+    pub shutdown_records: BTreeMap<Incarnation, Bytes>,
     pub daemons: Vec<Daemon>,
     items: BTreeMap<(Millis, u64), Item>,
     pub cuts: Vec<(usize, usize)>,
@@ -64,12 +64,12 @@
     pub fn new(seed: u64, daemons: usize, odds: Odds) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let limits = LogLimits {
-            pace: Millis(20),
+            batch_interval: Millis(20),
             checkpoint_objects: rng.random_range(2..12),
             segment_claims: rng.random_range(1..6),
-            delete_pace: Millis(rng.random_range(1..60)),
-            takeover_first: Millis(rng.random_range(1..500)),
-            takeover_most: Millis::from_secs(5),
+            delete_interval: Millis(rng.random_range(1..60)),
+            takeover_min: Millis(rng.random_range(1..500)),
+            takeover_max: Millis::from_secs(5),
             ..LogLimits::default()
         };
         let mut fleet = Self {
@@ -78,7 +78,7 @@
             now: Millis::ZERO,
             quiet: false,
             platform: Platform::default(),
-            farewells: BTreeMap::new(),
+            shutdown_records: BTreeMap::new(),
             daemons: Vec::new(),
             items: BTreeMap::new(),
             cuts: Vec::new(),
@@ -98,7 +98,7 @@
 
     fn process(&mut self, number: usize) -> Daemon {
         self.next += 1;
-        let member = Member {
+        let member = ProcessId {
             daemon: format!("d{number}").parse().expect("a name"),
             incarnation: Incarnation(1000 * self.next + number as u64),
         };
@@ -106,8 +106,8 @@
         let wall = WALL + self.now + skew;
         let log = ShardLog::new(SHARD, member.clone(), self.rng.random(), wall, self.now);
         let limits = ClaimantLimits {
-            keys: self.rng.random_range(2..20),
-            claim_wait: Millis(self.rng.random_range(500..4000)),
+            max_keys: self.rng.random_range(2..20),
+            claim_timeout: Millis(self.rng.random_range(500..4000)),
             ..ClaimantLimits::default()
         };
         Daemon {
@@ -195,7 +195,7 @@
             Step::Stop(daemon) => {
                 self.count("stop");
                 self.daemons[daemon].stopping = true;
-                self.push_input(daemon, self.now, Input::Log(LogEvent::Own(false)));
+                self.push_input(daemon, self.now, Input::Log(LogEvent::Assign(false)));
                 let stop = Input::Claimant(ClaimantEvent::Stop);
                 self.push_input(daemon, self.now, stop);
             }
@@ -217,7 +217,7 @@
         self.counts.requests += 1;
         self.next += 1;
         let request = RequestId(u128::from(self.next));
-        let start = Start {
+        let start = KeyedRequest {
             request,
             key: key(number),
             digest: Digest::of("POST", "/book", &[body]),
@@ -296,14 +296,14 @@
         let mut claimant_events = Vec::new();
         match input {
             Input::Log(event) => log_events.push(event),
-            Input::Ask(ask) => log_events.push(LogEvent::Ask(ask)),
+            Input::Ask(ask) => log_events.push(LogEvent::Request(ask)),
             Input::Claimant(event) => claimant_events.push(event),
             Input::Placement(owner) => {
                 // A view that a new process takes over must not undo the last one.
                 let owner = if self.quiet { self.owner } else { owner };
                 target.owner = owner;
                 let wanted = owner == daemon && !target.stopping;
-                log_events.push(LogEvent::Own(wanted));
+                log_events.push(LogEvent::Assign(wanted));
             }
             Input::Wake => {
                 target.wake = Millis::MAX;
@@ -320,8 +320,8 @@
             self.note(daemon, &event);
             for action in self.daemons[daemon].claimant.handle(event.clone(), now) {
                 if let (
-                    ClaimantEvent::KeyAsked { ask, .. },
-                    ClaimantAction::TellKey { answer, .. },
+                    ClaimantEvent::KeyQueried { query: ask, .. },
+                    ClaimantAction::AnswerKey { answer, .. },
                 ) = (&event, &action)
                 {
                     self.oracle.key_told(ask, answer);
@@ -340,9 +340,9 @@
         };
         self.daemons[daemon].running -= 1;
         let outcome = match end {
-            End::Ran(_) => Outcome::Ran,
-            End::Unknown => Outcome::Unknown,
-            End::NotRun => Outcome::NotRun,
+            RunOutcome::Ran(_) => Outcome::Ran,
+            RunOutcome::Unknown => Outcome::Unknown,
+            RunOutcome::NotRun => Outcome::NotRun,
         };
         if outcome == Outcome::NotRun {
             self.oracle.ended_not_run(*request);
@@ -363,19 +363,19 @@
     /// Ends a process that stops in order once nothing is left to do.
     fn finish_stop(&mut self, daemon: usize) {
         let target = &self.daemons[daemon];
-        let standing = target.log.standing();
-        let is_idle = matches!(standing, Standing::Idle | Standing::Fenced);
+        let state = target.log.state();
+        let is_idle = matches!(state, LogState::Idle | LogState::Fenced);
         if !target.stopping || target.resuming || target.running > 0 || !is_idle {
             return;
         }
-        let Some(account) = target.claimant.account() else {
+        let Some(outcomes) = target.claimant.outcomes() else {
             return;
         };
         let process = target.member.incarnation;
-        let farewell = Farewell::new(process, Some(account), None, Millis::MAX);
+        let record = ShutdownRecord::new(process, Some(outcomes), None, Millis::MAX);
         self.oracle.check_answered(process);
         if !self.down {
-            self.farewells.insert(process, farewell.to_bytes());
+            self.shutdown_records.insert(process, record.to_bytes());
         }
         self.replace(daemon, "restart");
     }
--- a/crates/core/tests/claims/oracle.rs
+++ b/crates/core/tests/claims/oracle.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use medlarrill_core::claims::{
-    Claim, ClaimId, ClaimantAction, Digest, HeldAnswer, KeyHash, KeyState, Table, Verdict,
+    CachedAnswer, Claim, ClaimId, ClaimStatus, ClaimantAction, Digest, KeyHash, KeyState, Table,
 };
 use medlarrill_core::ids::{Incarnation, RequestId};
 use medlarrill_core::outcome::Outcome;
@@ -53,24 +53,24 @@
     pub fn asked(&mut self, ask: &ClaimAsk) {
         let id = ClaimId {
             claimant: Incarnation(ask.claimant),
-            ask: ask.ask,
+            number: ask.ask,
         };
         let request = RequestId::from_bytes(&ask.request).expect("a request");
         self.asked.insert(id, request);
         self.latest.insert(request, id);
         self.given_up.insert(ClaimId {
             claimant: Incarnation(ask.given_claimant),
-            ask: ask.given_ask,
+            number: ask.given_ask,
         });
     }
 
     /// An owner's answer, as it is sent.
     pub fn answered(&mut self, claimant: Incarnation, answer: &ClaimAnswer) {
-        if Verdict::from_code(answer.verdict) != Verdict::Granted {
+        if ClaimStatus::from_code(answer.verdict) != ClaimStatus::Granted {
             return;
         }
-        let ask = answer.ask;
-        let id = ClaimId { claimant, ask };
+        let number = answer.ask;
+        let id = ClaimId { claimant, number };
         let request = self.requests[&self.asked[&id]];
         self.granted.insert(id, request.key);
     }
@@ -127,7 +127,7 @@
         }
     }
 
-    fn replayed(&mut self, request: RequestId, answer: &HeldAnswer) {
+    fn replayed(&mut self, request: RequestId, answer: &CachedAnswer) {
         self.tell(request, Outcome::Ran);
         let Request { key, digest, .. } = self.requests[&request];
         let Some(ran) = self.dispatched.get(&key).filter(|ran| ran.sent) else {
@@ -154,7 +154,7 @@
         let key = KeyHash::from_bytes(&ask.key).expect("a key");
         let id = ClaimId {
             claimant: Incarnation(ask.claimant),
-            ask: ask.held,
+            number: ask.held,
         };
         if self.dispatched.get(&key).is_some_and(|d| d.id == id) {
             self.fail(format!("{id:?} said to be not run, but was dispatched"));
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::claims::{
-    Claim, ClaimId, KeyHash, LogEvent, LogLimits, Member, Record, Reply, ShardLog, Standing,
+    Claim, ClaimId, KeyHash, LogEvent, LogLimits, LogState, ProcessId, Record, Reply, ShardLog,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
@@ -32,14 +32,14 @@
 
 /// An owner that has recorded many claims, and its platform.
 fn filled(claimants: u64, per_batch: u64, name: usize) -> (ShardLog, Platform) {
-    let member = Member {
+    let member = ProcessId {
         daemon: "owner".parse().expect("a name"),
         incarnation: Incarnation(7),
     };
     let mut platform = Platform::default();
     let mut log = ShardLog::new(3, member, 1, WALL, Millis::ZERO);
     let mut now = Millis::ZERO;
-    event(&mut log, &mut platform, LogEvent::Own(true), now);
+    event(&mut log, &mut platform, LogEvent::Assign(true), now);
     for number in 0..CLAIMS {
         let daemon = format!("{:0name$}", number % claimants);
         let ask = ClaimAsk {
@@ -48,14 +48,14 @@
             ask: u64::from(u32::MAX) + number,
             ..ask(number, 1)
         };
-        event(&mut log, &mut platform, LogEvent::Ask(ask), now);
+        event(&mut log, &mut platform, LogEvent::Request(ask), now);
         if number % per_batch == 0 {
-            now += LogLimits::default().pace;
+            now += LogLimits::default().batch_interval;
             let wall = WALL + now;
             event(&mut log, &mut platform, LogEvent::Tick { wall }, now);
         }
     }
-    now += LogLimits::default().pace;
+    now += LogLimits::default().batch_interval;
     let wall = WALL + now;
     event(&mut log, &mut platform, LogEvent::Tick { wall }, now);
     (log, platform)
@@ -113,11 +113,11 @@
     let first = ask(u64::MAX, 1);
     let id = ClaimId {
         claimant: Incarnation(first.claimant),
-        ask: 1,
+        number: 1,
     };
     let now = Millis::from_secs(3000);
-    event(&mut log, &mut single, LogEvent::Ask(first), now);
+    event(&mut log, &mut single, LogEvent::Request(first), now);
     let size = single.objects.last_key_value().unwrap().1.bytes.len();
     println!("object with one claim ({id:?}): {size} B");
-    expect_that!(log.standing(), eq(Standing::Owner));
+    expect_that!(log.state(), eq(LogState::Owner));
 }
--- a/crates/daemon/src/claims/handle.rs
+++ b/crates/daemon/src/claims/handle.rs
@@ -1,6 +1,6 @@
 //! Sends to the claims task.
 
-use medlarrill_core::claims::{End, HeldAnswer, Start};
+use medlarrill_core::claims::{CachedAnswer, KeyedRequest, RunOutcome};
 use medlarrill_core::ids::RequestId;
 use medlarrill_core::reason::Reason;
 
@@ -15,7 +15,7 @@
     /// It may not run.
     Refuse(Reason),
     /// It ran before; this was the answer.
-    Replay(HeldAnswer),
+    Replay(CachedAnswer),
 }
 
 /// Sends to the claims task.
@@ -25,14 +25,14 @@
     /// Asks for the right to run a request.
     ///
     /// After `Dispatch` its end must be told with [`Handle::ended`].
-    pub async fn start(&self, start: Start) -> Decision {
+    pub async fn start(&self, start: KeyedRequest) -> Decision {
         let decision = self.ask(|sender| Message::Start(start, sender)).await;
         // The task ends only with the daemon, and then nothing runs any more.
         decision.unwrap_or(Decision::Refuse(Reason::Stopping))
     }
 
     /// Tells how a request ended that was allowed to run.
-    pub fn ended(&self, request: RequestId, end: End) {
+    pub fn ended(&self, request: RequestId, end: RunOutcome) {
         self.tell(Message::Ended(request, end));
     }
 
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use medlarrill_core::claims::{
-    Claimant, ClaimantAction, ClaimantEvent, End, Farewell, KeyHash, LogAction, LogEvent, Member,
-    ShardLog, Start, shard_of,
+    Claimant, ClaimantAction, ClaimantEvent, KeyHash, KeyedRequest, LogAction, LogEvent, ProcessId,
+    RunOutcome, ShardLog, ShutdownRecord, shard_of,
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, RequestId};
@@ -46,7 +46,7 @@
 impl Task {
     /// A task that owns no shard yet.
     pub fn new(context: Arc<Context>) -> Self {
-        let me = Member {
+        let me = ProcessId {
             daemon: context.me.daemon.clone(),
             incarnation: context.me.incarnation,
         };
@@ -101,7 +101,7 @@
         for shard in 0..SHARDS {
             let owner = owner_of(&view, shard);
             let own = able && owner == Some(&self.context.me.daemon);
-            self.drive(shard, LogEvent::Own(own));
+            self.drive(shard, LogEvent::Assign(own));
         }
     }
 
@@ -114,9 +114,9 @@
                 self.asked.remove(&answer.ask);
                 self.claim(ClaimantEvent::Answer(answer));
             }
-            Message::KeyAsk(from, ask) => self.claim(ClaimantEvent::KeyAsked {
+            Message::KeyAsk(from, ask) => self.claim(ClaimantEvent::KeyQueried {
                 from: from.daemon.to_string(),
-                ask,
+                query: ask,
             }),
             Message::KeyAnswer(answer) => {
                 self.asked.remove(&answer.ask);
@@ -129,13 +129,13 @@
                 self.drive(shard, LogEvent::Reply { call, reply });
             }
             Message::Farewell(claimant, bytes) => {
-                self.claim(ClaimantEvent::Farewell { claimant, bytes });
+                self.claim(ClaimantEvent::ShutdownRecord { claimant, bytes });
             }
             Message::Stop(done) => self.stop(done),
         }
     }
 
-    fn start(&mut self, start: Start, sender: oneshot::Sender<Decision>) {
+    fn start(&mut self, start: KeyedRequest, sender: oneshot::Sender<Decision>) {
         self.waiting.insert(start.request, sender);
         self.claim(ClaimantEvent::Start(start));
     }
@@ -143,8 +143,8 @@
     fn lost(&mut self, ask: u64, is_key: bool) {
         self.asked.remove(&ask);
         self.claim(match is_key {
-            true => ClaimantEvent::KeyAskLost { ask },
-            false => ClaimantEvent::AskLost { ask },
+            true => ClaimantEvent::QueryLost { number: ask },
+            false => ClaimantEvent::ClaimRequestLost { number: ask },
         });
     }
 
@@ -163,7 +163,7 @@
             log::warn!(target: "claims", "claims: {} asks for a key of the wrong length", ask.daemon);
             return;
         };
-        self.drive(shard_of(&key, SHARDS), LogEvent::Ask(ask));
+        self.drive(shard_of(&key, SHARDS), LogEvent::Request(ask));
     }
 
     fn drive(&mut self, shard: u16, event: LogEvent) {
@@ -211,8 +211,8 @@
 
     fn act_as_claimant(&mut self, action: ClaimantAction) {
         match action {
-            ClaimantAction::Ask(ask) => self.ask(ask),
-            ClaimantAction::AskKey { to, ask } => self.ask_key(&to, ask),
+            ClaimantAction::RequestClaim(ask) => self.ask(ask),
+            ClaimantAction::QueryKey { to, query: ask } => self.ask_key(&to, ask),
             ClaimantAction::Dispatch { request } => self.decide(request, Decision::Dispatch),
             ClaimantAction::Refuse { request, reason } => {
                 self.decide(request, Decision::Refuse(reason));
@@ -220,8 +220,10 @@
             ClaimantAction::Replay { request, answer } => {
                 self.decide(request, Decision::Replay(answer));
             }
-            ClaimantAction::TellKey { to, answer } => self.send(&to, Body::KeyAnswer(answer), None),
-            ClaimantAction::ReadFarewell { claimant } => {
+            ClaimantAction::AnswerKey { to, answer } => {
+                self.send(&to, Body::KeyAnswer(answer), None)
+            }
+            ClaimantAction::ReadShutdownRecord { claimant } => {
                 let context = Arc::clone(&self.context);
                 tokio::spawn(async move {
                     let bytes = calls::farewell(&context.platform, claimant).await;
@@ -239,7 +241,7 @@
             None => false,
         };
         if runs && !told {
-            let end = End::NotRun;
+            let end = RunOutcome::NotRun;
             self.context.claims.ended(request, end);
         }
     }
@@ -301,7 +303,7 @@
         self.claim(ClaimantEvent::Stop);
         let expiry = wall() + FAREWELL_KEPT;
         let claimant = self.context.me.incarnation;
-        let farewell = Farewell::new(claimant, self.claimant.account(), None, expiry);
+        let farewell = ShutdownRecord::new(claimant, self.claimant.outcomes(), None, expiry);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
             if !farewell.is_empty() {
