--- a/crates/daemon/src/fleet/handle.rs
+++ b/crates/daemon/src/fleet/handle.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub enum Message {
     /// A heartbeat came in.
-    Heard(PeerId, Gossip),
+    Heartbeat(PeerId, Gossip),
     /// A link is up.
     Opened(PeerId),
     /// A link is down.
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -72,7 +72,7 @@
 
     fn take(&mut self, message: Message) -> Vec<Action> {
         let event = match message {
-            Message::Heard(from, message) => Event::Received {
+            Message::Heartbeat(from, message) => Event::Received {
                 from: peer(from),
                 message,
             },
