--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -6,6 +6,6 @@
 mod vms;
 
 pub use handle::{Handle, Message};
-pub use task::{Outlets, Task};
+pub use task::{Outputs, Task};
 pub use view::{FleetView, Peer};
 pub use vms::follow_vms;
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -19,7 +19,7 @@
 const TICK: Millis = Millis(100);
 
 /// Where the task's findings go.
-pub struct Outlets {
+pub struct Outputs {
     /// The view for all other tasks.
     pub view: watch::Sender<Arc<FleetView>>,
     /// Loads heard.
@@ -34,18 +34,18 @@
 pub struct Task {
     membership: Membership,
     links: Links,
-    outlets: Outlets,
+    outputs: Outputs,
     version: u64,
     fresh: bool,
 }
 
 impl Task {
     /// A task for a daemon that has just started.
-    pub const fn new(membership: Membership, links: Links, outlets: Outlets) -> Self {
+    pub const fn new(membership: Membership, links: Links, outputs: Outputs) -> Self {
         Self {
             membership,
             links,
-            outlets,
+            outputs,
             version: 0,
             fresh: false,
         }
@@ -116,11 +116,11 @@
         match action {
             Action::Send { to, message } => self.send(to, message),
             Action::LoadReceived { from, at, pools } => {
-                self.outlets.home.load_heard(from, at, pools)
+                self.outputs.home.load_heard(from, at, pools)
             }
             Action::NewerGeneration { from, generation } => {
                 // The configuration task ends only with the daemon.
-                let _ = self.outlets.generation.send((from, generation));
+                let _ = self.outputs.generation.send((from, generation));
             }
             Action::Changed(member) => {
                 log::info!(target: "fleet", "fleet: {} is {}", member.daemon, member.state());
@@ -132,7 +132,7 @@
                 log::warn!(target: "fleet", "fleet: the platform takes this VM away")
             }
             Action::LeaveAcknowledged { peers } | Action::Departed { peers } => {
-                self.outlets.farewell.send_replace(peers);
+                self.outputs.farewell.send_replace(peers);
             }
             Action::Replaced { by } => {
                 log::error!(target: "fleet", "fleet: {by} runs under this daemon's name");
@@ -168,7 +168,7 @@
         self.version = self.membership.version();
         self.fresh = fresh;
         let view = FleetView::new(&self.membership, fresh);
-        self.outlets.view.send_replace(Arc::new(view));
+        self.outputs.view.send_replace(Arc::new(view));
     }
 }
 
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -25,7 +25,7 @@
 use crate::context::Context;
 use crate::entry::server::{self, ServerError, Serving};
 use crate::entry::{Attempts, StateQueue, States, StrayQueue, Strays, Tracker};
-use crate::fleet::{self, FleetView, Outlets, follow_vms};
+use crate::fleet::{self, FleetView, Outputs, follow_vms};
 use crate::home;
 use crate::limits;
 use crate::metrics::{ControlSources, Metrics};
@@ -280,14 +280,14 @@
 fn spawn(context: &Arc<Context>, address: SocketAddr, ends: Ends) -> Running {
     let (farewell_sender, farewell) = watch::channel(0);
     let (generation, generations) = mpsc::unbounded_channel();
-    let outlets = Outlets {
+    let outputs = Outputs {
         view: ends.view,
         home: context.home.clone(),
         generation,
         farewell: farewell_sender,
     };
     let links = context.peers.links().clone();
-    let members = fleet::Task::new(membership(context, address), links, outlets);
+    let members = fleet::Task::new(membership(context, address), links, outputs);
     tokio::spawn(members.run(ends.fleet));
     let fleet = context.fleet_task.clone();
     tokio::spawn(follow_vms(context.platform.clone(), fleet, address));
