--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -27,7 +27,7 @@
     /// A peer has a later configuration.
     pub generation: mpsc::UnboundedSender<(DaemonId, Generation)>,
     /// Peers know that this daemon leaves, or has left.
-    pub farewell: watch::Sender<usize>,
+    pub leave_acks: watch::Sender<usize>,
 }
 
 /// State of the membership task.
@@ -132,7 +132,7 @@
                 log::warn!(target: "fleet", "fleet: the platform takes this VM away")
             }
             Action::LeaveAcknowledged { peers } | Action::Departed { peers } => {
-                self.outputs.farewell.send_replace(peers);
+                self.outputs.leave_acks.send_replace(peers);
             }
             Action::Replaced { by } => {
                 log::error!(target: "fleet", "fleet: {by} runs under this daemon's name");
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -284,7 +284,7 @@
         view: ends.view,
         home: context.home.clone(),
         generation,
-        farewell: farewell_sender,
+        leave_acks: farewell_sender,
     };
     let links = context.peers.links().clone();
     let members = fleet::Task::new(membership(context, address), links, outputs);
