--- a/crates/daemon/src/fleet/handle.rs
+++ b/crates/daemon/src/fleet/handle.rs
@@ -32,7 +32,7 @@
         /// The generation.
         generation: Generation,
         /// Whether to ask them for it.
-        ask: bool,
+        probe: bool,
         /// Takes their names.
         reply: oneshot::Sender<Vec<DaemonId>>,
     },
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -92,14 +92,14 @@
             }
             Message::Lagging {
                 generation,
-                ask,
+                probe,
                 reply,
             } => {
                 let lagging = self.membership.lagging(generation);
                 let lagging = lagging.map(|member| member.daemon.clone()).collect();
                 // Who asked may have gone away.
                 let _ = reply.send(lagging);
-                return match ask {
+                return match probe {
                     true => self.membership.probe_lagging(generation, now()),
                     false => Vec::new(),
                 };
--- a/crates/daemon/src/operators/wait.rs
+++ b/crates/daemon/src/operators/wait.rs
@@ -45,7 +45,7 @@
     let (reply, answer) = oneshot::channel();
     context.fleet_task.tell(Message::Lagging {
         generation,
-        ask,
+        probe: ask,
         reply,
     });
     // The task ends only with the daemon.
