--- a/crates/daemon/src/home/handle.rs
+++ b/crates/daemon/src/home/handle.rs
@@ -75,8 +75,8 @@
     }
 
     /// Asks for the state of endpoints on another daemon's behalf; false if the task has ended.
-    pub fn state_asked(&self, from: PeerId, ask: StateAsk) -> bool {
-        self.send(Message::StateAsked(from, ask))
+    pub fn state_requested(&self, from: PeerId, ask: StateAsk) -> bool {
+        self.send(Message::StateRequested(from, ask))
     }
 
     /// Requests that the home holds.
--- a/crates/daemon/src/home/message.rs
+++ b/crates/daemon/src/home/message.rs
@@ -37,7 +37,7 @@
     /// Asks for what is known of endpoints.
     Show(oneshot::Sender<Vec<EndpointRow>>),
     /// Another daemon asks for the state of endpoints.
-    StateAsked(PeerId, StateAsk),
+    StateRequested(PeerId, StateAsk),
 }
 
 /// The end of a dispatched request.
--- a/crates/daemon/src/home/task.rs
+++ b/crates/daemon/src/home/task.rs
@@ -112,7 +112,7 @@
             Message::Progress(id, tokens) => self.progress(id, tokens),
             Message::Finished(finished) => self.finished(&finished),
             Message::Polled(endpoint, asked, load) => self.polled(&endpoint, asked, load),
-            Message::StateAsked(from, ask) => self.tell_state(from, ask),
+            Message::StateRequested(from, ask) => self.tell_state(from, ask),
             Message::Show(reply) => {
                 // Who asked may have gone away.
                 let _ = reply.send(self.show());
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -80,7 +80,7 @@
             Body::Gossip(gossip) => self.fleet.tell(fleet::Message::Heartbeat(from.clone(), gossip)),
             Body::Moved(moved) => self.home.moved(moved),
             Body::Placed(placed) => self.home.placed(placed),
-            Body::StateAsk(ask) => self.home.state_asked(from.clone(), ask),
+            Body::StateAsk(ask) => self.home.state_requested(from.clone(), ask),
             Body::StateAnswer(answer) => self.questions.deliver(answer),
             Body::PartAsk(ask) => {
                 let asked = configuration::Message::Asked(from.clone(), ask);
