--- a/crates/daemon/src/entry/attempts.rs
+++ b/crates/daemon/src/entry/attempts.rs
@@ -126,7 +126,7 @@
     }
 
     /// Tells all tries with a process that it is gone.
-    pub fn lost(&self, peer: &PeerId) {
+    pub fn peer_lost(&self, peer: &PeerId) {
         for waiting in self.lock().values() {
             if waiting.is_with(peer) {
                 let _ = waiting.sender.send(Arrival::Lost);
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -44,7 +44,7 @@
         match event {
             Event::Message(from, body) => self.message(&from, *body),
             Event::Closed(peer) => {
-                self.attempts.lost(&peer);
+                self.attempts.peer_lost(&peer);
                 self.home.peer_lost(peer.clone());
                 let lost = configuration::Message::Lost(peer.clone());
                 self.configuration.tell(lost);
