--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -9,7 +9,7 @@
 
 use crate::claims;
 use crate::configuration::{self, ConfigView};
-use crate::entry::{Attempts, States, Tracker};
+use crate::entry::{AttemptTable, States, Tracker};
 use crate::fleet::{self, FleetView};
 use crate::home;
 use crate::limits;
@@ -36,7 +36,7 @@
     /// Sends to other daemons.
     pub peers: Peers,
     /// Tries of this entry that wait for an answer.
-    pub attempts: Attempts,
+    pub attempts: AttemptTable,
     /// Questions of operators that wait for other daemons.
     pub questions: Questions,
     /// What became of requests.
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -24,7 +24,7 @@
 mod strays;
 mod tracker;
 
-pub use attempts::Attempts;
+pub use attempts::AttemptTable;
 pub use auth::bearer;
 pub use events::last_id;
 pub use problem::Problem;
--- a/crates/daemon/src/entry/attempts.rs
+++ b/crates/daemon/src/entry/attempts.rs
@@ -23,7 +23,7 @@
 
 /// Table of the tries of one entry. Cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub struct Attempts {
+pub struct AttemptTable {
     table: Arc<Mutex<HashMap<AttemptId, Waiting>>>,
     /// Bytes of answers that were received and not yet taken.
     buffered: Gauge,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Attempts {
+impl AttemptTable {
     /// An empty table that shows the bytes it holds in a gauge.
     pub fn new(buffered: Gauge) -> Self {
         Self {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -24,7 +24,7 @@
 use crate::configuration::{self, ConfigView};
 use crate::context::Context;
 use crate::entry::server::{self, ServerError, Serving};
-use crate::entry::{Attempts, StateQueue, States, StrayQueue, Strays, Tracker};
+use crate::entry::{AttemptTable, StateQueue, States, StrayQueue, Strays, Tracker};
 use crate::fleet::{self, FleetView, Outputs, follow_vms};
 use crate::home;
 use crate::limits;
@@ -232,7 +232,7 @@
     let address = settings.listen.reachable(listener.local_addr()?);
     let identity = identity(&settings, &me, address);
     let metrics = Arc::new(Metrics::new());
-    let attempts = Attempts::new(metrics.buffered.clone());
+    let attempts = AttemptTable::new(metrics.buffered.clone());
     let questions = Questions::default();
     let switch = Switch {
         questions: questions.clone(),
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -7,7 +7,7 @@
 
 use crate::claims;
 use crate::configuration;
-use crate::entry::{Attempts, States, Strays};
+use crate::entry::{AttemptTable, States, Strays};
 use crate::fleet;
 use crate::home;
 use crate::limits;
@@ -17,7 +17,7 @@
 /// Where messages go.
 pub struct Switch {
     /// Tries of this entry.
-    pub attempts: Attempts,
+    pub attempts: AttemptTable,
     /// Where answers go that nobody waits for.
     pub strays: Strays,
     /// The claims task.
