--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -29,5 +29,5 @@
 pub use events::last_id;
 pub use problem::Problem;
 pub use states::{StateQueue, States};
-pub use strays::{Queue as StrayQueue, Strays};
+pub use strays::{Queue as StrayQueue, StrayFrames};
 pub use tracker::Tracker;
--- a/crates/daemon/src/entry/strays.rs
+++ b/crates/daemon/src/entry/strays.rs
@@ -23,14 +23,14 @@
 
 /// Tells homes to stop. Cheap to clone.
 #[derive(Clone)]
-pub struct Strays {
+pub struct StrayFrames {
     sender: mpsc::Sender<Stray>,
 }
 
-/// What `Strays` takes in.
+/// What `StrayFrames` takes in.
 pub struct Queue(mpsc::Receiver<Stray>);
 
-impl Strays {
+impl StrayFrames {
     /// The handle, and the queue of its task.
     pub fn new() -> (Self, Queue) {
         let (sender, receiver) = mpsc::channel(QUEUE);
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -24,7 +24,7 @@
 use crate::configuration::{self, ConfigView};
 use crate::context::Context;
 use crate::entry::server::{self, ServerError, Serving};
-use crate::entry::{AttemptTable, StateQueue, States, StrayQueue, Strays, Tracker};
+use crate::entry::{AttemptTable, StateQueue, States, StrayQueue, StrayFrames, Tracker};
 use crate::fleet::{self, FleetView, Outputs, follow_vms};
 use crate::home;
 use crate::limits;
@@ -166,7 +166,7 @@
     limits: limits::Handle,
     fleet: fleet::Handle,
     configuration: configuration::Handle,
-    strays: Strays,
+    strays: StrayFrames,
     states: States,
 }
 
@@ -193,7 +193,7 @@
     let (limits, limits_receiver) = limits::Handle::new();
     let (fleet, fleet_receiver) = fleet::Handle::new();
     let (configuration, configuration_receiver) = configuration::Handle::new();
-    let (strays, stray_queue) = Strays::new();
+    let (strays, stray_queue) = StrayFrames::new();
     let (states, state_queue) = States::new();
     let channels = Channels {
         view,
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -7,7 +7,7 @@
 
 use crate::claims;
 use crate::configuration;
-use crate::entry::{AttemptTable, States, Strays};
+use crate::entry::{AttemptTable, States, StrayFrames};
 use crate::fleet;
 use crate::home;
 use crate::limits;
@@ -19,7 +19,7 @@
     /// Tries of this entry.
     pub attempts: AttemptTable,
     /// Where answers go that nobody waits for.
-    pub strays: Strays,
+    pub strays: StrayFrames,
     /// The claims task.
     pub claims: claims::Handle,
     /// Questions for the state of requests.
