--- a/crates/daemon/src/entry/strays.rs
+++ b/crates/daemon/src/entry/strays.rs
@@ -38,7 +38,7 @@
     }
 
     /// Notes a frame that nobody waits for.
-    pub fn note(&self, from: &PeerId, attempt: Attempt) {
+    pub fn record(&self, from: &PeerId, attempt: Attempt) {
         let from = from.clone();
         // A full queue only delays the word to the home.
         let _ = self.sender.try_send(Stray { from, attempt });
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -113,7 +113,7 @@
         };
         let held = self.attempts.deliver(from, answer);
         if let Some(attempt) = running.filter(|_| !held) {
-            self.strays.note(from, attempt);
+            self.strays.record(from, attempt);
         }
         held
     }
