--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -9,7 +9,7 @@
 
 use crate::claims;
 use crate::configuration::{self, ConfigView};
-use crate::entry::{AttemptTable, States, Tracker};
+use crate::entry::{AttemptTable, RequestStates, Tracker};
 use crate::fleet::{self, FleetView};
 use crate::home;
 use crate::limits;
@@ -42,7 +42,7 @@
     /// What became of requests.
     pub tracker: Tracker,
     /// What became of requests that other daemons took.
-    pub states: States,
+    pub states: RequestStates,
     /// Set once the daemon is told to stop.
     pub stopping: watch::Receiver<bool>,
     /// The claims task.
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -28,6 +28,6 @@
 pub use auth::bearer;
 pub use events::last_id;
 pub use problem::Problem;
-pub use states::{StateQueue, States};
+pub use states::{StateQueue, RequestStates};
 pub use strays::{Queue as StrayQueue, StrayFrames};
 pub use tracker::Tracker;
--- a/crates/daemon/src/entry/states.rs
+++ b/crates/daemon/src/entry/states.rs
@@ -30,7 +30,7 @@
 
 /// Asks and answers. Cheap to clone.
 #[derive(Clone)]
-pub struct States {
+pub struct RequestStates {
     asked: mpsc::Sender<Asked>,
     waiting: Arc<Mutex<HashMap<u64, oneshot::Sender<RequestAnswer>>>>,
 }
@@ -38,7 +38,7 @@
 /// StateQueue of others, to be answered.
 pub struct StateQueue(mpsc::Receiver<Asked>);
 
-impl States {
+impl RequestStates {
     /// The handle, and the queue of its task.
     pub fn new() -> (Self, StateQueue) {
         let (asked, receiver) = mpsc::channel(QUEUE);
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -24,7 +24,7 @@
 use crate::configuration::{self, ConfigView};
 use crate::context::Context;
 use crate::entry::server::{self, ServerError, Serving};
-use crate::entry::{AttemptTable, StateQueue, States, StrayQueue, StrayFrames, Tracker};
+use crate::entry::{AttemptTable, StateQueue, RequestStates, StrayQueue, StrayFrames, Tracker};
 use crate::fleet::{self, FleetView, Outputs, follow_vms};
 use crate::home;
 use crate::limits;
@@ -167,7 +167,7 @@
     fleet: fleet::Handle,
     configuration: configuration::Handle,
     strays: StrayFrames,
-    states: States,
+    states: RequestStates,
 }
 
 /// What the tasks own.
@@ -194,7 +194,7 @@
     let (fleet, fleet_receiver) = fleet::Handle::new();
     let (configuration, configuration_receiver) = configuration::Handle::new();
     let (strays, stray_queue) = StrayFrames::new();
-    let (states, state_queue) = States::new();
+    let (states, state_queue) = RequestStates::new();
     let channels = Channels {
         view,
         config,
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -7,7 +7,7 @@
 
 use crate::claims;
 use crate::configuration;
-use crate::entry::{AttemptTable, States, StrayFrames};
+use crate::entry::{AttemptTable, RequestStates, StrayFrames};
 use crate::fleet;
 use crate::home;
 use crate::limits;
@@ -23,7 +23,7 @@
     /// The claims task.
     pub claims: claims::Handle,
     /// Questions for the state of requests.
-    pub states: States,
+    pub states: RequestStates,
     /// The limits task.
     pub limits: limits::Handle,
     /// The home task.
