--- a/crates/daemon/src/entry/states.rs
+++ b/crates/daemon/src/entry/states.rs
@@ -47,13 +47,13 @@
     }
 
     /// Takes a question; false if too many wait.
-    pub fn asked(&self, from: &PeerId, ask: RequestAsk) -> bool {
+    pub fn requested(&self, from: &PeerId, ask: RequestAsk) -> bool {
         let from = from.clone();
         self.asked.try_send(Asked { from, ask }).is_ok()
     }
 
     /// Takes an answer; false if nobody waits for it.
-    pub fn answered(&self, answer: RequestAnswer) -> bool {
+    pub fn take_answer(&self, answer: RequestAnswer) -> bool {
         let waiting = self.lock().remove(&answer.question);
         waiting.is_some_and(|waiting| waiting.send(answer).is_ok())
     }
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -90,8 +90,8 @@
                 let answered = configuration::Message::Answered(from.clone(), answer);
                 self.configuration.tell(answered)
             }
-            Body::RequestAsk(ask) => self.states.asked(from, ask),
-            Body::RequestAnswer(answer) => self.states.answered(answer),
+            Body::RequestAsk(ask) => self.states.requested(from, ask),
+            Body::RequestAnswer(answer) => self.states.take_answer(answer),
             answer @ (Body::Accepted(_)
             | Body::Passed(_)
             | Body::Refused(_)
