--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,10 +1,11 @@
-//! The entry: takes callers' requests and brings them their answers.
+//! The entry: accepts callers' requests and returns the responses.
 //!
-//! `server` listens, `chat` and `service` read a request into a `Job`, `run`
-//! tries it at homes until one answers, `answer` turns what comes back into
-//! the caller's response. `attempt` is one try; `attempts` the table by which
-//! frames find it.
+//! `server` listens, `handlers` and `request` read a request into a `Job`,
+//! `run` sends it to homes until one answers, `answer` turns the home's
+//! frames into the caller's response. `attempt` is one attempt; `attempts` is
+//! the table that maps incoming frames to attempts.
 
+mod acceptor;
 mod answer;
 mod attempt;
 mod attempts;
@@ -12,7 +13,6 @@
 mod connections;
 mod events;
 mod flight;
-mod gate;
 mod handlers;
 mod job;
 mod keyed;
@@ -28,6 +28,6 @@
 pub use auth::bearer;
 pub use events::last_id;
 pub use problem::Problem;
-pub use states::{StateQueue, RequestStates};
+pub use states::{RequestStates, StateQueue};
 pub use strays::{Queue as StrayQueue, StrayFrames};
 pub use tracker::Tracker;
--- a/crates/daemon/src/entry/gate.rs
+++ b/crates/daemon/src/entry/acceptor.rs
@@ -1,8 +1,9 @@
-//! The callers' listener, which can be closed while answers go on.
+//! The callers' listener, which can be closed while responses are still being sent.
 //!
-//! The server keeps its listener until its last answer is out. Meanwhile the
-//! kernel would take connections that nobody serves and that break at the end,
-//! so the listener is closed first, and what had connected by then is served.
+//! The server keeps its listener open until its last response is sent. Until
+//! then the kernel would accept connections that are never served and are
+//! reset at the end. So the listener is closed first, and the connections
+//! accepted up to that point are served.
 
 use std::io::Result;
 use std::time::Duration;
@@ -14,43 +15,44 @@
 use tokio::time::sleep;
 
 /// Time without a new connection after which the listener closes.
-const QUIET: Duration = Duration::from_millis(2);
-/// Connections that are taken at most before it closes all the same.
-const MOST: usize = 10_000;
+const QUIET_TIME: Duration = Duration::from_millis(2);
+/// Most connections accepted while closing, after which the listener closes regardless.
+const MAX_LATE: usize = 10_000;
 
-/// How far a listener is closed.
+/// State of the listener.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// It takes connections.
+    /// Accepts connections.
     Open,
-    /// It takes those that have come.
+    /// Accepts only connections that are already pending.
     Closing,
-    /// It takes none.
+    /// Accepts none.
     Closed,
 }
 
-/// An acceptor that can be closed.
-pub struct Gate {
+/// A TCP acceptor that can be closed before the server stops.
+pub struct ClosableAcceptor {
     inner: Option<TcpAcceptor>,
     holdings: Vec<Holding>,
     phase: watch::Sender<Phase>,
-    taken: usize,
+    /// Connections accepted while closing.
+    late: usize,
 }
 
-impl Gate {
-    /// An acceptor that follows `phase` and tells there when it is closed.
+impl ClosableAcceptor {
+    /// An acceptor that follows `phase` and sets it to `Closed` once it is closed.
     pub fn new(inner: TcpAcceptor, phase: watch::Sender<Phase>) -> Self {
         let holdings = inner.holdings().to_vec();
         Self {
             inner: Some(inner),
             holdings,
             phase,
-            taken: 0,
+            late: 0,
         }
     }
 }
 
-impl Acceptor for Gate {
+impl Acceptor for ClosableAcceptor {
     type Coupler = <TcpAcceptor as Acceptor>::Coupler;
     type Stream = <TcpAcceptor as Acceptor>::Stream;
 
@@ -70,11 +72,11 @@
                     _ = phase.changed() => continue,
                 }
             }
-            self.taken += 1;
+            self.late += 1;
             tokio::select! {
                 biased;
-                accepted = inner.accept(policy.clone()), if self.taken < MOST => return accepted,
-                () = sleep(QUIET) => {}
+                accepted = inner.accept(policy.clone()), if self.late < MAX_LATE => return accepted,
+                () = sleep(QUIET_TIME) => {}
             }
             self.inner = None;
             self.phase.send_replace(Phase::Closed);
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -1,8 +1,8 @@
-//! Turns what a home sends into the caller's response.
+//! Turns the frames of a home into the caller's response.
 //!
-//! A stream of events goes out event by event, and is taken up again at its
-//! endpoint if the daemon between is lost. Any other answer is held until it
-//! is whole, so that it can be tried again, unless it is too large for that.
+//! An event stream is sent event by event, and is resumed at its endpoint if
+//! the daemon in between is lost. Any other response is buffered until it is
+//! complete, so that the request can be retried, unless it is too large.
 
 use std::sync::Arc;
 
@@ -17,49 +17,49 @@
 use salvo::http::{HeaderName, HeaderValue, ResBody, StatusCode};
 
 use super::attempt::{Failure, Head};
-use super::events::EventCutter;
-use super::flight::Flight;
+use super::events::EventSplitter;
+use super::flight::InFlight;
 use super::job::{Job, ResumePoint};
 use super::problem::Problem;
 use super::run::{MAX_RESUMES, Running, resume, run};
 use crate::context::Context;
 
-/// Largest answer that is held until it is whole, in bytes.
-const HOLD: usize = 1 << 20;
+/// Largest response that is buffered until it is complete, in bytes.
+const MAX_BUFFERED: usize = 1 << 20;
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// Ends the caller's connection without an end mark.
+/// Error that closes the caller's connection before the end of the response.
 #[derive(Clone, Copy, Debug)]
 #[derive(Display, Error)]
 #[display("the answer was cut short: {reason}")]
-pub struct Cut {
+pub struct Truncated {
     #[error(not(source))]
     reason: Reason,
 }
 
-/// An answer that can be written.
+/// A response that is ready to be written.
 pub enum Reply {
-    /// All of it.
-    Whole(Head, Bytes),
-    /// Its start; the rest comes as it is made.
+    /// The complete response.
+    Complete(Head, Bytes),
+    /// The head; the body is streamed.
     Stream(Box<AnswerStream>),
 }
 
 impl Reply {
-    /// The head of the answer.
+    /// The head of the response.
     pub const fn head(&self) -> &Head {
         match self {
-            Self::Whole(head, _) => head,
+            Self::Complete(head, _) => head,
             Self::Stream(stream) => stream.head(),
         }
     }
 }
 
-/// Runs a job until an answer can be written.
+/// Runs a job, with retries, until a response can be written.
 ///
 /// # Errors
 ///
-/// The failure to answer with, when nothing has been written.
+/// The failure to report to the caller, if nothing has been written.
 pub async fn respond(context: &Arc<Context>, job: Job) -> Result<Reply, Failure> {
     let mut running = run(context, job).await?;
     loop {
@@ -79,14 +79,14 @@
         }
         context.metrics.retry(failure.reason);
         let outcome = failure.outcome;
-        let again = run(context, running.job).await;
-        running = again.map_err(|failure| failure.with_earlier(outcome))?;
+        let retried = run(context, running.job).await;
+        running = retried.map_err(|failure| failure.with_earlier(outcome))?;
     }
 }
 
 fn reply(context: &Arc<Context>, running: Running, collected: Collected) -> Reply {
     match collected {
-        Collected::Whole(body) => Reply::Whole(running.head, body),
+        Collected::Complete(body) => Reply::Complete(running.head, body),
         Collected::Start(start) => Reply::Stream(Box::new(AnswerStream {
             context: Arc::clone(context),
             running,
@@ -95,7 +95,7 @@
     }
 }
 
-/// An answer whose head is written.
+/// A response whose body is streamed to the caller.
 pub struct AnswerStream {
     context: Arc<Context>,
     running: Running,
@@ -103,51 +103,51 @@
 }
 
 impl AnswerStream {
-    /// The head of the answer.
+    /// The head of the response.
     pub const fn head(&self) -> &Head {
         &self.running.head
     }
 
-    /// The body, which ends the flight with its own end.
-    pub fn into_body(self, flight: Flight) -> ResBody {
-        ResBody::stream(self.into_pieces(flight))
+    /// The body; `flight` ends when the body ends.
+    pub fn into_body(self, flight: InFlight) -> ResBody {
+        ResBody::stream(self.into_chunks(flight))
     }
 
-    /// The pieces of the body, which end the flight with their own end.
-    pub fn into_pieces(
+    /// The chunks of the body; `flight` ends when they end.
+    pub fn into_chunks(
         self,
-        flight: Flight,
-    ) -> impl Stream<Item = Result<Bytes, Cut>> + Send + use<> {
+        flight: InFlight,
+    ) -> impl Stream<Item = Result<Bytes, Truncated>> + Send + use<> {
         let events = is_event_stream(&self.running.head);
-        let pump = Pump {
+        let relay = StreamRelay {
             context: self.context,
             stream: Job::stream_name(self.running.attempt.id()),
             running: self.running,
-            cutter: EventCutter::default(),
+            splitter: EventSplitter::default(),
             resumes: 0,
             flight,
         };
         if events {
-            return event_stream(pump).left_stream();
+            return event_stream(relay).left_stream();
         }
-        byte_stream(pump, self.start).right_stream()
+        byte_stream(relay, self.start).right_stream()
     }
 }
 
 enum Collected {
-    Whole(Bytes),
+    Complete(Bytes),
     Start(Bytes),
 }
 
 async fn collect(running: &mut Running) -> Result<Collected, Failure> {
     let mut body = BytesMut::new();
-    while let Some(piece) = running.attempt.next().await? {
-        body.extend_from_slice(&piece);
-        if body.len() > HOLD {
+    while let Some(chunk) = running.attempt.next().await? {
+        body.extend_from_slice(&chunk);
+        if body.len() > MAX_BUFFERED {
             return Ok(Collected::Start(body.freeze()));
         }
     }
-    Ok(Collected::Whole(body.freeze()))
+    Ok(Collected::Complete(body.freeze()))
 }
 
 fn is_event_stream(head: &Head) -> bool {
@@ -158,7 +158,7 @@
         .is_some_and(|header| header.value.starts_with(EVENT_STREAM))
 }
 
-/// Writes the head of an answer.
+/// Writes status and headers of a response.
 pub fn write_head(head: &Head, response: &mut salvo::Response) {
     let status = StatusCode::from_u16(head.status);
     response.status_code(status.unwrap_or(StatusCode::BAD_GATEWAY));
@@ -173,81 +173,82 @@
     }
 }
 
-/// Carries one answer to the caller.
-struct Pump {
+/// Relays the body of one response to the caller.
+struct StreamRelay {
     context: Arc<Context>,
     running: Running,
-    cutter: EventCutter,
-    /// The endpoint's name for the stream.
+    splitter: EventSplitter,
+    /// Name of the stream at the endpoint.
     stream: String,
+    /// Attempts to resume since the last complete event.
     resumes: u32,
-    flight: Flight,
+    flight: InFlight,
 }
 
-impl Pump {
-    /// The next whole events; `None` at the end.
-    async fn events(&mut self) -> Option<Bytes> {
-        while !self.flight.is_over() {
+impl StreamRelay {
+    /// The next complete events; `None` at the end.
+    async fn next_events(&mut self) -> Option<Bytes> {
+        while !self.flight.is_ended() {
             let failure = match self.running.attempt.next().await {
-                Ok(Some(piece)) => match self.cutter.push(&piece) {
+                Ok(Some(chunk)) => match self.splitter.push(&chunk) {
                     Ok(events) if events.is_empty() => continue,
                     Ok(events) => {
                         self.resumes = 0;
-                        // The state is known before the caller can ask for it.
-                        if self.cutter.is_done() {
+                        // Recorded before the caller sees the end and can query the state.
+                        if self.splitter.is_done() {
                             self.flight.answered();
                         }
                         return Some(events);
                     }
-                    Err(disorder) => {
-                        log::error!(target: "entry", "entry: {}: {disorder}", self.running.job.request);
+                    Err(error) => {
+                        log::error!(target: "entry", "entry: {}: {error}", self.running.job.request);
                         return Some(self.fail(&Failure::new(Reason::StreamCut)));
                     }
                 },
-                Ok(None) if !self.running.job.is_model() => return self.whole(),
+                Ok(None) if !self.running.job.is_model() => return self.finish(),
                 Ok(None) => Failure::new(Reason::StreamCut),
                 Err(failure) => failure,
             };
-            if let Err(failure) = self.take_up(failure).await {
+            if let Err(failure) = self.resume_stream(failure).await {
                 return Some(self.fail(&failure));
             }
         }
-        // The home hears no cancellation of what it has nearly ended. An end mark
-        // is the end, however the connection behind it ends.
-        while self.cutter.is_done() && matches!(self.running.attempt.next().await, Ok(Some(_))) {}
+        // Drains the attempt: dropping it early would cancel a request that the home is about
+        // to end. After the end mark, how the connection ends doesn't matter.
+        while self.splitter.is_done() && matches!(self.running.attempt.next().await, Ok(Some(_))) {}
         None
     }
 
-    fn whole(&mut self) -> Option<Bytes> {
+    fn finish(&mut self) -> Option<Bytes> {
         self.flight.answered();
-        let rest = self.cutter.rest();
+        let rest = self.splitter.take_rest();
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// Takes the stream up again after the last token that the caller has.
-    async fn take_up(&mut self, failure: Failure) -> Result<(), Failure> {
-        let possible = self.running.job.is_model() && self.cutter.is_resumable();
+    /// Resumes the stream after the last token that the caller has.
+    async fn resume_stream(&mut self, failure: Failure) -> Result<(), Failure> {
+        let possible = self.running.job.is_model() && self.splitter.is_resumable();
         let endpoint = self.running.head.endpoint.clone();
         let Some(endpoint) = endpoint.filter(|_| possible) else {
             return Err(failure);
         };
-        // Word to the lost home would end the stream that is taken up.
-        self.running.attempt.forget();
+        // A cancellation at the lost home would end the stream that is being resumed.
+        self.running.attempt.detach();
         let mut lost: Vec<DaemonId> = failure.lost.iter().cloned().collect();
         while self.resumes < MAX_RESUMES {
             self.resumes += 1;
             let point = ResumePoint {
                 endpoint: endpoint.clone(),
                 stream: self.stream.clone(),
-                from: self.cutter.last(),
+                from: self.splitter.last_token(),
             };
-            let tries = self.running.tries;
-            self.running.tries += 1;
-            match resume(&self.context, &self.running.job, tries, &point, &lost).await {
+            let attempts = self.running.attempts;
+            self.running.attempts += 1;
+            match resume(&self.context, &self.running.job, attempts, &point, &lost).await {
                 Ok(attempt) => {
                     log::info!(target: "entry", "entry: {} resumed after token {}", self.running.job.request, point.from);
                     self.context.metrics.resumed.inc();
-                    self.cutter.cut();
+                    self.splitter.discard_partial();
                     self.running.attempt = attempt;
                     return Ok(());
                 }
@@ -261,7 +262,7 @@
         Err(failure)
     }
 
-    /// The event that tells the caller of a cut.
+    /// Records the failure; returns the event that reports it to the caller.
     fn fail(&mut self, failure: &Failure) -> Bytes {
         let failure = failure.clone().with_outcome(Outcome::Ran);
         self.flight.failed(&failure);
@@ -273,34 +274,37 @@
     }
 }
 
-/// Pause before a stream is taken up once more.
+/// Pause between two attempts to resume a stream.
 const RESUME_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
 
-fn event_stream(pump: Pump) -> impl Stream<Item = Result<Bytes, Cut>> + Send {
-    stream::unfold(pump, |mut pump| async move {
-        let events = pump.events().await?;
-        Some((Ok(events), pump))
+fn event_stream(relay: StreamRelay) -> impl Stream<Item = Result<Bytes, Truncated>> + Send {
+    stream::unfold(relay, |mut relay| async move {
+        let events = relay.next_events().await?;
+        Some((Ok(events), relay))
     })
 }
 
-fn byte_stream(pump: Pump, start: Bytes) -> impl Stream<Item = Result<Bytes, Cut>> + Send {
-    stream::unfold((pump, Some(start)), |(mut pump, start)| async move {
+fn byte_stream(
+    relay: StreamRelay,
+    start: Bytes,
+) -> impl Stream<Item = Result<Bytes, Truncated>> + Send {
+    stream::unfold((relay, Some(start)), |(mut relay, start)| async move {
         if let Some(start) = start {
-            return Some((Ok(start), (pump, None)));
+            return Some((Ok(start), (relay, None)));
         }
-        if pump.flight.is_over() {
+        if relay.flight.is_ended() {
             return None;
         }
-        match pump.running.attempt.next().await {
-            Ok(Some(piece)) => Some((Ok(piece), (pump, None))),
+        match relay.running.attempt.next().await {
+            Ok(Some(chunk)) => Some((Ok(chunk), (relay, None))),
             Ok(None) => {
-                pump.flight.answered();
+                relay.flight.answered();
                 None
             }
             Err(failure) => {
-                pump.fail(&failure);
+                relay.fail(&failure);
                 let reason = failure.reason;
-                Some((Err(Cut { reason }), (pump, None)))
+                Some((Err(Truncated { reason }), (relay, None)))
             }
         }
     })
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request: sends it to a home and receives what comes back.
+//! One attempt of a request: sends it to a home and receives the answer.
 
 use std::sync::Arc;
 
@@ -14,40 +14,40 @@
 use super::attempts::Arrival;
 use crate::context::Context;
 
-/// Result of waiting for an answer.
+/// Result of an attempt.
 pub type Result<T> = std::result::Result<T, Failure>;
 
-/// Why a try gave no whole answer.
+/// Why an attempt gave no complete answer.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Failure {
-    /// The reason.
+    /// The reason reported to the caller.
     pub reason: Reason,
-    /// Whether it ran at an endpoint; for a keyed request, whether any with its key did.
+    /// Whether the request ran at an endpoint; for a keyed one, whether any with its key did.
     pub outcome: Outcome,
-    /// What is known of this request alone, where that differs.
-    pub own: Option<Outcome>,
-    /// When to come back, if that helps.
-    pub after: Option<Millis>,
-    /// The endpoint that was tried, if known.
+    /// The outcome of this request alone, where it differs.
+    pub own_outcome: Option<Outcome>,
+    /// Time after which a retry may succeed, if known.
+    pub retry_after: Option<Millis>,
+    /// The endpoint that was attempted, if known.
     pub endpoint: Option<EndpointId>,
     /// The daemon that was lost, if one was.
     pub lost: Option<DaemonId>,
 }
 
 impl Failure {
-    /// A failure that says of the request what its reason says.
+    /// A failure with the outcome that its reason implies.
     pub const fn new(reason: Reason) -> Self {
         Self {
             reason,
             outcome: reason.outcome(),
-            own: None,
-            after: None,
+            own_outcome: None,
+            retry_after: None,
             endpoint: None,
             lost: None,
         }
     }
 
-    /// Takes in what earlier tries say of the request: "not run" holds only if it holds for all.
+    /// Combines the outcome with that of earlier attempts: "not run" only if none of them ran.
     #[must_use]
     pub fn with_earlier(mut self, earlier: Outcome) -> Self {
         if self.outcome == Outcome::NotRun && earlier != Outcome::NotRun {
@@ -56,7 +56,7 @@
         self
     }
 
-    /// A refusal of a keyed request without a claim: an earlier one with its key may have run.
+    /// A refusal of a keyed request that has no claim: an earlier one with its key may have run.
     pub fn unclaimed(reason: Reason) -> Self {
         let failure = Self::new(reason);
         if failure.outcome != Outcome::NotRun || reason == Reason::KeyReused {
@@ -64,21 +64,21 @@
         }
         Self {
             outcome: Outcome::Unknown,
-            own: Some(Outcome::NotRun),
+            own_outcome: Some(Outcome::NotRun),
             ..failure
         }
     }
 
-    /// The same failure, given up because too much of the work is retries.
+    /// The same failure, not retried because the retry budget is spent.
     ///
-    /// What is known of the request stays.
+    /// The outcome stays.
     #[must_use]
     pub const fn without_retry(mut self) -> Self {
         self.reason = Reason::RetryBudget;
         self
     }
 
-    /// Sets what is known of the request.
+    /// Sets the outcome.
     #[must_use]
     pub const fn with_outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
@@ -97,24 +97,25 @@
     pub headers: Vec<Header>,
 }
 
-/// One try. Dropped before its end, it cancels the request.
-pub struct Try {
+/// One attempt. Dropping it before its end cancels the request.
+pub struct Attempt {
     context: Arc<Context>,
     id: AttemptId,
     daemon: DaemonId,
     arrivals: mpsc::UnboundedReceiver<Arrival>,
     /// Bytes of the answer received.
     offset: u64,
-    /// Bytes consumed and not yet given back as credit.
-    owed: u64,
+    /// Bytes consumed and not yet returned as credit.
+    uncredited: u64,
     /// Whether nothing more is expected.
     ended: bool,
-    /// When the next piece has to be here.
+    /// When the next frame must have arrived.
     deadline: Instant,
+    /// Longest wait between two frames.
     gap: Millis,
 }
 
-impl Try {
+impl Attempt {
     /// Sends a request to a daemon.
     ///
     /// # Errors
@@ -125,7 +126,7 @@
         id: AttemptId,
         daemon: &DaemonId,
         forward: Forward,
-        waits: Waits,
+        timeouts: Timeouts,
     ) -> Result<Self> {
         let arrivals = context.attempts.open(id, daemon.clone());
         let this = Self {
@@ -134,27 +135,27 @@
             daemon: daemon.clone(),
             arrivals,
             offset: 0,
-            owed: 0,
+            uncredited: 0,
             ended: false,
-            deadline: Instant::now() + waits.head.as_duration(),
-            gap: waits.gap,
+            deadline: Instant::now() + timeouts.head.as_duration(),
+            gap: timeouts.gap,
         };
         match context.peers.send(daemon, Body::Forward(forward)).await {
             Ok(()) => Ok(this),
             Err(error) => {
-                log::info!(target: "entry", "entry: {id} can't go to {daemon}: {error}");
-                Err(this.not_sent())
+                log::info!(target: "entry", "entry: {id} can't be sent to {daemon}: {error}");
+                Err(this.unreachable())
             }
         }
     }
 
-    /// Identifier of the try.
+    /// Identifier of the attempt.
     pub const fn id(&self) -> AttemptId {
         self.id
     }
 
-    /// Leaves the request to end by itself: it isn't cancelled when this is dropped.
-    pub const fn forget(&mut self) {
+    /// Lets the request end by itself: dropping this no longer cancels it.
+    pub const fn detach(&mut self) {
         self.ended = true;
     }
 
@@ -162,7 +163,7 @@
     ///
     /// # Errors
     ///
-    /// When the request was refused, or whoever had it is lost.
+    /// When the request was refused, the daemon that had it is lost, or the head timed out.
     pub async fn head(&mut self) -> Result<Head> {
         loop {
             match self.receive().await? {
@@ -170,18 +171,18 @@
                     self.deadline = Instant::now() + self.gap.as_duration();
                     return Ok(head(accepted));
                 }
-                Body::Passed(passed) => self.passed(&passed.to)?,
+                Body::Passed(passed) => self.passed_on(&passed.to)?,
                 Body::Refused(refused) => return Err(self.refused(&refused)),
-                _ => return Err(self.broken()),
+                _ => return Err(self.protocol_error()),
             }
         }
     }
 
-    /// The next piece of the answer; `None` after the whole of it.
+    /// The next chunk of the answer; `None` after the last.
     ///
     /// # Errors
     ///
-    /// When the answer is cut short.
+    /// When the answer ends before it is complete, or the next chunk times out.
     pub async fn next(&mut self) -> Result<Option<Bytes>> {
         self.give_credit().await;
         if self.ended {
@@ -191,7 +192,7 @@
         match self.receive().await? {
             Body::Chunk(chunk) => self.chunk(chunk).map(Some),
             Body::End(end) => self.end(&end),
-            _ => Err(self.broken()),
+            _ => Err(self.protocol_error()),
         }
     }
 
@@ -209,8 +210,8 @@
         }
     }
 
-    fn passed(&mut self, to: &str) -> Result<()> {
-        self.daemon = to.parse().map_err(|_| self.broken())?;
+    fn passed_on(&mut self, to: &str) -> Result<()> {
+        self.daemon = to.parse().map_err(|_| self.protocol_error())?;
         let view = self.context.fleet.borrow();
         if view.peers.contains_key(&self.daemon) {
             return Ok(());
@@ -222,12 +223,12 @@
 
     fn chunk(&mut self, chunk: Chunk) -> Result<Bytes> {
         if chunk.offset != self.offset {
-            log::error!(target: "entry", "entry: {} got offset {} for {}", self.id, chunk.offset, self.offset);
-            return Err(self.broken());
+            log::error!(target: "entry", "entry: {} received offset {}, expected {}", self.id, chunk.offset, self.offset);
+            return Err(self.protocol_error());
         }
-        self.context.attempts.taken(&chunk);
+        self.context.attempts.consumed(&chunk);
         self.offset += chunk.data.len() as u64;
-        self.owed += chunk.data.len() as u64;
+        self.uncredited += chunk.data.len() as u64;
         Ok(chunk.data)
     }
 
@@ -237,22 +238,22 @@
             return Err(Failure::new(reason));
         }
         if end.length != self.offset {
-            return Err(self.broken());
+            return Err(self.protocol_error());
         }
         Ok(None)
     }
 
-    /// Gives back room for what the caller has taken, in few messages.
+    /// Returns credit for what the caller has taken, a quarter window or more at a time.
     async fn give_credit(&mut self) {
         let window = self.context.settings.limits.window.0;
-        if self.ended || self.owed < window / 4 {
+        if self.ended || self.uncredited < window / 4 {
             return;
         }
         let credit = Credit {
             attempt: Some(self.id.into()),
-            bytes: std::mem::take(&mut self.owed),
+            bytes: std::mem::take(&mut self.uncredited),
         };
-        // A lost link shows as a lost try.
+        // A lost link is reported as `Arrival::Lost`.
         let _ = self
             .context
             .peers
@@ -271,26 +272,26 @@
         Failure {
             reason,
             outcome,
-            own: None,
-            after: (refused.after > 0).then_some(Millis(refused.after)),
+            own_outcome: None,
+            retry_after: (refused.after > 0).then_some(Millis(refused.after)),
             endpoint: refused.endpoint.parse().ok(),
             lost: None,
         }
     }
 
-    fn not_sent(mut self) -> Failure {
+    fn unreachable(mut self) -> Failure {
         self.ended = true;
         let mut failure = Failure::new(Reason::HomeLost).with_outcome(Outcome::NotRun);
         failure.lost = Some(self.daemon.clone());
         failure
     }
 
-    const fn broken(&self) -> Failure {
+    const fn protocol_error(&self) -> Failure {
         Failure::new(Reason::StreamCut).with_outcome(Outcome::Unknown)
     }
 }
 
-impl Drop for Try {
+impl Drop for Attempt {
     fn drop(&mut self) {
         if self.ended {
             self.context.attempts.close(self.id, &mut self.arrivals);
@@ -302,7 +303,7 @@
         let (_, closed) = mpsc::unbounded_channel();
         let mut arrivals = std::mem::replace(&mut self.arrivals, closed);
         tokio::spawn(async move {
-            // If the home can't be told, its own timeout ends the work.
+            // If the cancellation doesn't arrive, the home's own timeout ends the work.
             let _ = context
                 .peers
                 .send(
@@ -313,19 +314,19 @@
                     }),
                 )
                 .await;
-            // Held until now: a frame that finds no try has the home drop the request, which
-            // must not reach it before the word that the engine is to end the work.
+            // Stays open until the cancellation is sent. A frame for a closed attempt makes the
+            // home drop the request without cancelling it at the engine, which must not come first.
             context.attempts.close(id, &mut arrivals);
         });
     }
 }
 
-/// How long to wait for the parts of an answer.
+/// Longest waits for the parts of an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits {
-    /// For its head.
+pub struct Timeouts {
+    /// Until the head.
     pub head: Millis,
-    /// Between two pieces.
+    /// Between two chunks.
     pub gap: Millis,
 }
 
--- a/crates/daemon/src/entry/attempts.rs
+++ b/crates/daemon/src/entry/attempts.rs
@@ -1,7 +1,7 @@
-//! The tries that wait for an answer, by their identifier.
+//! The attempts that wait for an answer, by identifier.
 //!
-//! A frame for a try that isn't held, or from a daemon that doesn't have it,
-//! goes nowhere.
+//! A frame is dropped if its attempt isn't in the table, or if it comes from a
+//! daemon that doesn't have the attempt.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,37 +12,37 @@
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::sync::mpsc;
 
-/// What reaches a try.
+/// What an attempt receives.
 #[derive(Debug)]
 pub enum Arrival {
     /// A frame of its answer.
     Frame(Box<Body>),
-    /// The daemon that had it is gone.
+    /// The daemon that had it is lost.
     Lost,
 }
 
-/// Table of the tries of one entry. Cheap to clone.
+/// Open attempts of one entry. Cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptTable {
-    table: Arc<Mutex<HashMap<AttemptId, Waiting>>>,
-    /// Bytes of answers that were received and not yet taken.
+    table: Arc<Mutex<HashMap<AttemptId, Waiter>>>,
+    /// Bytes of answers that were received and not yet consumed.
     buffered: Gauge,
 }
 
 #[derive(Debug)]
-struct Waiting {
-    /// The daemon that should have it.
+struct Waiter {
+    /// The daemon that is expected to answer.
     daemon: DaemonId,
     /// The process that answers, once one does.
     bound: Option<PeerId>,
     sender: mpsc::UnboundedSender<Arrival>,
 }
 
-impl Waiting {
-    /// Takes note of who sends a frame; false if that one has no part in the try.
+impl Waiter {
+    /// Records the sender of a frame; false if it isn't the one that has the attempt.
     ///
-    /// A home that the request was passed to may be heard before the word of its passing.
-    fn admits(&mut self, from: &PeerId, body: &Body) -> bool {
+    /// Frames of a home that the request was passed to may arrive before `Passed` does.
+    fn accepts(&mut self, from: &PeerId, body: &Body) -> bool {
         if let Some(bound) = &self.bound {
             return bound == from;
         }
@@ -61,7 +61,7 @@
         known
     }
 
-    fn is_with(&self, peer: &PeerId) -> bool {
+    fn belongs_to(&self, peer: &PeerId) -> bool {
         match &self.bound {
             Some(bound) => bound == peer,
             None => self.daemon == peer.daemon,
@@ -70,7 +70,7 @@
 }
 
 impl AttemptTable {
-    /// An empty table that shows the bytes it holds in a gauge.
+    /// An empty table that reports its buffered bytes in a gauge.
     pub fn new(buffered: Gauge) -> Self {
         Self {
             table: Arc::default(),
@@ -78,73 +78,73 @@
         }
     }
 
-    /// Holds a try that goes to a daemon. Credit bounds what its channel can hold.
+    /// Adds an attempt sent to a daemon. Credit bounds the size of its unbounded channel.
     pub fn open(&self, id: AttemptId, to: DaemonId) -> mpsc::UnboundedReceiver<Arrival> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        let waiting = Waiting {
+        let waiter = Waiter {
             daemon: to,
             bound: None,
             sender,
         };
-        self.lock().insert(id, waiting);
+        self.lock().insert(id, waiter);
         receiver
     }
 
-    /// Lets go of a try and of what has come for it.
+    /// Removes an attempt and discards the frames that it hasn't read.
     pub fn close(&self, id: AttemptId, arrivals: &mut mpsc::UnboundedReceiver<Arrival>) {
         self.lock().remove(&id);
         while let Ok(arrival) = arrivals.try_recv() {
             if let Arrival::Frame(body) = arrival
                 && let Body::Chunk(chunk) = *body
             {
-                self.taken(&chunk);
+                self.consumed(&chunk);
             }
         }
     }
 
-    /// Notes that a try has taken a piece of its answer.
-    pub fn taken(&self, chunk: &Chunk) {
+    /// Subtracts a chunk that an attempt has read from the buffered bytes.
+    pub fn consumed(&self, chunk: &Chunk) {
         self.buffered.dec_by(size(chunk));
     }
 
-    /// Hands a frame to its try; false if none holds it with that daemon.
+    /// Delivers a frame to its attempt; false if there is none at that daemon.
     pub fn deliver(&self, from: &PeerId, body: Body) -> bool {
         let Some(id) = attempt_of(&body).and_then(Attempt::id) else {
             return false;
         };
         let mut table = self.lock();
-        let Some(waiting) = table.get_mut(&id) else {
+        let Some(waiter) = table.get_mut(&id) else {
             return false;
         };
-        if !waiting.admits(from, &body) {
+        if !waiter.accepts(from, &body) {
             return false;
         }
         if let Body::Chunk(chunk) = &body {
             self.buffered.inc_by(size(chunk));
         }
-        waiting.sender.send(Arrival::Frame(Box::new(body))).is_ok()
+        waiter.sender.send(Arrival::Frame(Box::new(body))).is_ok()
     }
 
-    /// Tells all tries with a process that it is gone.
+    /// Notifies all attempts at a peer process that it is lost.
     pub fn peer_lost(&self, peer: &PeerId) {
-        for waiting in self.lock().values() {
-            if waiting.is_with(peer) {
-                let _ = waiting.sender.send(Arrival::Lost);
+        for waiter in self.lock().values() {
+            if waiter.belongs_to(peer) {
+                let _ = waiter.sender.send(Arrival::Lost);
             }
         }
     }
 
-    /// Tries held.
+    /// Number of open attempts.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether none is held.
+    /// Whether no attempt is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<AttemptId, Waiting>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<AttemptId, Waiter>> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/entry/connections.rs
+++ b/crates/daemon/src/entry/connections.rs
@@ -1,7 +1,7 @@
-//! Watches callers' connections, and counts those that bring no request.
+//! Counts callers' connections, and those that end without a valid request.
 //!
-//! What isn't HTTP never reaches a handler: the HTTP library answers and
-//! closes. Such a connection is known by its end.
+//! Input that isn't HTTP never reaches a handler: the HTTP library answers it
+//! and closes. Such a connection is counted when it ends.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 
 use crate::metrics::Metrics;
 
-/// Nothing was sent before the connection ended.
+/// Label: nothing was sent before the connection ended.
 const SILENT: &str = "silent";
-/// What was sent was no request: broken, too large or too slow a head.
+/// Label: the request head was malformed, too large or too slow.
 const BROKEN: &str = "broken";
 
 /// Callers' connections. Cheap to clone.
@@ -23,12 +23,12 @@
 pub struct Connections {
     fuse: FuseConfig,
     metrics: Arc<Metrics>,
-    /// Whether a request has come, by the address of the caller's side.
+    /// Whether a request was read, by the caller's address.
     served: Arc<Mutex<HashMap<SocketAddr, bool>>>,
 }
 
 impl Connections {
-    /// None yet; each is held to these timeouts.
+    /// No connections yet; each gets the timeouts of `fuse`.
     pub fn new(fuse: FuseConfig, metrics: Arc<Metrics>) -> Self {
         Self {
             fuse,
@@ -55,7 +55,7 @@
         Some(Arc::new(Connection {
             all: self.clone(),
             remote,
-            heard: AtomicBool::new(false),
+            received: AtomicBool::new(false),
         }))
     }
 }
@@ -78,16 +78,16 @@
     }
 }
 
-/// One connection, until its end.
+/// Observes one connection until its end.
 struct Connection {
     all: Connections,
     remote: SocketAddr,
-    heard: AtomicBool,
+    received: AtomicBool,
 }
 
 impl ConnObserver for Connection {
     fn on_read(&self, _bytes: usize) {
-        self.heard.store(true, Ordering::Relaxed);
+        self.received.store(true, Ordering::Relaxed);
     }
 }
 
@@ -98,9 +98,9 @@
         if served == Some(true) {
             return;
         }
-        let heard = self.heard.load(Ordering::Relaxed);
+        let received = self.received.load(Ordering::Relaxed);
         self.all
             .metrics
-            .unserved(if heard { BROKEN } else { SILENT });
+            .unserved(if received { BROKEN } else { SILENT });
     }
 }
--- a/crates/daemon/src/entry/flight.rs
+++ b/crates/daemon/src/entry/flight.rs
@@ -1,4 +1,4 @@
-//! A request in flight at this entry, counted until its end.
+//! A request in flight at this entry, counted and tracked until its end.
 
 use std::sync::Arc;
 
@@ -11,54 +11,54 @@
 use crate::context::Context;
 use crate::limits::Permit;
 
-/// Counts a request from its start to its end. Dropped before its end, the
-/// caller went away.
-pub struct Flight {
+/// Counts a request from its start to its end. Dropping it before the end
+/// means that the caller disconnected.
+pub struct InFlight {
     context: Arc<Context>,
     request: RequestId,
-    over: bool,
-    end: Option<OnEnd>,
+    ended: bool,
+    on_end: Option<EndCallback>,
     permit: Option<Permit>,
 }
 
-/// Called once with the end of a flight.
-type OnEnd = Box<dyn FnOnce(State) + Send>;
+/// Called once with the final state of a request.
+type EndCallback = Box<dyn FnOnce(State) + Send>;
 
-impl Flight {
-    /// Starts to count a request.
+impl InFlight {
+    /// Counts a request and records it as running.
     pub fn new(context: &Arc<Context>, request: RequestId) -> Self {
         context.metrics.in_flight.inc();
-        context.tracker.note(request, State::Running);
+        context.tracker.record(request, State::Running);
         Self {
             context: Arc::clone(context),
             request,
-            over: false,
-            end: None,
+            ended: false,
+            on_end: None,
             permit: None,
         }
     }
 
-    /// Keeps the account's room until the flight's end.
+    /// Keeps the account's permit until the request ends.
     #[must_use]
     pub fn with_permit(mut self, permit: Permit) -> Self {
         self.permit = Some(permit);
         self
     }
 
-    /// Calls `end` with the flight's own end.
+    /// Calls `end` with the final state when the request ends.
     #[must_use]
-    pub fn with_end(mut self, end: impl FnOnce(State) + Send + 'static) -> Self {
-        self.end = Some(Box::new(end));
+    pub fn with_callback(mut self, end: impl FnOnce(State) + Send + 'static) -> Self {
+        self.on_end = Some(Box::new(end));
         self
     }
 
-    /// Notes that the whole answer was handed over.
+    /// Records that the complete response was handed to the connection.
     pub fn answered(&mut self) {
         self.context.metrics.answered.inc();
         self.end(State::Answered);
     }
 
-    /// Notes that the request was refused or broken off.
+    /// Records that the request was refused or cut short.
     pub fn failed(&mut self, failure: &Failure) {
         self.context.metrics.refuse(failure.reason);
         self.end(State::Failed {
@@ -67,28 +67,28 @@
         });
     }
 
-    /// Whether the end was noted.
-    pub const fn is_over(&self) -> bool {
-        self.over
+    /// Whether the end was recorded.
+    pub const fn is_ended(&self) -> bool {
+        self.ended
     }
 
     fn end(&mut self, state: State) {
-        if self.over {
+        if self.ended {
             return;
         }
-        self.over = true;
+        self.ended = true;
         self.permit = None;
         self.context.metrics.in_flight.dec();
-        self.context.tracker.note(self.request, state);
-        if let Some(end) = self.end.take() {
+        self.context.tracker.record(self.request, state);
+        if let Some(end) = self.on_end.take() {
             end(state);
         }
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        if self.over {
+        if self.ended {
             return;
         }
         self.context.metrics.refuse(Reason::Cancelled);
--- a/crates/daemon/src/entry/handlers.rs
+++ b/crates/daemon/src/entry/handlers.rs
@@ -1,4 +1,4 @@
-//! What is served to callers: requests, their state, health and counters.
+//! The HTTP handlers for callers: requests, their state, health and metrics.
 
 use std::sync::Arc;
 
@@ -14,23 +14,23 @@
 
 use super::answer::{Reply, respond, write_head};
 use super::attempt::Failure;
-use super::flight::Flight;
+use super::flight::InFlight;
 use super::job::Job;
 use super::keyed;
 use super::problem::Problem;
-use super::request::{Arrived, authorise, read};
+use super::request::{IncomingRequest, authorise, read};
 use super::tracker::State;
 use crate::context::{Context, NO_CONFIGURATION};
 
-/// Names a request in every answer.
+/// Response header with the identifier of the request.
 pub const REQUEST_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Takes callers' requests.
-pub struct Calls(pub Arc<Context>);
+/// Handler for callers' requests.
+pub struct CallerRequests(pub Arc<Context>);
 
 #[async_trait]
-impl Handler for Calls {
+impl Handler for CallerRequests {
     async fn handle(
         &self,
         request: &mut Request,
@@ -50,23 +50,23 @@
     }
 }
 
-impl Calls {
+impl CallerRequests {
     async fn serve(
         &self,
         id: RequestId,
         request: &mut Request,
         response: &mut Response,
     ) -> Result<(), Box<Problem>> {
-        let job = self.job(id, request).await;
-        let job = job.inspect_err(|problem| self.refuse(id, problem))?;
-        let flight = Flight::new(&self.0, id);
-        let mut flight = self.enter(&job, flight).await?;
+        let job = self.read_job(id, request).await;
+        let job = job.inspect_err(|problem| self.record_refusal(id, problem))?;
+        let flight = InFlight::new(&self.0, id);
+        let mut flight = self.acquire_permit(&job, flight).await?;
         if let Some(keyed) = job.keyed.clone() {
             let served = keyed::serve(&self.0, job, keyed, flight, response).await;
             return served.map_err(|failure| Box::new(Problem::of(&failure)));
         }
         match respond(&self.0, job).await {
-            Ok(Reply::Whole(head, body)) => {
+            Ok(Reply::Complete(head, body)) => {
                 write_head(&head, response);
                 response.body = ResBody::Once(body);
                 flight.answered();
@@ -84,33 +84,37 @@
         }
     }
 
-    /// Takes room of the request's account.
-    async fn enter(&self, job: &Job, mut flight: Flight) -> Result<Flight, Box<Problem>> {
-        let ask = job.ask(self.0.incarnation());
-        match self.0.limits.enter(ask).await {
+    /// Acquires a permit from the limits of the request's account.
+    async fn acquire_permit(
+        &self,
+        job: &Job,
+        mut flight: InFlight,
+    ) -> Result<InFlight, Box<Problem>> {
+        let request = job.permit_request(self.0.incarnation());
+        match self.0.limits.enter(request).await {
             Ok(permit) => Ok(flight.with_permit(permit)),
             Err(refusal) => {
                 let mut failure = match job.keyed {
                     Some(_) => Failure::unclaimed(refusal.reason),
                     None => Failure::new(refusal.reason),
                 };
-                failure.after = Some(refusal.after);
+                failure.retry_after = Some(refusal.after);
                 flight.failed(&failure);
                 Err(Box::new(Problem::of(&failure)))
             }
         }
     }
 
-    /// Reads and classifies a request; one without a known key isn't read in full.
-    async fn job(&self, id: RequestId, request: &mut Request) -> Result<Job, Box<Problem>> {
+    /// Reads and classifies a request; the body is read only if the key is known.
+    async fn read_job(&self, id: RequestId, request: &mut Request) -> Result<Job, Box<Problem>> {
         if self.0.unready() == Some(NO_CONFIGURATION) {
             let problem = Problem::new(Reason::NotReady);
             return Err(Box::new(problem.with_detail(NO_CONFIGURATION)));
         }
         authorise(&self.0.config.borrow(), request.headers())?;
-        let body = self.body(request).await?;
+        let body = self.read_body(request).await?;
         let path = request.uri().path_and_query().map(ToString::to_string);
-        let arrived = Arrived {
+        let incoming = IncomingRequest {
             id,
             method: request.method(),
             path: path.unwrap_or_else(|| "/".into()),
@@ -118,20 +122,20 @@
             body,
         };
         let view = self.0.config.borrow().clone();
-        read(&view, arrived)
+        read(&view, incoming)
     }
 
-    /// The whole body, within its limits.
-    async fn body(&self, request: &mut Request) -> Result<Bytes, Box<Problem>> {
+    /// Reads the complete body, within its limits of size and time.
+    async fn read_body(&self, request: &mut Request) -> Result<Bytes, Box<Problem>> {
         let limits = &self.0.settings.limits;
         let limit = usize::try_from(limits.body.0).unwrap_or(usize::MAX);
-        let announced = request.body().size_hint().lower();
+        let declared = request.body().size_hint().lower();
         let read = request.payload_with_max_size(limit);
         let problem = |reason: Reason, detail: String| {
             Err(Box::new(Problem::new(reason).with_detail(detail)))
         };
         let large = || format!("body: more than {limit} bytes");
-        if announced > limits.body.0 {
+        if declared > limits.body.0 {
             return problem(Reason::TooLarge, large());
         }
         match timeout(limits.body_wait.as_duration(), read).await {
@@ -145,18 +149,18 @@
         }
     }
 
-    /// Counts and notes a request that goes no further.
-    fn refuse(&self, id: RequestId, problem: &Problem) {
+    /// Counts and records a request that was refused before it was sent to a home.
+    fn record_refusal(&self, id: RequestId, problem: &Problem) {
         self.0.metrics.refuse(problem.reason());
         let state = State::Failed {
             code: problem.reason(),
             outcome: Outcome::NotRun,
         };
-        self.0.tracker.note(id, state);
+        self.0.tracker.record(id, state);
     }
 }
 
-/// Tells what became of a request.
+/// Handler for the state of a request.
 pub struct RequestState(pub Arc<Context>);
 
 #[async_trait]
@@ -190,7 +194,7 @@
     }
 }
 
-/// Says that the process runs.
+/// Liveness handler: the process runs.
 pub struct Live;
 
 #[async_trait]
@@ -206,7 +210,7 @@
     }
 }
 
-/// Says whether the daemon takes callers.
+/// Readiness handler: whether the daemon serves callers.
 pub struct Ready(pub Arc<Context>);
 
 #[async_trait]
@@ -220,19 +224,19 @@
     ) {
         match self.0.unready() {
             None => response.render("ready\n"),
-            Some(why) => {
+            Some(reason) => {
                 response.status_code(StatusCode::SERVICE_UNAVAILABLE);
-                response.render(format!("{why}\n"));
+                response.render(format!("{reason}\n"));
             }
         }
     }
 }
 
-/// Shows the counters.
-pub struct Counters(pub Arc<Context>);
+/// Handler for the metrics, as OpenMetrics text.
+pub struct MetricsPage(pub Arc<Context>);
 
 #[async_trait]
-impl Handler for Counters {
+impl Handler for MetricsPage {
     async fn handle(
         &self,
         _request: &mut Request,
--- a/crates/daemon/src/entry/job.rs
+++ b/crates/daemon/src/entry/job.rs
@@ -13,15 +13,15 @@
 use super::keyed::Keyed;
 use crate::limits::Ask;
 
-/// Bytes of text that are taken for one token where only text is known.
-pub const TOKEN_BYTES: u64 = 4;
+/// Bytes of text counted as one token, where the token count isn't known.
+pub const BYTES_PER_TOKEN: u64 = 4;
 
-/// A request on its way.
+/// A request with all that is needed to send it to homes.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Its identifier.
     pub request: RequestId,
-    /// Whose it is.
+    /// The institution that sent it.
     pub institution: InstitutionId,
     /// The account that sent it.
     pub account: AccountId,
@@ -30,7 +30,7 @@
     /// The pool that serves it.
     pub pool: PoolId,
     /// The pool's settings.
-    pub terms: Pool,
+    pub pool_settings: Pool,
     /// The chat, if it belongs to one.
     pub chat: Option<ChatHash>,
     /// Estimated prompt.
@@ -39,7 +39,7 @@
     pub output: Tokens,
     /// Whether a second run does no harm.
     pub idempotent: bool,
-    /// What makes it safe to repeat, if a second run does harm.
+    /// What makes it safe to retry, if a second run does harm.
     pub keyed: Option<Keyed>,
     /// Longest wait before it runs.
     pub patience: Millis,
@@ -47,15 +47,15 @@
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Headers that travel on.
+    /// Headers forwarded to the endpoint.
     pub headers: Vec<Header>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Job {
-    /// What the account's limits are asked.
-    pub fn ask(&self, sender: Incarnation) -> Ask {
+    /// The request for a permit within the account's limits.
+    pub fn permit_request(&self, sender: Incarnation) -> Ask {
         Ask {
             id: AttemptId {
                 request: self.request,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// What ranks the pool's endpoints: the chat, else the request itself.
-    pub const fn key(&self) -> u64 {
+    /// The key that ranks the pool's endpoints: the chat, else the request itself.
+    pub const fn ranking_key(&self) -> u64 {
         match self.chat {
             Some(chat) => chat.0,
             None => self.request.0 as u64,
@@ -77,15 +77,15 @@
 
     /// Whether a model engine serves it.
     pub fn is_model(&self) -> bool {
-        self.terms.kind == PoolKind::Model
+        self.pool_settings.kind == PoolKind::Model
     }
 
-    /// The name under which an engine holds the stream of one try.
+    /// The name of the stream of one attempt at its engine.
     pub fn stream_name(id: AttemptId) -> String {
         format!("{}-{}", id.request, id.number)
     }
 
-    /// The message for one try.
+    /// The message that sends one attempt to a home.
     pub fn forward(
         &self,
         id: AttemptId,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The message that takes up a stream after token `from` at its endpoint.
+    /// The message that resumes a stream at its endpoint after token `point.from`.
     pub fn resume(&self, id: AttemptId, origin: &str, point: &ResumePoint, credit: u64) -> Forward {
         Forward {
             endpoint: point.endpoint.to_string(),
@@ -134,7 +134,7 @@
     }
 }
 
-/// The header by which an engine names a stream.
+/// The header that gives an engine the name of a stream.
 fn stream_header(name: &str) -> Header {
     Header {
         name: "x-request-id".into(),
@@ -142,7 +142,7 @@
     }
 }
 
-/// Where a broken stream can be taken up.
+/// Where a broken stream can be resumed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ResumePoint {
     /// The endpoint that holds it.
--- a/crates/daemon/src/entry/keyed.rs
+++ b/crates/daemon/src/entry/keyed.rs
@@ -1,8 +1,7 @@
-//! Requests that may run at most once.
+//! Requests with an idempotency key, which run at most once.
 //!
-//! Such a request has a task of its own, which goes on if its caller goes
-//! away: the caller may come back with the same key and gets the answer that
-//! was made meanwhile.
+//! Such a request has a task of its own, which continues if the caller
+//! disconnects: a retry with the same key gets the response made meanwhile.
 
 use std::sync::Arc;
 
@@ -15,50 +14,50 @@
 use salvo::http::ResBody;
 use tokio::sync::{mpsc, oneshot};
 
-use super::answer::{Cut, Reply, respond, write_head};
+use super::answer::{Reply, Truncated, respond, write_head};
 use super::attempt::{Failure, Head};
-use super::flight::Flight;
+use super::flight::InFlight;
 use super::job::Job;
 use super::tracker::State;
 use crate::claims::Decision;
 use crate::context::Context;
 
-/// Largest answer that is held for a repeat, in bytes.
-const HOLD: usize = 1 << 20;
+/// Largest response that is kept for a retry, in bytes.
+const MAX_REPLAY_SIZE: usize = 1 << 20;
 
-/// What makes a request safe to repeat.
+/// What makes a non-idempotent request safe to retry.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Keyed {
     /// Hash of institution and key.
     pub key: KeyHash,
-    /// What is asked for.
+    /// Digest of method, path and body, to recognise a key that is reused for another request.
     pub digest: Digest,
     /// How long the key is remembered.
     pub lifetime: Millis,
 }
 
-/// What the request's own task tells its caller.
-enum Piece {
+/// Messages from the request's task to the caller's response.
+enum CallerMessage {
     Head(Head),
     Data(Bytes),
-    Cut(Cut),
+    Truncated(Truncated),
     Failed(Failure),
 }
 
-/// Runs a keyed request and answers with what comes of it.
+/// Runs a keyed request and writes its response.
 ///
 /// # Errors
 ///
-/// The failure to answer with, when nothing has been written.
+/// The failure to report to the caller, if nothing has been written.
 pub async fn serve(
     context: &Arc<Context>,
     job: Job,
     keyed: Keyed,
-    flight: Flight,
+    flight: InFlight,
     response: &mut salvo::Response,
 ) -> Result<(), Failure> {
-    let (sender, mut pieces) = mpsc::unbounded_channel();
-    let run = Run {
+    let (sender, mut messages) = mpsc::unbounded_channel();
+    let run = KeyedRun {
         context: Arc::clone(context),
         flight,
         job,
@@ -66,33 +65,33 @@
         sender,
     };
     tokio::spawn(run.run());
-    match pieces.recv().await {
-        Some(Piece::Head(head)) => {
+    match messages.recv().await {
+        Some(CallerMessage::Head(head)) => {
             write_head(&head, response);
-            response.body = ResBody::stream(stream::unfold(pieces, |mut pieces| async move {
-                let item = match pieces.recv().await? {
-                    Piece::Data(data) => Ok(data),
-                    Piece::Cut(cut) => Err(cut),
-                    Piece::Head(_) | Piece::Failed(_) => return None,
+            response.body = ResBody::stream(stream::unfold(messages, |mut messages| async move {
+                let item = match messages.recv().await? {
+                    CallerMessage::Data(data) => Ok(data),
+                    CallerMessage::Truncated(error) => Err(error),
+                    CallerMessage::Head(_) | CallerMessage::Failed(_) => return None,
                 };
-                Some((item, pieces))
+                Some((item, messages))
             }));
             Ok(())
         }
-        Some(Piece::Failed(failure)) => Err(failure),
+        Some(CallerMessage::Failed(failure)) => Err(failure),
         _ => Err(Failure::new(medlarrill_core::reason::Reason::Internal)),
     }
 }
 
-struct Run {
+struct KeyedRun {
     context: Arc<Context>,
     job: Job,
     keyed: Keyed,
-    flight: Flight,
-    sender: mpsc::UnboundedSender<Piece>,
+    flight: InFlight,
+    sender: mpsc::UnboundedSender<CallerMessage>,
 }
 
-impl Run {
+impl KeyedRun {
     async fn run(mut self) {
         let start = Start {
             request: self.job.request,
@@ -104,12 +103,12 @@
             Decision::Dispatch => self.dispatch().await,
             Decision::Refuse(reason) => self.fail(Failure::unclaimed(reason)),
             Decision::Replay(answer) => {
-                self.tell(Piece::Head(Head {
+                self.send(CallerMessage::Head(Head {
                     endpoint: None,
                     status: answer.status,
                     headers: answer.headers,
                 }));
-                self.tell(Piece::Data(answer.body));
+                self.send(CallerMessage::Data(answer.body));
                 self.flight.answered();
             }
         }
@@ -122,7 +121,7 @@
             return;
         }
         let failure = match respond(&self.context, self.job.clone()).await {
-            Ok(reply) => return self.carry(reply).await,
+            Ok(reply) => return self.relay(reply).await,
             Err(failure) => failure,
         };
         let end = match failure.outcome {
@@ -134,56 +133,56 @@
         self.fail(failure);
     }
 
-    /// Passes the answer on, and holds it for a repeat.
-    async fn carry(mut self, reply: Reply) {
+    /// Relays the response to the caller, and keeps it for a retry.
+    async fn relay(mut self, reply: Reply) {
         let request = self.job.request;
         let head = reply.head().clone();
-        self.tell(Piece::Head(head.clone()));
+        self.send(CallerMessage::Head(head.clone()));
         let stream = match reply {
-            Reply::Whole(_, body) => {
+            Reply::Complete(_, body) => {
                 self.context
                     .claims
-                    .ended(request, End::Ran(Some(held(head, body.clone()))));
-                self.tell(Piece::Data(body));
+                    .ended(request, End::Ran(Some(held_answer(head, body.clone()))));
+                self.send(CallerMessage::Data(body));
                 self.flight.answered();
                 return;
             }
             Reply::Stream(stream) => stream,
         };
-        let (ended, end) = oneshot::channel();
-        let flight = self.flight.with_end(move |state| {
-            let _ = ended.send(state);
+        let (end_sender, end) = oneshot::channel();
+        let flight = self.flight.with_callback(move |state| {
+            let _ = end_sender.send(state);
         });
-        let mut pieces = std::pin::pin!(stream.into_pieces(flight));
+        let mut chunks = std::pin::pin!(stream.into_chunks(flight));
         let mut body = BytesMut::new();
-        while let Some(piece) = pieces.next().await {
-            if let Ok(data) = &piece
-                && body.len() <= HOLD
+        while let Some(chunk) = chunks.next().await {
+            if let Ok(data) = &chunk
+                && body.len() <= MAX_REPLAY_SIZE
             {
                 body.extend_from_slice(data);
             }
-            let _ = self.sender.send(match piece {
-                Ok(data) => Piece::Data(data),
-                Err(cut) => Piece::Cut(cut),
+            let _ = self.sender.send(match chunk {
+                Ok(data) => CallerMessage::Data(data),
+                Err(error) => CallerMessage::Truncated(error),
             });
         }
-        let whole = end.await == Ok(State::Answered) && body.len() <= HOLD;
-        let answer = whole.then(|| held(head, body.freeze()));
+        let complete = end.await == Ok(State::Answered) && body.len() <= MAX_REPLAY_SIZE;
+        let answer = complete.then(|| held_answer(head, body.freeze()));
         self.context.claims.ended(request, End::Ran(answer));
     }
 
     fn fail(mut self, failure: Failure) {
         self.flight.failed(&failure);
-        self.tell(Piece::Failed(failure));
+        self.send(CallerMessage::Failed(failure));
     }
 
-    /// A caller that is gone is told nothing.
-    fn tell(&self, piece: Piece) {
-        let _ = self.sender.send(piece);
+    /// Sends to the caller, unless it has disconnected.
+    fn send(&self, message: CallerMessage) {
+        let _ = self.sender.send(message);
     }
 }
 
-fn held(head: Head, body: Bytes) -> HeldAnswer {
+fn held_answer(head: Head, body: Bytes) -> HeldAnswer {
     HeldAnswer {
         status: head.status,
         headers: head.headers,
--- a/crates/daemon/src/entry/problem.rs
+++ b/crates/daemon/src/entry/problem.rs
@@ -1,4 +1,4 @@
-//! Errors to callers, as problem+json.
+//! Errors to callers, as problem+json (RFC 9457).
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::RequestId;
@@ -12,17 +12,17 @@
 
 /// Media type of problems.
 pub const PROBLEM_JSON: &str = "application/problem+json";
-/// When to come back if nothing better is known.
-const RETRY_DEFAULT: Millis = Millis::from_secs(1);
+/// `Retry-After` if no better time is known.
+const DEFAULT_RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// What a caller is told of a failure.
+/// The error document of a failure.
 #[derive(Clone, PartialEq, Eq, Debug)]
 #[derive(Serialize)]
 pub struct Problem {
-    /// Names the kind of problem.
+    /// URN of the kind of problem.
     #[serde(rename = "type")]
     kind: String,
-    /// A short sentence.
+    /// The reason, in a short sentence.
     title: &'static str,
     /// HTTP status.
     status: u16,
@@ -32,16 +32,16 @@
     reason: Reason,
     /// Whether the request ran.
     outcome: Outcome,
-    /// What is known of this request alone, where that differs.
+    /// The outcome of this request alone, where it differs.
     #[serde(skip_serializing_if = "Option::is_none")]
     this_request: Option<Outcome>,
-    /// More of it.
+    /// What exactly is wrong, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     detail: Option<String>,
-    /// The request.
+    /// Identifier of the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     request: Option<RequestId>,
-    /// Seconds after which to come back.
+    /// Seconds after which to retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after: Option<u64>,
 }
@@ -57,7 +57,7 @@
         let reason = failure.reason;
         let after = reason
             .retryable()
-            .then(|| failure.after.unwrap_or(RETRY_DEFAULT));
+            .then(|| failure.retry_after.unwrap_or(DEFAULT_RETRY_AFTER));
         Self {
             kind: format!("urn:medlarrill:{}", reason.code()),
             title: reason.title(),
@@ -65,7 +65,7 @@
             code: reason.code(),
             reason,
             outcome: failure.outcome,
-            this_request: failure.own,
+            this_request: failure.own_outcome,
             detail: None,
             request: None,
             retry_after: after.map(|after| after.0.div_ceil(1000).max(1)),
@@ -79,24 +79,24 @@
         self
     }
 
-    /// Names the request.
+    /// Adds the identifier of the request.
     #[must_use]
     pub const fn with_request(mut self, request: RequestId) -> Self {
         self.request = Some(request);
         self
     }
 
-    /// The reason, as it is counted.
+    /// The reason, for the metrics.
     pub const fn reason(&self) -> Reason {
         self.reason
     }
 
-    /// The JSON text.
+    /// The problem as JSON.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Writes the problem as the whole response.
+    /// Replaces the response by the problem.
     pub fn write(&self, response: &mut salvo::Response) {
         let status = StatusCode::from_u16(self.status);
         response.status_code(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! Tries a job at homes until one answers.
+//! Sends a job to homes, one attempt after the other, until one answers.
 
 use std::sync::Arc;
 
@@ -7,33 +7,33 @@
 use medlarrill_core::outcome::Outcome;
 use medlarrill_core::reason::Reason;
 
-use super::attempt::{Failure, Head, Result, Try, Waits};
+use super::attempt::{Attempt, Failure, Head, Result, Timeouts};
 use super::job::{Job, ResumePoint};
 use crate::configuration::ConfigView;
 use crate::context::Context;
 
-/// Most tries of one request.
-const MAX_TRIES: u32 = 3;
-/// Most tries to take up a stream without a further event of it.
+/// Most attempts of one request.
+const MAX_ATTEMPTS: u32 = 3;
+/// Most attempts to resume a stream without a further event of it.
 pub const MAX_RESUMES: u32 = 6;
-/// Time allowed beyond the home's own limits, so that the home answers first.
-const MARGIN: Millis = Millis::from_secs(2);
-/// Endpoints looked at for a daemon to send to.
-const RANKS: usize = 8;
+/// Time allowed beyond the home's own timeouts, so that the home's come first.
+const TIMEOUT_MARGIN: Millis = Millis::from_secs(2);
+/// Ranked endpoints considered when a home is chosen.
+const MAX_RANKED: usize = 8;
 
 /// A request that is being answered.
 pub struct Running {
     /// The job.
     pub job: Job,
-    /// The try that answers.
-    pub attempt: Try,
+    /// The attempt that answers.
+    pub attempt: Attempt,
     /// The head of the answer.
     pub head: Head,
-    /// Tries so far.
-    pub tries: u32,
+    /// Attempts so far.
+    pub attempts: u32,
 }
 
-/// Sends a job to homes, further ones where that is safe, until one answers.
+/// Sends a job to homes until one answers, with retries where they are safe.
 ///
 /// # Errors
 ///
@@ -41,38 +41,38 @@
 pub async fn run(context: &Arc<Context>, job: Job) -> Result<Running> {
     let mut tried: Vec<EndpointId> = Vec::new();
     let mut lost: Vec<DaemonId> = Vec::new();
-    let mut tries = 0;
+    let mut attempts = 0;
     let mut outcome = Outcome::NotRun;
     context.limits.first(job.pool.clone());
     loop {
-        let started = attempt(context, &job, tries, &tried, &lost).await;
-        tries += 1;
+        let started = start_attempt(context, &job, attempts, &tried, &lost).await;
+        attempts += 1;
         let failure = match started {
             Ok((attempt, head)) => {
                 return Ok(Running {
                     job,
                     attempt,
                     head,
-                    tries,
+                    attempts,
                 });
             }
             Err(failure) => failure.with_earlier(outcome),
         };
         outcome = failure.outcome;
-        if tries >= MAX_TRIES || !may_retry(&job, &failure) {
+        if attempts >= MAX_ATTEMPTS || !may_retry(&job, &failure) {
             return Err(failure);
         }
         if !context.limits.spend(job.pool.clone()).await {
             return Err(failure.without_retry());
         }
         context.metrics.retry(failure.reason);
-        log::info!(target: "entry", "entry: {} again after {}", job.request, failure.reason);
+        log::info!(target: "entry", "entry: {} retried after {}", job.request, failure.reason);
         tried.extend(failure.endpoint);
         lost.extend(failure.lost);
     }
 }
 
-/// Takes up a broken stream where its endpoint still holds it.
+/// Resumes a broken stream that its endpoint still holds.
 ///
 /// # Errors
 ///
@@ -80,37 +80,37 @@
 pub async fn resume(
     context: &Arc<Context>,
     job: &Job,
-    tries: u32,
+    attempts: u32,
     point: &ResumePoint,
     lost: &[DaemonId],
-) -> Result<Try> {
-    let id = attempt_id(context, job, tries);
+) -> Result<Attempt> {
+    let id = attempt_id(context, job, attempts);
     let config = context.config.borrow().clone();
     let daemon = first_home(context, &config, [&point.endpoint], lost);
     let credit = context.settings.limits.window.0;
     let forward = job.resume(id, context.me.daemon.as_str(), point, credit);
-    let mut attempt = Try::start(context, id, &daemon, forward, waits(job)).await?;
+    let mut attempt = Attempt::start(context, id, &daemon, forward, timeouts(job)).await?;
     let head = attempt.head().await?;
     if head.status != 200 {
-        // The endpoint may hold the stream yet; a cancellation would end it.
-        attempt.forget();
+        // The endpoint may still hold the stream; a cancellation would end it.
+        attempt.detach();
         return Err(Failure::new(Reason::StreamCut));
     }
     Ok(attempt)
 }
 
-async fn attempt(
+async fn start_attempt(
     context: &Arc<Context>,
     job: &Job,
     number: u32,
     tried: &[EndpointId],
     lost: &[DaemonId],
-) -> Result<(Try, Head)> {
+) -> Result<(Attempt, Head)> {
     let id = attempt_id(context, job, number);
-    let daemon = target(context, job, lost);
+    let daemon = directory_daemon(context, job, lost);
     let credit = context.settings.limits.window.0;
     let forward = job.forward(id, context.me.daemon.as_str(), tried, credit);
-    let mut attempt = Try::start(context, id, &daemon, forward, waits(job)).await?;
+    let mut attempt = Attempt::start(context, id, &daemon, forward, timeouts(job)).await?;
     let head = attempt.head().await?;
     Ok((attempt, head))
 }
@@ -123,17 +123,17 @@
     }
 }
 
-fn waits(job: &Job) -> Waits {
-    Waits {
-        head: job.patience + job.terms.first_byte + MARGIN,
-        gap: job.terms.gap + MARGIN,
+fn timeouts(job: &Job) -> Timeouts {
+    Timeouts {
+        head: job.patience + job.pool_settings.first_byte + TIMEOUT_MARGIN,
+        gap: job.pool_settings.gap + TIMEOUT_MARGIN,
     }
 }
 
-/// The daemon that knows the chat: home of its first-ranked endpoint, past lost ones.
-fn target(context: &Context, job: &Job, lost: &[DaemonId]) -> DaemonId {
+/// The chat's directory daemon: the first home of its ranked endpoints that isn't lost.
+fn directory_daemon(context: &Context, job: &Job, lost: &[DaemonId]) -> DaemonId {
     let config = context.config.borrow().clone();
-    let ranked = config.ranked(&job.pool, job.key(), RANKS);
+    let ranked = config.ranked(&job.pool, job.ranking_key(), MAX_RANKED);
     first_home(context, &config, ranked, lost)
 }
 
--- a/crates/daemon/src/entry/server.rs
+++ b/crates/daemon/src/entry/server.rs
@@ -14,19 +14,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
+use super::acceptor::{ClosableAcceptor, Phase};
 use super::connections::Connections;
-use super::gate::{Gate, Phase};
-use super::handlers::{Calls, Counters, Live, Ready, RequestState};
+use super::handlers::{CallerRequests, Live, MetricsPage, Ready, RequestState};
 use crate::context::Context;
 use crate::operators::Operators;
 use crate::settings::Limits;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// Smallest buffer that the HTTP library takes, in bytes.
+/// Smallest buffer that the HTTP library accepts, in bytes.
 const MIN_BUFFER: usize = 8 << 10;
-/// Longest wait for the listener to close, which a full server doesn't come to.
-const CLOSING: Millis = Millis::from_secs(1);
+/// Longest wait for the listener to close; a server at its connection limit doesn't close it.
+const CLOSE_TIMEOUT: Millis = Millis::from_secs(1);
 
 /// Result of starting the server.
 pub type Result<T> = std::result::Result<T, ServerError>;
@@ -42,7 +42,7 @@
 /// A bound server, not yet serving.
 pub struct Bound {
     acceptor: TcpAcceptor,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
@@ -57,7 +57,7 @@
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
     socket.set_reuseaddr(true)?;
-    // Else the kernel holds megabytes for each caller that doesn't read.
+    // By default the kernel buffers megabytes for each caller that doesn't read.
     let window = u32::try_from(limits.window.0).unwrap_or(u32::MAX);
     socket.set_send_buffer_size(window)?;
     socket.bind(address)?;
@@ -67,7 +67,7 @@
     Ok(Bound { acceptor, address })
 }
 
-/// A server that serves.
+/// A running server.
 pub struct Serving {
     handle: ServerHandle,
     task: JoinHandle<()>,
@@ -75,22 +75,22 @@
 }
 
 impl Serving {
-    /// Takes no new connections, and waits until the present ones have ended; cuts them after
+    /// Accepts no new connections, and waits until the open ones have ended; closes them after
     /// `limit`.
     pub async fn stop(self, limit: Millis) {
         self.phase.send_replace(Phase::Closing);
         let mut phase = self.phase.subscribe();
         let closed = phase.wait_for(|phase| *phase == Phase::Closed);
-        // A server without room for more has nothing to lose but connections in wait.
-        let _ = timeout(CLOSING.as_duration(), closed).await;
+        // On a timeout, the server is full and only connections not yet accepted are lost.
+        let _ = timeout(CLOSE_TIMEOUT.as_duration(), closed).await;
         self.handle.stop_graceful(Some(limit.as_duration()));
         if let Err(error) = self.task.await {
-            log::error!(target: "entry", "entry: the server ended: {error}");
+            log::error!(target: "entry", "entry: the server task failed: {error}");
         }
     }
 }
 
-/// Serves until it is told to stop.
+/// Serves until `Serving::stop` is called.
 pub fn serve(bound: Bound, context: &Arc<Context>) -> Serving {
     let limits = &context.settings.limits;
     let fuse = FuseConfig::default()
@@ -98,7 +98,7 @@
         .with_write_stall_timeout(limits.write_wait.as_duration());
     let connections = Connections::new(fuse, Arc::clone(&context.metrics));
     let phase = watch::Sender::new(Phase::Open);
-    let mut server = Server::new(Gate::new(bound.acceptor, phase.clone()))
+    let mut server = Server::new(ClosableAcceptor::new(bound.acceptor, phase.clone()))
         .fuse_policy(connections.clone())
         .max_connections(limits.connections as usize);
     let head = usize::try_from(limits.head.0).unwrap_or(usize::MAX);
@@ -120,8 +120,8 @@
     Router::new()
         .push(Router::with_path("healthz").get(Live))
         .push(Router::with_path("readyz").get(Ready(share())))
-        .push(Router::with_path("metrics").get(Counters(share())))
+        .push(Router::with_path("metrics").get(MetricsPage(share())))
         .push(Router::with_path("v1/operator").post(Operators(share())))
         .push(Router::with_path("v1/requests/{id}").get(RequestState(share())))
-        .push(Router::with_path("{**rest}").goal(Calls(share())))
+        .push(Router::with_path("{**rest}").goal(CallerRequests(share())))
 }
--- a/crates/daemon/src/entry/states.rs
+++ b/crates/daemon/src/entry/states.rs
@@ -1,7 +1,7 @@
-//! Tells what became of a request that another daemon's entry took.
+//! Looks up the state of a request, also one that another daemon's entry accepted.
 //!
-//! The upper half of a request's identifier names the process that took it, so
-//! that one question over the peer link finds it.
+//! The upper half of a request's identifier is the incarnation of the entry
+//! that accepted it, so one question over the peer link finds it.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,53 +17,53 @@
 use super::tracker::State;
 use crate::context::Context;
 
-/// StateQueue of others that may wait to be answered.
-const QUEUE: usize = 1024;
-/// Longest wait for another daemon's answer.
-const WAIT: Millis = Millis(1000);
+/// Most questions of other daemons that may wait to be answered.
+const QUEUE_LENGTH: usize = 1024;
+/// Longest wait for the answer of another daemon.
+const TIMEOUT: Millis = Millis(1000);
 
 /// A question from another daemon.
-struct Asked {
+struct StateQuestion {
     from: PeerId,
     ask: RequestAsk,
 }
 
-/// Asks and answers. Cheap to clone.
+/// Looks up states at other daemons, and queues their questions. Cheap to clone.
 #[derive(Clone)]
 pub struct RequestStates {
-    asked: mpsc::Sender<Asked>,
+    asked: mpsc::Sender<StateQuestion>,
     waiting: Arc<Mutex<HashMap<u64, oneshot::Sender<RequestAnswer>>>>,
 }
 
-/// StateQueue of others, to be answered.
-pub struct StateQueue(mpsc::Receiver<Asked>);
+/// Questions of other daemons, to be answered.
+pub struct StateQueue(mpsc::Receiver<StateQuestion>);
 
 impl RequestStates {
     /// The handle, and the queue of its task.
     pub fn new() -> (Self, StateQueue) {
-        let (asked, receiver) = mpsc::channel(QUEUE);
+        let (asked, receiver) = mpsc::channel(QUEUE_LENGTH);
         let waiting = Arc::default();
         (Self { asked, waiting }, StateQueue(receiver))
     }
 
-    /// Takes a question; false if too many wait.
+    /// Queues a question; false if the queue is full.
     pub fn requested(&self, from: &PeerId, ask: RequestAsk) -> bool {
         let from = from.clone();
-        self.asked.try_send(Asked { from, ask }).is_ok()
+        self.asked.try_send(StateQuestion { from, ask }).is_ok()
     }
 
-    /// Takes an answer; false if nobody waits for it.
+    /// Delivers an answer; false if no lookup waits for it.
     pub fn take_answer(&self, answer: RequestAnswer) -> bool {
         let waiting = self.lock().remove(&answer.question);
         waiting.is_some_and(|waiting| waiting.send(answer).is_ok())
     }
 
-    /// The state of a request, from whichever live daemon took it.
+    /// The state of a request, from this daemon or the live one that accepted it.
     pub async fn find(&self, context: &Context, request: RequestId) -> Option<State> {
         if let Some(state) = context.tracker.state(request) {
             return Some(state);
         }
-        let daemon = taker(context, request)?;
+        let daemon = entry_daemon(context, request)?;
         let question = rand::random();
         let (sender, receiver) = oneshot::channel();
         self.lock().insert(question, sender);
@@ -76,9 +76,9 @@
             sent.ok()?;
             receiver.await.ok()
         };
-        let answer = timeout(WAIT.as_duration(), answer).await;
+        let answer = timeout(TIMEOUT.as_duration(), answer).await;
         self.lock().remove(&question);
-        state(&answer.ok()??)
+        decode_state(&answer.ok()??)
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<RequestAnswer>>> {
@@ -87,29 +87,29 @@
 }
 
 impl StateQueue {
-    /// Answers, until every handle is gone.
+    /// Answers until every handle is dropped.
     pub async fn run(mut self, context: Arc<Context>) {
-        while let Some(Asked { from, ask }) = self.0.recv().await {
+        while let Some(StateQuestion { from, ask }) = self.0.recv().await {
             let request = RequestId::from_bytes(&ask.request);
             let known = request.and_then(|request| context.tracker.state(request));
-            let answer = Body::RequestAnswer(answer(ask.question, known));
+            let answer = Body::RequestAnswer(encode_answer(ask.question, known));
             if let Err(error) = context.peers.try_send(&from.daemon, answer).await {
-                log::debug!(target: "entry", "entry: {from} can't be answered: {error}");
+                log::debug!(target: "entry", "entry: can't answer {from}: {error}");
             }
         }
     }
 }
 
-/// The live daemon that drew a request's identifier, if it is another one.
-fn taker(context: &Context, request: RequestId) -> Option<DaemonId> {
+/// The other live daemon whose entry generated a request's identifier.
+fn entry_daemon(context: &Context, request: RequestId) -> Option<DaemonId> {
     let incarnation = (request.0 >> 64) as u64;
     let fleet = context.fleet.borrow();
-    let taker = |(_, peer): &(&DaemonId, &crate::fleet::Peer)| peer.incarnation.0 == incarnation;
-    let (daemon, _) = fleet.peers.iter().find(taker)?;
+    let is_entry = |(_, peer): &(&DaemonId, &crate::fleet::Peer)| peer.incarnation.0 == incarnation;
+    let (daemon, _) = fleet.peers.iter().find(is_entry)?;
     (*daemon != context.me.daemon).then(|| daemon.clone())
 }
 
-fn answer(question: u64, known: Option<State>) -> RequestAnswer {
+fn encode_answer(question: u64, known: Option<State>) -> RequestAnswer {
     let mut answer = RequestAnswer {
         question,
         ..RequestAnswer::default()
@@ -127,7 +127,7 @@
     answer
 }
 
-fn state(answer: &RequestAnswer) -> Option<State> {
+fn decode_state(answer: &RequestAnswer) -> Option<State> {
     match answer.state.as_str() {
         "running" => Some(State::Running),
         "answered" => Some(State::Answered),
--- a/crates/daemon/src/entry/tracker.rs
+++ b/crates/daemon/src/entry/tracker.rs
@@ -1,4 +1,4 @@
-//! What became of the requests that this entry took lately.
+//! The states of the requests that this entry accepted most recently.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,7 +8,7 @@
 use medlarrill_core::reason::Reason;
 use serde::Serialize;
 
-/// Requests remembered.
+/// Most requests remembered.
 const CAPACITY: usize = 16_384;
 
 /// State of a request.
@@ -16,11 +16,11 @@
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum State {
-    /// Its answer isn't whole yet.
+    /// Its response isn't complete yet.
     Running,
-    /// Its whole answer was handed to the caller's connection.
+    /// Its complete response was handed to the caller's connection.
     Answered,
-    /// It was refused or broken off.
+    /// It was refused or cut short.
     Failed {
         /// Code of the reason.
         #[serde(serialize_with = "as_code")]
@@ -47,8 +47,8 @@
 }
 
 impl Tracker {
-    /// Notes the state of a request; the oldest gives way.
-    pub fn note(&self, request: RequestId, state: State) {
+    /// Records the state of a request; a full table drops its oldest.
+    pub fn record(&self, request: RequestId, state: State) {
         let mut table = self.lock();
         if table.states.insert(request, state).is_some() {
             return;
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -24,7 +24,7 @@
 use crate::configuration::{self, ConfigView};
 use crate::context::Context;
 use crate::entry::server::{self, ServerError, Serving};
-use crate::entry::{AttemptTable, StateQueue, RequestStates, StrayQueue, StrayFrames, Tracker};
+use crate::entry::{AttemptTable, RequestStates, StateQueue, StrayFrames, StrayQueue, Tracker};
 use crate::fleet::{self, FleetView, Outputs, follow_vms};
 use crate::home;
 use crate::limits;
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -77,7 +77,9 @@
             Body::Grant(grant) => self
                 .limits
                 .tell(limits::Message::Grant(from.daemon.clone(), grant)),
-            Body::Gossip(gossip) => self.fleet.tell(fleet::Message::Heartbeat(from.clone(), gossip)),
+            Body::Gossip(gossip) => self
+                .fleet
+                .tell(fleet::Message::Heartbeat(from.clone(), gossip)),
             Body::Moved(moved) => self.home.moved(moved),
             Body::Placed(placed) => self.home.placed(placed),
             Body::StateAsk(ask) => self.home.state_requested(from.clone(), ask),
