--- a/crates/daemon/src/home.rs
+++ b/crates/daemon/src/home.rs
@@ -1,9 +1,9 @@
 //! The home: admits requests to endpoints and dispatches them.
 //!
-//! One task holds the admission of every endpoint that this daemon is home
-//! of, the chat directory and the load view. Each dispatched request has a
-//! task of its own, which owns the connection to the endpoint and sends the
-//! answer straight to the entry.
+//! One task owns the admission of every endpoint that this daemon is home of,
+//! the chat directory and the load view. Each dispatched request has a task of
+//! its own, which owns the connection to the endpoint and sends the answer
+//! directly to the entry.
 
 mod dispatch;
 mod gossip;
--- a/crates/daemon/src/home/dispatch.rs
+++ b/crates/daemon/src/home/dispatch.rs
@@ -1,4 +1,4 @@
-//! One dispatched request: the call to the endpoint and the answer on its way back.
+//! One dispatched request: calls the endpoint and relays its answer to the entry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,68 +22,68 @@
 use crate::context::Context;
 use crate::entry::last_id;
 
-/// Bytes at the end of an answer in which its usage is looked for.
-const TAIL: usize = 2048;
-/// Tokens between two messages on progress.
-const PROGRESS: u64 = 32;
-/// Headers of an answer that travel back.
-const TRAVELLING: [&str; 4] = ["content-type", "cache-control", "retry-after", "location"];
+/// Bytes at the end of an answer that are searched for its usage.
+const MAX_USAGE_SIZE: usize = 2048;
+/// Tokens between two progress messages.
+const PROGRESS_INTERVAL: u64 = 32;
+/// Headers of an answer that are returned to the entry.
+const RETURNED_HEADERS: [&str; 4] = ["content-type", "cache-control", "retry-after", "location"];
 const PRIORITY_HEADER: &str = "x-priority";
 const REQUEST_HEADER: &str = "x-request-id";
 const USAGE_KEY: &[u8] = b"\"usage\":";
-/// Status with which an endpoint refuses.
-const REFUSED: u16 = 503;
-/// Longest wait for an engine to take a cancellation.
-const CANCEL_WAIT: Millis = Millis(2000);
-/// Times that an engine is told to cancel; a cancellation may be repeated.
-const CANCEL_TRIES: u32 = 3;
-
-/// What a dispatched request can be told.
+/// Status by which an endpoint refuses a request.
+const REFUSED_STATUS: u16 = 503;
+/// Longest wait for an engine to acknowledge a cancellation.
+const CANCEL_TIMEOUT: Millis = Millis(2000);
+/// Attempts to cancel at an engine; cancellations are idempotent.
+const CANCEL_ATTEMPTS: u32 = 3;
+
+/// Control messages to a dispatched request.
 #[derive(Clone, Copy, Debug)]
 pub enum Control {
-    /// Room for more of the answer, in bytes.
+    /// Credit for more of the answer, in bytes.
     Credit(u64),
-    /// Stop, here and at the endpoint.
+    /// Stop here and cancel at the endpoint.
     Cancel,
-    /// Stop here; the endpoint holds the stream for its own grace.
-    Drop,
+    /// Stop here; the endpoint keeps the stream for its grace period.
+    Detach,
 }
 
 /// A request about to be sent to its endpoint.
 pub struct Dispatch {
-    /// The try.
+    /// The attempt.
     pub id: AttemptId,
     /// The request.
     pub forward: Forward,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Where it listens.
+    /// The endpoint's address.
     pub address: SocketAddr,
     /// Its pool.
     pub pool: Pool,
-    /// Hint for the engine.
+    /// Priority hint for the engine.
     pub priority: u8,
-    /// The way back.
+    /// Sends to the entry.
     pub reply: Reply,
 }
 
-/// How a dispatched request went.
-struct End {
+/// How a dispatched request ended.
+struct CallEnd {
     ending: Ending,
     usage: Option<Usage>,
-    /// The last word to the entry, if one is due.
-    last: Option<Last>,
+    /// The end of the answer, if the entry is to be sent one.
+    last: Option<StreamEnd>,
 }
 
 /// The end of an answer.
 #[derive(Clone, Copy)]
-struct Last {
+struct StreamEnd {
     length: u64,
     /// Why it was cut short, if it was.
     reason: Option<Reason>,
 }
 
-impl End {
+impl CallEnd {
     const fn new(ending: Ending) -> Self {
         Self {
             ending,
@@ -94,18 +94,18 @@
 }
 
 impl Dispatch {
-    /// Sends the request, carries its answer back and tells the home how it ended.
+    /// Sends the request, relays its answer and reports to the home how it ended.
     pub async fn run(self, context: Arc<Context>, control: mpsc::UnboundedReceiver<Control>) {
         context.metrics.dispatched.inc();
         let id = self.id;
-        let room = Room {
+        let flow = FlowControl {
             control,
             credit: self.forward.credit,
             cancelled: false,
-            tell: false,
+            cancel_endpoint: false,
         };
-        let end = self.call(&context, room).await;
-        // The home hears of the end before the caller can come back.
+        let end = self.call(&context, flow).await;
+        // Reported to the home before the caller sees the end and can send its next request.
         context.home.send(Message::Finished(Finished {
             id,
             ending: end.ending,
@@ -116,23 +116,25 @@
         }
     }
 
-    async fn call(&self, context: &Arc<Context>, mut room: Room) -> End {
+    async fn call(&self, context: &Arc<Context>, mut flow: FlowControl) -> CallEnd {
         let sent = tokio::select! {
             // A call that is dropped closes its connection, which cancels at the endpoint.
-            () = room.cancelled() => None,
+            () = flow.wait_for_cancel() => None,
             sent = context.endpoints.send(self.address, self.request()) => Some(sent),
         };
         match sent {
-            None => End::new(Ending::Failed),
+            None => CallEnd::new(Ending::Failed),
             Some(Err(error)) => self.failed(&error).await,
-            Some(Ok(answer)) if answer.status.as_u16() == REFUSED => self.refused(&answer).await,
-            Some(Ok(answer)) => self.carry(context, answer, room).await,
+            Some(Ok(answer)) if answer.status.as_u16() == REFUSED_STATUS => {
+                self.refused(&answer).await
+            }
+            Some(Ok(answer)) => self.relay(context, answer, flow).await,
         }
     }
 
     fn request(&self) -> endpoint::Request {
         let method = Method::from_bytes(self.forward.method.as_bytes()).unwrap_or(Method::POST);
-        let mut headers = to_map(&self.forward.headers);
+        let mut headers = header_map(&self.forward.headers);
         headers.insert(PRIORITY_HEADER, u16::from(self.priority).into());
         let reuse = match self.forward.idempotent {
             true => Reuse::Pooled,
@@ -145,7 +147,7 @@
             .with_waits(self.pool.first_byte, self.pool.gap)
     }
 
-    async fn failed(&self, error: &endpoint::Error) -> End {
+    async fn failed(&self, error: &endpoint::Error) -> CallEnd {
         log::info!(target: "home", "home: {} at {}: {error}", self.id, self.endpoint);
         let sent = error.outcome() != Outcome::NotRun;
         let reason = match error {
@@ -153,122 +155,125 @@
             _ => Reason::EndpointLost,
         };
         self.refuse(reason, sent, Millis::ZERO).await;
-        End::new(Ending::Failed)
+        CallEnd::new(Ending::Failed)
     }
 
-    async fn refused(&self, answer: &Answer) -> End {
+    async fn refused(&self, answer: &Answer) -> CallEnd {
         let sent = self.pool.refusal != RefusalMeaning::NotRun;
         let after = endpoint::retry_after(&answer.headers);
-        let wait = after.unwrap_or_default();
-        self.refuse(Reason::EndpointRefused, sent, wait).await;
-        End::new(after.map_or(Ending::Full, Ending::Paused))
+        let retry_after = after.unwrap_or_default();
+        self.refuse(Reason::EndpointRefused, sent, retry_after)
+            .await;
+        CallEnd::new(after.map_or(Ending::Full, Ending::Paused))
     }
 
-    async fn refuse(&self, reason: Reason, sent: bool, after: Millis) {
+    async fn refuse(&self, reason: Reason, sent: bool, retry_after: Millis) {
         let refusal = Refusal {
             reason,
             sent,
-            after,
+            retry_after,
             endpoint: Some(self.endpoint.clone()),
         };
         self.reply.refused(refusal).await;
     }
 
-    /// Carries the answer to the entry, as fast as it takes it.
-    async fn carry(&self, context: &Arc<Context>, answer: Answer, room: Room) -> End {
-        let headers = to_list(&answer.headers);
+    /// Relays the answer to the entry, as fast as its credit allows.
+    async fn relay(&self, context: &Arc<Context>, answer: Answer, flow: FlowControl) -> CallEnd {
+        let headers = returned_headers(&answer.headers);
         let status = answer.status.as_u16();
-        let told = self.reply.accepted(&self.endpoint, status, headers).await;
-        if told.is_err() {
-            return End::new(Ending::Failed);
+        let accepted = self.reply.accepted(&self.endpoint, status, headers).await;
+        if accepted.is_err() {
+            return CallEnd::new(Ending::Failed);
         }
-        let mut carrier = Carrier {
+        let mut relay = Relay {
             context,
             dispatch: self,
-            room,
+            flow,
             body: answer.body,
             offset: 0,
             tokens: 0,
-            told: 0,
+            reported: 0,
             tail: BytesMut::new(),
         };
-        let (ending, last) = carrier.carry().await;
-        End {
+        let (ending, last) = relay.run().await;
+        CallEnd {
             ending,
-            usage: usage(&carrier.tail),
+            usage: parse_usage(&relay.tail),
             last,
         }
     }
 }
 
-/// The room that the entry gives, and whether it still wants the answer.
-struct Room {
+/// The entry's credit, and whether it has cancelled the request.
+struct FlowControl {
     control: mpsc::UnboundedReceiver<Control>,
     credit: u64,
     cancelled: bool,
-    /// Whether the endpoint is to be told.
-    tell: bool,
+    /// Whether the request is to be cancelled at the endpoint.
+    cancel_endpoint: bool,
 }
 
-impl Room {
+impl FlowControl {
     /// Waits until the request is cancelled.
-    async fn cancelled(&mut self) {
+    async fn wait_for_cancel(&mut self) {
         while !self.cancelled {
-            self.hear().await;
+            self.receive().await;
         }
     }
 
-    /// Waits until there is room or the request is cancelled.
-    async fn wait(&mut self) {
+    /// Waits until there is credit or the request is cancelled.
+    async fn wait_for_credit(&mut self) {
         while self.credit == 0 && !self.cancelled {
-            self.hear().await;
+            self.receive().await;
         }
     }
 
-    async fn hear(&mut self) {
+    async fn receive(&mut self) {
         match self.control.recv().await {
             Some(Control::Credit(bytes)) => self.credit = self.credit.saturating_add(bytes),
             Some(Control::Cancel) => {
                 self.cancelled = true;
-                self.tell = true;
+                self.cancel_endpoint = true;
             }
-            Some(Control::Drop) | None => self.cancelled = true,
+            Some(Control::Detach) | None => self.cancelled = true,
         }
     }
 }
 
-/// Carries one answer.
-struct Carrier<'a> {
+/// Relays one answer to the entry.
+struct Relay<'a> {
     context: &'a Arc<Context>,
     dispatch: &'a Dispatch,
-    room: Room,
+    flow: FlowControl,
     body: endpoint::Body,
     offset: u64,
     tokens: u64,
-    told: u64,
+    /// Tokens at the last progress message.
+    reported: u64,
+    /// The last bytes of the answer.
     tail: BytesMut,
 }
 
-impl Carrier<'_> {
-    async fn carry(&mut self) -> (Ending, Option<Last>) {
+impl Relay<'_> {
+    async fn run(&mut self) -> (Ending, Option<StreamEnd>) {
         loop {
-            self.room.wait().await;
-            let piece = tokio::select! {
-                () = self.room.cancelled() => None,
-                piece = self.body.next() => Some(piece),
+            self.flow.wait_for_credit().await;
+            let chunk = tokio::select! {
+                () = self.flow.wait_for_cancel() => None,
+                chunk = self.body.next() => Some(chunk),
             };
-            let Some(piece) = piece else {
+            let Some(chunk) = chunk else {
                 self.cancel().await;
                 return (Ending::Failed, None);
             };
-            match piece {
+            match chunk {
                 None => {
-                    return (Ending::Done, Some(self.last(None)));
+                    return (Ending::Done, Some(self.stream_end(None)));
                 }
                 Some(Err(error)) => {
                     log::info!(target: "home", "home: {} at {}: {error}", self.dispatch.id, self.dispatch.endpoint);
                     let reason = Some(Reason::EndpointLost);
-                    return (Ending::Failed, Some(self.last(reason)));
+                    return (Ending::Failed, Some(self.stream_end(reason)));
                 }
                 Some(Ok(data)) => {
                     if self.send(data).await.is_err() {
@@ -280,48 +285,48 @@
     }
 
     async fn send(&mut self, data: Bytes) -> medlarrill_net::link::Result<()> {
-        self.note(&data);
+        self.track_progress(&data);
         let size = data.len() as u64;
         self.dispatch.reply.chunk(self.offset, data).await?;
         self.offset += size;
-        self.room.credit = self.room.credit.saturating_sub(size);
+        self.flow.credit = self.flow.credit.saturating_sub(size);
         Ok(())
     }
 
-    fn note(&mut self, data: &Bytes) {
+    fn track_progress(&mut self, data: &Bytes) {
         self.tail.extend_from_slice(data);
-        let excess = self.tail.len().saturating_sub(TAIL);
+        let excess = self.tail.len().saturating_sub(MAX_USAGE_SIZE);
         self.tail.advance(excess);
-        // An event may hold many tokens; its id counts them.
+        // An event may contain many tokens; its id is the total so far.
         self.tokens = last_id(&self.tail).unwrap_or(self.tokens);
-        if self.tokens >= self.told + PROGRESS {
-            self.told = self.tokens;
+        if self.tokens >= self.reported + PROGRESS_INTERVAL {
+            self.reported = self.tokens;
             let tokens = Tokens(self.tokens);
             let message = Message::Progress(self.dispatch.id, tokens);
             self.context.home.send(message);
         }
     }
 
-    const fn last(&self, reason: Option<Reason>) -> Last {
-        Last {
+    const fn stream_end(&self, reason: Option<Reason>) -> StreamEnd {
+        StreamEnd {
             length: self.offset,
             reason,
         }
     }
 
-    /// Tells the engine at once, without its grace for a lost connection.
+    /// Cancels at the engine at once, as it would keep the stream for its grace period.
     async fn cancel(&self) {
         let name = stream_name(&self.dispatch.forward);
-        if let Some(name) = name.filter(|_| self.room.tell) {
-            let wait = CANCEL_WAIT;
+        if let Some(name) = name.filter(|_| self.flow.cancel_endpoint) {
+            let timeout = CANCEL_TIMEOUT;
             let address = self.dispatch.address;
-            for _ in 0..CANCEL_TRIES {
-                match self.context.endpoints.cancel(address, &name, wait).await {
+            for _ in 0..CANCEL_ATTEMPTS {
+                match self.context.endpoints.cancel(address, &name, timeout).await {
                     Ok(_) => return,
-                    // The engine's own grace ends the stream if all are lost.
+                    // If all attempts are lost, the engine ends the stream after its grace period.
                     Err(error) => {
                         let id = self.dispatch.id;
-                        log::info!(target: "home", "home: {id} can't be cancelled: {error}");
+                        log::info!(target: "home", "home: can't cancel {id} at its endpoint: {error}");
                     }
                 }
             }
@@ -335,7 +340,7 @@
     String::from_utf8(value.value.to_vec()).ok()
 }
 
-fn to_map(headers: &[Header]) -> HeaderMap {
+fn header_map(headers: &[Header]) -> HeaderMap {
     let mut map = HeaderMap::new();
     for header in headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
@@ -347,7 +352,7 @@
     map
 }
 
-fn to_list(headers: &HeaderMap) -> Vec<Header> {
+fn returned_headers(headers: &HeaderMap) -> Vec<Header> {
     let header = |name: &&str| {
         let value = headers.get(*name)?;
         Some(Header {
@@ -355,7 +360,7 @@
             value: Bytes::copy_from_slice(value.as_bytes()),
         })
     };
-    TRAVELLING.iter().filter_map(header).collect()
+    RETURNED_HEADERS.iter().filter_map(header).collect()
 }
 
 #[derive(Deserialize)]
@@ -374,7 +379,7 @@
 }
 
 /// The usage at the end of an engine's answer.
-fn usage(tail: &[u8]) -> Option<Usage> {
+fn parse_usage(tail: &[u8]) -> Option<Usage> {
     let at = tail
         .windows(USAGE_KEY.len())
         .rposition(|w| w == USAGE_KEY)?;
--- a/crates/daemon/src/home/gossip.rs
+++ b/crates/daemon/src/home/gossip.rs
@@ -1,4 +1,4 @@
-//! Load that homes tell each other on their heartbeats.
+//! Load reports that homes exchange on their heartbeats.
 
 use std::collections::HashMap;
 
@@ -12,20 +12,20 @@
 use super::task::Task;
 use crate::fleet::Message;
 
-/// Time between two summaries for the heartbeats.
-const EVERY: Millis = Millis(250);
-/// Least loaded endpoints named in each pool.
-const LEAST: usize = 3;
+/// Interval between two load summaries for the heartbeats.
+const SUMMARY_INTERVAL: Millis = Millis(250);
+/// Least loaded endpoints reported for each pool.
+const LEAST_LOADED: usize = 3;
 
-/// Pools and endpoints by the hash that heartbeats use.
+/// Pools and endpoints by the name hash that heartbeats use.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameHashes {
     pools: HashMap<u32, PoolId>,
     endpoints: HashMap<u32, EndpointId>,
 }
 
-impl Names {
-    /// The names of a configuration.
+impl NameHashes {
+    /// The name hashes of a configuration.
     pub fn new(config: &Config) -> Self {
         let pools = config.pools.keys();
         let endpoints = config.endpoints.keys();
@@ -40,44 +40,44 @@
     }
 }
 
-impl Names {
-    /// The endpoint of a hash.
+impl NameHashes {
+    /// The endpoint with this name hash.
     pub fn endpoint(&self, hash: u32) -> Option<&EndpointId> {
         self.endpoints.get(&hash)
     }
 }
 
 impl Task {
-    /// Hands this home's load to the membership task, now and then.
-    pub(super) fn tell_load(&mut self, now: Millis) {
-        if now.since(self.told) < EVERY {
+    /// Sends this home's load to the membership task, once per interval.
+    pub(super) fn publish_load(&mut self, now: Millis) {
+        if now.since(self.load_published) < SUMMARY_INTERVAL {
             return;
         }
-        self.told = now;
+        self.load_published = now;
         let pools = self.loads.pools.iter().map(|(id, pool)| {
             let sum = pool.own_sum(now);
-            let least = pool.own_least(LEAST, now);
-            let least: Vec<EndpointLoad> = least.iter().map(brief).collect();
+            let least = pool.own_least(LEAST_LOADED, now);
+            let least: Vec<EndpointLoad> = least.iter().map(to_wire).collect();
             PoolLoad::new(name_hash(id.as_str()), sum.load.0, sum.endpoints, &least)
         });
         let pools = pools.filter(|pool| pool.endpoints > 0).collect();
         self.context.fleet_task.tell(Message::OwnLoad(pools));
     }
 
-    /// Takes the load of the endpoints that a peer is home of.
-    pub(super) fn load_heard(&mut self, from: &DaemonId, at: Millis, pools: &[PoolLoad]) {
-        for heard in pools {
-            let id = self.names.pools.get(&heard.pool);
+    /// Merges the load of the endpoints that a peer is home of.
+    pub(super) fn load_received(&mut self, from: &DaemonId, at: Millis, pools: &[PoolLoad]) {
+        for report in pools {
+            let id = self.names.pools.get(&report.pool);
             let Some(pool) = id.and_then(|id| self.loads.pools.get_mut(id)) else {
                 continue;
             };
             let sum = PoolSum {
-                load: Tokens(heard.load),
-                endpoints: heard.endpoints,
+                load: Tokens(report.load),
+                endpoints: report.endpoints,
                 as_of: at,
             };
             pool.hear_sum(from, sum);
-            for load in heard.least() {
+            for load in report.least() {
                 let Some(endpoint) = self.names.endpoints.get(&load.endpoint) else {
                     continue;
                 };
@@ -93,7 +93,7 @@
     }
 }
 
-fn brief(load: &placement::EndpointLoad) -> EndpointLoad {
+fn to_wire(load: &placement::EndpointLoad) -> EndpointLoad {
     EndpointLoad {
         endpoint: name_hash(load.endpoint.as_str()),
         load: u32::try_from(load.load.0).unwrap_or(u32::MAX),
--- a/crates/daemon/src/home/handle.rs
+++ b/crates/daemon/src/home/handle.rs
@@ -1,4 +1,4 @@
-//! Sends to the home task.
+//! The handle by which other tasks reach the home task.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 use super::message::Message;
 use super::show::EndpointRow;
 
-/// Sends to the home task. Cheap to clone.
+/// Sends messages to the home task. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Handle {
     sender: mpsc::UnboundedSender<Message>,
@@ -21,7 +21,7 @@
 }
 
 impl Handle {
-    /// A handle and what its task receives from.
+    /// A handle and the receiver of its task.
     pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let handle = Self {
@@ -37,7 +37,7 @@
         self.send(Message::Offer(from, Box::new(forward)))
     }
 
-    /// Gives room for more of an answer; false if the task has ended.
+    /// Adds credit for more of an answer; false if the task has ended.
     pub fn credit(&self, from: PeerId, credit: Credit) -> bool {
         self.send(Message::Credit(from, credit))
     }
@@ -47,53 +47,53 @@
         self.send(Message::Cancel(from, cancel))
     }
 
-    /// Notes where a chat was served; false if the task has ended.
+    /// Records where a chat was served; false if the task has ended.
     pub fn placed(&self, placed: Placed) -> bool {
         self.send(Message::Placed(placed))
     }
 
-    /// Hands over directory entries; false if the task has ended.
+    /// Takes over directory entries from another daemon; false if the task has ended.
     pub fn moved(&self, moved: Moved) -> bool {
         self.send(Message::Moved(moved))
     }
 
-    /// Tells that a peer process is gone.
+    /// Reports that a peer process is lost.
     pub fn peer_lost(&self, peer: PeerId) {
         self.send(Message::PeerLost(peer));
     }
 
-    /// Tells the load of the endpoints that a peer is home of.
-    pub fn load_heard(&self, from: DaemonId, at: Millis, pools: Vec<PoolLoad>) {
-        self.send(Message::LoadHeard(from, at, pools));
+    /// Reports the load of the endpoints that a peer is home of.
+    pub fn load_received(&self, from: DaemonId, at: Millis, pools: Vec<PoolLoad>) {
+        self.send(Message::LoadReceived(from, at, pools));
     }
 
-    /// What is known of endpoints; none if the task has ended.
+    /// The state of all configured endpoints; empty if the task has ended.
     pub async fn show(&self) -> Vec<EndpointRow> {
         let (sender, receiver) = oneshot::channel();
         self.send(Message::Show(sender));
         receiver.await.unwrap_or_default()
     }
 
-    /// Asks for the state of endpoints on another daemon's behalf; false if the task has ended.
+    /// Requests the state of endpoints for another daemon; false if the task has ended.
     pub fn state_requested(&self, from: PeerId, ask: StateAsk) -> bool {
         self.send(Message::StateRequested(from, ask))
     }
 
-    /// Requests that the home holds.
+    /// Number of requests at this home, waiting or dispatched.
     pub fn held(&self) -> usize {
         self.held.load(Ordering::Relaxed)
     }
 
-    /// Directory entries that may have to move yet.
+    /// Number of directory entries that are still to be examined for a move.
     pub fn moving(&self) -> usize {
         self.moving.load(Ordering::Relaxed)
     }
 
-    pub(super) fn note_moving(&self, moving: usize) {
+    pub(super) fn set_moving(&self, moving: usize) {
         self.moving.store(moving, Ordering::Relaxed);
     }
 
-    pub(super) fn note_held(&self, held: usize) {
+    pub(super) fn set_held(&self, held: usize) {
         self.held.store(held, Ordering::Relaxed);
     }
 
--- a/crates/daemon/src/home/handover.rs
+++ b/crates/daemon/src/home/handover.rs
@@ -1,9 +1,9 @@
-//! Moves directory entries to the daemons that keep them after a change of the fleet.
+//! Moves directory entries to their new daemons after a change of the fleet.
 //!
-//! A few entries are looked at in each step, the most recent chats first, so
-//! that neither the task nor the control budget feels it. A daemon that leaves
-//! takes larger steps, as it has nothing else to do. An entry that is lost on
-//! the way costs one prefill.
+//! A few entries are examined in each step, the most recent chats first, to
+//! limit the load on the task and on the control traffic. A daemon that leaves
+//! takes larger steps, as it has no other work. An entry that is lost on the
+//! way costs one prefill.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,69 +17,69 @@
 
 use super::task::Task;
 
-/// Time between two steps.
-const EVERY: Millis = Millis(250);
-/// Entries looked at in one step, and at most moved.
-const USUAL: Step = Step {
-    looked: 1000,
+/// Interval between two steps.
+const STEP_INTERVAL: Millis = Millis(250);
+/// Most entries examined and moved in one step.
+const NORMAL: Step = Step {
+    examined: 1000,
     moved: 100,
 };
-/// The same for a daemon that leaves.
+/// The same for a daemon that is leaving.
 const LEAVING: Step = Step {
-    looked: 4000,
+    examined: 4000,
     moved: 4000,
 };
 
 struct Step {
-    looked: usize,
+    examined: usize,
     moved: usize,
 }
 
-/// Entries that may have to move.
+/// Directory entries still to be examined.
 #[derive(Debug, Default)]
 pub struct Handover {
-    plan: VecDeque<ChatHash>,
-    stepped: Millis,
+    pending: VecDeque<ChatHash>,
+    last_step: Millis,
 }
 
 impl Task {
-    /// Looks at all entries anew.
-    pub(super) fn plan_handover(&mut self) {
-        self.handover.plan = self.directory.recent().into();
+    /// Starts to examine all entries, the most recent first.
+    pub(super) fn start_handover(&mut self) {
+        self.handover.pending = self.directory.recent().into();
     }
 
-    /// Takes a step, when one is due.
+    /// Takes a step if one is due.
     pub(super) fn step_handover(&mut self, now: Millis) {
-        self.context.home.note_moving(self.handover.plan.len());
-        if self.handover.plan.is_empty() || now.since(self.handover.stepped) < EVERY {
+        self.context.home.set_moving(self.handover.pending.len());
+        if self.handover.pending.is_empty() || now.since(self.handover.last_step) < STEP_INTERVAL {
             return;
         }
-        self.handover.stepped = now;
+        self.handover.last_step = now;
         let step = match *self.context.stopping.borrow() {
             true => LEAVING,
-            false => USUAL,
+            false => NORMAL,
         };
-        for (keeper, chats) in self.take_moving(&step, now) {
+        for (new_daemon, chats) in self.take_moving(&step, now) {
             self.context.metrics.moved_chats.inc_by(chats.len() as u64);
             let context = Arc::clone(&self.context);
             let moved = Body::Moved(Moved { chats });
-            tokio::spawn(async move { context.peers.try_send(&keeper, moved).await });
+            tokio::spawn(async move { context.peers.try_send(&new_daemon, moved).await });
         }
     }
 
     fn take_moving(&mut self, step: &Step, now: Millis) -> BTreeMap<DaemonId, Vec<MovedChat>> {
         let mut batches: BTreeMap<DaemonId, Vec<MovedChat>> = BTreeMap::new();
         let mut moved = 0;
-        for _ in 0..step.looked {
-            let Some(chat) = self.handover.plan.pop_front() else {
+        for _ in 0..step.examined {
+            let Some(chat) = self.handover.pending.pop_front() else {
                 break;
             };
-            let Some(keeper) = self.keeper(chat) else {
+            let Some(new_daemon) = self.new_daemon(chat) else {
                 continue;
             };
             let taken = self.directory.export(&mut VecDeque::from([chat]), 1);
-            let chats = taken.iter().map(|places| pack(places, now));
-            batches.entry(keeper).or_default().extend(chats);
+            let chats = taken.iter().map(|places| encode(places, now));
+            batches.entry(new_daemon).or_default().extend(chats);
             moved += 1;
             if moved >= step.moved {
                 break;
@@ -88,24 +88,24 @@
         batches
     }
 
-    /// The other daemon that keeps a chat now, if there is one.
-    fn keeper(&self, chat: ChatHash) -> Option<DaemonId> {
+    /// The directory daemon of a chat, if that is now another daemon.
+    fn new_daemon(&self, chat: ChatHash) -> Option<DaemonId> {
         let places = self.directory.places(chat);
         let endpoint = self.config.endpoint(&places.first()?.endpoint)?;
         let first = self.config.ranked(&endpoint.pool, chat.0, 1);
-        let keeper = self.home_of(first.first()?)?;
-        (keeper != self.context.me.daemon).then_some(keeper)
+        let new_daemon = self.home_of(first.first()?)?;
+        (new_daemon != self.context.me.daemon).then_some(new_daemon)
     }
 
-    /// Takes entries from the daemon that kept them.
+    /// Imports entries from their previous daemon.
     pub(super) fn moved(&mut self, moved: Moved) {
         let now = now();
-        let chats = moved.chats.into_iter().map(|chat| self.unpack(chat, now));
+        let chats = moved.chats.into_iter().map(|chat| self.decode(chat, now));
         let chats: Vec<ChatPlaces> = chats.collect();
         self.directory.import(chats);
     }
 
-    fn unpack(&self, moved: MovedChat, now: Millis) -> ChatPlaces {
+    fn decode(&self, moved: MovedChat, now: Millis) -> ChatPlaces {
         let place = |place: MovedPlace| {
             Some(Place {
                 endpoint: self.names.endpoint(place.endpoint)?.clone(),
@@ -121,7 +121,7 @@
     }
 }
 
-fn pack(chat: &ChatPlaces, now: Millis) -> MovedChat {
+fn encode(chat: &ChatPlaces, now: Millis) -> MovedChat {
     let place = |place: &Place| MovedPlace {
         endpoint: name_hash(place.endpoint.as_str()),
         prefix: place.prefix.0,
--- a/crates/daemon/src/home/held.rs
+++ b/crates/daemon/src/home/held.rs
@@ -1,4 +1,4 @@
-//! A request that a home holds, waiting or dispatched.
+//! A request at its home, waiting or dispatched.
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, ChatHash, EndpointId};
@@ -9,23 +9,23 @@
 use super::dispatch::Control;
 use super::reply::Reply;
 
-/// One request at its home.
-pub struct Held {
-    /// The try.
+/// One request at its home, until it is refused, passed on or finished.
+pub struct HeldRequest {
+    /// The attempt.
     pub id: AttemptId,
     /// The request.
     pub forward: Forward,
-    /// The way back.
+    /// Sends to the entry.
     pub reply: Reply,
     /// The endpoint that it waits for or runs at.
     pub endpoint: Option<EndpointId>,
-    /// When it came here.
+    /// When it arrived here.
     pub since: Millis,
-    /// The way to its own task, once it is dispatched.
+    /// Sends to its own task, once it is dispatched.
     pub control: Option<mpsc::UnboundedSender<Control>>,
 }
 
-impl Held {
+impl HeldRequest {
     /// The chat, if it belongs to one.
     pub const fn chat(&self) -> Option<ChatHash> {
         match self.forward.chat {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Endpoints already tried.
+    /// Endpoints already attempted.
     pub fn tried(&self) -> Vec<EndpointId> {
         self.forward
             .tried
@@ -43,7 +43,7 @@
             .collect()
     }
 
-    /// Estimated work: what the cache doesn't hold of the prompt, and the output.
+    /// Estimated work: the part of the prompt that isn't cached, and the output.
     pub const fn work(&self) -> Tokens {
         let prompt = self.forward.prompt.saturating_sub(self.forward.cached);
         Tokens(prompt + self.forward.output)
@@ -54,8 +54,8 @@
         Tokens(self.forward.prompt)
     }
 
-    /// Tells the request's own task, if it has one.
-    pub fn tell(&self, control: Control) -> bool {
+    /// Sends to the request's own task; false if it has none or it has ended.
+    pub fn send_control(&self, control: Control) -> bool {
         let sent = |sender: &mpsc::UnboundedSender<Control>| sender.send(control).is_ok();
         self.control.as_ref().is_some_and(sent)
     }
--- a/crates/daemon/src/home/message.rs
+++ b/crates/daemon/src/home/message.rs
@@ -1,4 +1,4 @@
-//! What the home task is told.
+//! Messages to the home task.
 
 use medlarrill_core::admission::Ending;
 use medlarrill_core::clock::Millis;
@@ -16,48 +16,48 @@
 pub enum Message {
     /// A request from an entry or another home.
     Offer(PeerId, Box<Forward>),
-    /// Room for more of an answer.
+    /// Credit for more of an answer.
     Credit(PeerId, Credit),
     /// An answer is no longer wanted.
     Cancel(PeerId, Cancel),
     /// Another home served a chat of this directory.
     Placed(Placed),
-    /// Directory entries that this daemon keeps from now on.
+    /// Directory entries that move to this daemon.
     Moved(Moved),
-    /// Load of the endpoints that a peer is home of, and when it was so.
-    LoadHeard(DaemonId, Millis, Vec<PoolLoad>),
-    /// A peer process is gone.
+    /// Load of the endpoints that a peer is home of, and the time of the report.
+    LoadReceived(DaemonId, Millis, Vec<PoolLoad>),
+    /// A peer process is lost.
     PeerLost(PeerId),
-    /// A dispatched request has generated this much.
+    /// Tokens that a dispatched request has generated so far.
     Progress(AttemptId, Tokens),
     /// A dispatched request has ended.
     Finished(Finished),
-    /// An endpoint was asked for its load at this time.
+    /// The result of a load poll, and the time when it was sent.
     Polled(EndpointId, Millis, CallResult<Load>),
-    /// Asks for what is known of endpoints.
+    /// Requests the state of all configured endpoints.
     Show(oneshot::Sender<Vec<EndpointRow>>),
-    /// Another daemon asks for the state of endpoints.
+    /// Another daemon requests the state of the endpoints that this one is home of.
     StateRequested(PeerId, StateAsk),
 }
 
 /// The end of a dispatched request.
 #[derive(Debug)]
 pub struct Finished {
-    /// The try.
+    /// The attempt.
     pub id: AttemptId,
     /// How it ended.
     pub ending: Ending,
-    /// Prompt and cached tokens as the engine counted them.
+    /// Token usage, if the engine reported it.
     pub usage: Option<Usage>,
 }
 
-/// What an engine says of a request.
+/// Token usage of a request, as reported by the engine.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct Usage {
-    /// Prompt.
+    /// Prompt tokens.
     pub prompt: Tokens,
     /// Prompt tokens served from the cache.
     pub cached: Tokens,
-    /// Output.
+    /// Output tokens.
     pub output: Tokens,
 }
--- a/crates/daemon/src/home/placing.rs
+++ b/crates/daemon/src/home/placing.rs
@@ -1,4 +1,4 @@
-//! Where a request goes from here: placement, passing on, and the chat directory.
+//! Places requests on endpoints, passes them to other homes and keeps the chat directory.
 
 use std::sync::Arc;
 
@@ -10,32 +10,32 @@
 use medlarrill_core::wire::{Body, Forward, Placed};
 use medlarrill_net::now::now;
 
-use super::held::Held;
+use super::held::HeldRequest;
 use super::message::{Message, Usage};
 use super::reply::Refusal;
 use super::task::Task;
 
 impl Task {
-    /// Places a request as its chat's directory daemon.
-    pub(super) fn place(&mut self, held: Held) {
+    /// Chooses an endpoint for a request, as its chat's directory daemon.
+    pub(super) fn place(&mut self, held: HeldRequest) {
         match self.choose(&held) {
             Ok(choice) => {
-                // The chat may return before the home's own word of it comes.
+                // The next request of the chat may arrive before the home reports this one.
                 if let Some(chat) = held.chat() {
-                    self.remember(chat, &choice.endpoint, held.prompt(), now());
+                    self.record_place(chat, &choice.endpoint, held.prompt(), now());
                 }
-                self.go(held, choice, Reason::NoEndpoint);
+                self.route(held, choice, Reason::NoEndpoint);
             }
             Err(reason) => self.refuse(held, Refusal::new(reason)),
         }
     }
 
-    /// Places a request anew that an endpoint of this home doesn't take.
-    pub(super) fn pass_on(&mut self, mut held: Held, endpoint: &EndpointId, reason: Reason) {
+    /// Places a request again that an endpoint of this home doesn't admit.
+    pub(super) fn pass_on(&mut self, mut held: HeldRequest, endpoint: &EndpointId, reason: Reason) {
         held.forward.tried.push(endpoint.to_string());
         match self.choose(&held) {
-            Ok(choice) => self.go(held, choice, reason),
-            // No other takes work, so it waits here if it may.
+            Ok(choice) => self.route(held, choice, reason),
+            // No other endpoint accepts work, so it waits here if the admission lets it.
             Err(_) => {
                 held.forward.hops = HOP_LIMIT;
                 self.admit(held, endpoint);
@@ -43,7 +43,7 @@
         }
     }
 
-    fn choose(&mut self, held: &Held) -> Result<Choice, Reason> {
+    fn choose(&mut self, held: &HeldRequest) -> Result<Choice, Reason> {
         let now = now();
         let pool = held.forward.pool.parse().map_err(|_| Reason::NoRoute)?;
         let pool = self.loads.pool(&pool).ok_or(Reason::NoEndpoint)?;
@@ -65,7 +65,7 @@
         })
     }
 
-    fn go(&mut self, mut held: Held, choice: Choice, reason: Reason) {
+    fn route(&mut self, mut held: HeldRequest, choice: Choice, reason: Reason) {
         held.forward.cached = choice.cached.0;
         self.note_sent(&held, &choice);
         let home = self.home_of(&choice.endpoint);
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Passes a request to another home. If that can't be reached, it is served from here.
-    fn pass_to(&self, held: Held, endpoint: EndpointId, home: DaemonId) {
+    /// Passes a request to another home; if that is unreachable, the request is served from here.
+    fn pass_to(&self, held: HeldRequest, endpoint: EndpointId, home: DaemonId) {
         let context = Arc::clone(&self.context);
         let forward = Forward {
             endpoint: endpoint.to_string(),
@@ -91,7 +91,7 @@
         };
         let reply = held.reply;
         tokio::spawn(async move {
-            // The entry has to expect the other home before that can answer.
+            // The entry must know the other home before that can answer.
             if reply.passed(&home).await.is_err() {
                 return;
             }
@@ -114,7 +114,7 @@
         });
     }
 
-    fn note_sent(&mut self, held: &Held, choice: &Choice) {
+    fn note_sent(&mut self, held: &HeldRequest, choice: &Choice) {
         let Ok(pool) = held.forward.pool.parse() else {
             return;
         };
@@ -123,8 +123,13 @@
         }
     }
 
-    /// Remembers where a chat was served, here or at its directory daemon.
-    pub(super) fn record(&mut self, held: &Held, endpoint: &EndpointId, usage: Option<Usage>) {
+    /// Records where a chat was served, here or at its directory daemon.
+    pub(super) fn record_served(
+        &mut self,
+        held: &HeldRequest,
+        endpoint: &EndpointId,
+        usage: Option<Usage>,
+    ) {
         let metrics = &self.context.metrics;
         if let Some(usage) = usage {
             metrics.prompt_tokens.inc_by(usage.prompt.0);
@@ -134,11 +139,11 @@
             return;
         };
         let prefix = usage.map_or(held.forward.prompt, |usage| usage.prompt.0 + usage.output.0);
-        let Some(keeper) = self.directory_daemon(&held.forward, chat) else {
+        let Some(directory_daemon) = self.directory_daemon_of(&held.forward, chat) else {
             return;
         };
-        if keeper == self.context.me.daemon {
-            self.remember(chat, endpoint, Tokens(prefix), now());
+        if directory_daemon == self.context.me.daemon {
+            self.record_place(chat, endpoint, Tokens(prefix), now());
             return;
         }
         let placed = Body::Placed(Placed {
@@ -149,24 +154,24 @@
             work: held.work().0,
         });
         let context = Arc::clone(&self.context);
-        // A lost note costs one prefill.
-        tokio::spawn(async move { context.peers.try_send(&keeper, placed).await });
+        // A lost message costs one prefill.
+        tokio::spawn(async move { context.peers.try_send(&directory_daemon, placed).await });
     }
 
-    /// Takes a note from the home that served a chat.
+    /// Handles a report from the home that served a chat.
     pub(super) fn placed(&mut self, placed: &Placed) {
         let Ok(endpoint) = placed.endpoint.parse() else {
             return;
         };
         let prefix = Tokens(placed.prefix);
-        self.remember(ChatHash(placed.chat), &endpoint, prefix, now());
+        self.record_place(ChatHash(placed.chat), &endpoint, prefix, now());
         let pool = placed.pool.parse().ok();
         if let Some(pool) = pool.and_then(|pool| self.loads.pool_mut(&pool)) {
             pool.note_done(&endpoint, Tokens(placed.work));
         }
     }
 
-    fn remember(&mut self, chat: ChatHash, endpoint: &EndpointId, prefix: Tokens, now: Millis) {
+    fn record_place(&mut self, chat: ChatHash, endpoint: &EndpointId, prefix: Tokens, now: Millis) {
         let place = Place {
             endpoint: endpoint.clone(),
             prefix,
@@ -177,19 +182,19 @@
     }
 
     /// The home of the chat's first-ranked endpoint.
-    fn directory_daemon(&self, forward: &Forward, chat: ChatHash) -> Option<DaemonId> {
+    fn directory_daemon_of(&self, forward: &Forward, chat: ChatHash) -> Option<DaemonId> {
         let pool = forward.pool.parse().ok()?;
         let first = self.config.ranked(&pool, chat.0, 1);
         self.home_of(first.first()?)
     }
 
-    /// The home of an endpoint by the present view.
+    /// The home of an endpoint in the current fleet view.
     pub(super) fn home_of(&self, endpoint: &EndpointId) -> Option<DaemonId> {
         self.fleet.home_of(&self.config, endpoint).cloned()
     }
 }
 
-/// An endpoint chosen.
+/// A chosen endpoint, and the prompt tokens assumed to be cached there.
 struct Choice {
     endpoint: EndpointId,
     cached: Tokens,
--- a/crates/daemon/src/home/poll.rs
+++ b/crates/daemon/src/home/poll.rs
@@ -1,4 +1,4 @@
-//! Asks an endpoint for its load, again and again, while this daemon is its home.
+//! Polls the load of an endpoint while this daemon has a slot for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,36 +12,36 @@
 use super::message::Message;
 use crate::context::Context;
 
-/// Time between two questions to an endpoint with work, or after a lost answer.
-const EVERY: Millis = Millis(500);
-/// Time between two questions to one without: half the age at which nothing is dispatched.
-const IDLE: Millis = Millis(1000);
-/// Time between the first questions, as a new home waits for a report of its own time.
-const FIRST: Millis = Millis(100);
-/// Questions asked at that pace.
-const FIRST_COUNT: u32 = 10;
+/// Interval between polls of an endpoint with work, or after a failed poll.
+const INTERVAL: Millis = Millis(500);
+/// Interval between polls of an idle endpoint: half the age from which nothing is dispatched.
+const IDLE_INTERVAL: Millis = Millis(1000);
+/// Interval between the first polls, as a new home waits for a report made since its start.
+const INITIAL_INTERVAL: Millis = Millis(100);
+/// Number of polls at the initial interval.
+const INITIAL_POLLS: u32 = 10;
 /// Longest wait for an answer.
-const WAIT: Millis = Millis(1000);
+const TIMEOUT: Millis = Millis(1000);
 
-/// A poller, which ends when it is dropped.
+/// A polling task, aborted on drop.
 #[derive(Debug)]
 pub struct Poller {
     task: JoinHandle<()>,
 }
 
 impl Poller {
-    /// Polls an endpoint.
+    /// Starts to poll an endpoint.
     pub fn start(context: Arc<Context>, endpoint: EndpointId, address: SocketAddr) -> Self {
         let task = tokio::spawn(async move {
             for number in 0u32.. {
                 context.metrics.polls.inc();
-                // An answer is as old as its question: it may have waited while this process was paused.
-                let asked = now();
-                let load = context.endpoints.load(address, WAIT).await;
+                // Dated by its question, as the answer may have waited while this process was paused.
+                let asked_at = now();
+                let load = context.endpoints.load(address, TIMEOUT).await;
                 let pause = pause(number, &load);
                 context
                     .home
-                    .send(Message::Polled(endpoint.clone(), asked, load));
+                    .send(Message::Polled(endpoint.clone(), asked_at, load));
                 tokio::time::sleep(pause.as_duration()).await;
             }
         });
@@ -49,14 +49,14 @@
     }
 }
 
-fn pause(asked: u32, load: &CallResult<Load>) -> Millis {
+fn pause(number: u32, load: &CallResult<Load>) -> Millis {
     let idle = |load: &Load| load.running == 0 && load.waiting == 0;
-    if asked < FIRST_COUNT {
-        FIRST
+    if number < INITIAL_POLLS {
+        INITIAL_INTERVAL
     } else if load.as_ref().is_ok_and(idle) {
-        IDLE
+        IDLE_INTERVAL
     } else {
-        EVERY
+        INTERVAL
     }
 }
 
--- a/crates/daemon/src/home/reply.rs
+++ b/crates/daemon/src/home/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of a home to the entry of a request.
+//! Sends a home's answers to the entry of a request.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::context::Context;
 
-/// The way back to the entry of one try.
+/// Sends the answer of one attempt to its entry.
 #[derive(Clone)]
 pub struct Reply {
     context: Arc<Context>,
@@ -20,7 +20,7 @@
 }
 
 impl Reply {
-    /// The way back to `origin`.
+    /// A reply to the entry at `origin`.
     pub const fn new(context: Arc<Context>, id: AttemptId, origin: DaemonId) -> Self {
         Self {
             context,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Tells that the endpoint answers.
+    /// Reports that the endpoint answers, with the head of its response.
     ///
     /// # Errors
     ///
@@ -49,7 +49,7 @@
         .await
     }
 
-    /// Tells that the request went on to another home.
+    /// Reports that the request is passed to another home.
     ///
     /// # Errors
     ///
@@ -62,7 +62,7 @@
         .await
     }
 
-    /// Tells, in the name of a home that can't be reached, that the request stays here.
+    /// Reports, on behalf of a home that can't be reached, that the request stays here.
     ///
     /// # Errors
     ///
@@ -72,23 +72,23 @@
         self.passed(to).await
     }
 
-    /// Refuses the request; `sent` if it may have run.
+    /// Refuses the request.
     pub async fn refused(&self, refusal: Refusal) {
         let frame = Refused {
             attempt: Some(self.id.into()),
             reason: refusal.reason.code().into(),
             sent: refusal.sent,
-            after: refusal.after.0,
+            after: refusal.retry_after.0,
             endpoint: refusal
                 .endpoint
                 .map(|id| id.to_string())
                 .unwrap_or_default(),
         };
-        // An entry that is gone needs no answer.
+        // A lost entry needs no answer.
         let _ = self.send(Body::Refused(frame)).await;
     }
 
-    /// Sends a piece of the answer.
+    /// Sends a chunk of the answer.
     ///
     /// # Errors
     ///
@@ -102,7 +102,7 @@
         .await
     }
 
-    /// Ends the answer, whole if there is no reason.
+    /// Ends the answer; it is complete if there is no reason.
     pub async fn end(&self, length: u64, reason: Option<Reason>) {
         let frame = End {
             attempt: Some(self.id.into()),
@@ -126,19 +126,19 @@
     pub reason: Reason,
     /// Whether an endpoint may have run it.
     pub sent: bool,
-    /// When to come back; zero if that isn't known.
-    pub after: Millis,
-    /// The endpoint that was tried.
+    /// Time after which to retry; zero if unknown.
+    pub retry_after: Millis,
+    /// The endpoint that was attempted.
     pub endpoint: Option<EndpointId>,
 }
 
 impl Refusal {
-    /// A refusal of a request that no endpoint has seen.
+    /// A refusal of a request that wasn't sent to any endpoint.
     pub const fn new(reason: Reason) -> Self {
         Self {
             reason,
             sent: false,
-            after: Millis::ZERO,
+            retry_after: Millis::ZERO,
             endpoint: None,
         }
     }
--- a/crates/daemon/src/home/show.rs
+++ b/crates/daemon/src/home/show.rs
@@ -1,4 +1,4 @@
-//! What the home task tells operators of endpoints.
+//! The state of endpoints, for operators.
 
 use std::sync::Arc;
 
@@ -13,26 +13,26 @@
 use super::slot::Slot;
 use super::task::Task;
 
-/// One endpoint as this daemon sees it.
+/// One endpoint in this daemon's view.
 #[derive(Clone, PartialEq, Debug)]
 pub struct EndpointRow {
     /// Its name.
     pub id: EndpointId,
     /// Its pool.
     pub pool: PoolId,
-    /// Its state, in a word.
+    /// Name of its state.
     pub state: String,
-    /// Work in flight, if anything fresh is known.
+    /// Work in flight; known at its home only.
     pub load: Option<Tokens>,
-    /// The most work that it is given; known at its home only.
+    /// Most work dispatched to it at a time; known at its home only.
     pub limit: Option<Tokens>,
     /// Mean load of the pool.
     pub mean: Option<Tokens>,
     /// Requests in flight; known at its home only.
     pub in_flight: Option<u32>,
-    /// Requests that wait; known at its home only.
+    /// Requests waiting; known at its home only.
     pub queued: Option<usize>,
-    /// Its home, by the present view.
+    /// Its home in the current fleet view.
     pub home: Option<DaemonId>,
 }
 
@@ -60,16 +60,16 @@
         endpoints.iter().map(row).collect()
     }
 
-    /// Tells another daemon of the endpoints that this one is home of.
-    pub(super) fn tell_state(&self, to: PeerId, ask: StateAsk) {
+    /// Sends another daemon the state of the endpoints that this one is home of.
+    pub(super) fn send_state(&self, to: PeerId, ask: StateAsk) {
         let rows = self.show().into_iter();
         let answer = StateAnswer {
             number: ask.number,
-            endpoints: rows.filter_map(EndpointRow::told).collect(),
+            endpoints: rows.filter_map(EndpointRow::into_home_state).collect(),
         };
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
-            // Who asked shows the endpoints without an answer.
+            // Without an answer, the other daemon shows its own view of the endpoints.
             let body = Body::StateAnswer(answer);
             let _ = context.peers.send(&to.daemon, body).await;
         });
@@ -77,8 +77,8 @@
 }
 
 impl EndpointRow {
-    /// What this home tells of it; `None` if another is its home.
-    fn told(self) -> Option<HomeState> {
+    /// The message to another daemon; `None` if this daemon isn't the endpoint's home.
+    fn into_home_state(self) -> Option<HomeState> {
         Some(HomeState {
             endpoint: self.id.to_string(),
             in_flight: self.in_flight?,
@@ -90,7 +90,7 @@
     }
 }
 
-const fn word(state: EndpointState) -> &'static str {
+const fn state_name(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Ready => "ready",
         EndpointState::Leaving => "leaving",
@@ -109,6 +109,6 @@
         Some(State::Leaving) => "leaving",
         Some(State::Unreachable) => "unreachable",
         Some(State::Moved) => "moved",
-        None => view.map_or("unknown", |view| word(view.state)),
+        None => view.map_or("unknown", |view| state_name(view.state)),
     }
 }
--- a/crates/daemon/src/home/slot.rs
+++ b/crates/daemon/src/home/slot.rs
@@ -1,4 +1,4 @@
-//! One endpoint at its home: admission, polling and what was heard of it.
+//! One endpoint at its home: admission, polling and evidence of its state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,32 +16,34 @@
 use super::poll::Poller;
 use crate::context::Context;
 
-/// Age from which what was heard of an endpoint allows no dispatch.
-const STALE: Millis = Millis::from_secs(2);
+/// Age of the last answered poll beyond which nothing is dispatched.
+const MAX_AGE: Millis = Millis::from_secs(2);
 
-/// One endpoint.
+/// One endpoint to which this daemon dispatches.
 pub struct Slot {
     /// Its pool.
     pub pool: PoolId,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its admission.
     pub home: Home,
     /// Whether an operator has drained it.
     pub drained: bool,
-    /// Whether this daemon is its home by the present view.
+    /// Whether this daemon is its home in the current fleet view.
     pub own: bool,
+    /// Whether the endpoint reported that it is leaving.
     leaving: bool,
-    moved: bool,
-    /// When it was made, from when its endpoint has time for a first answer.
+    /// Whether this daemon was its home and no longer is.
+    handed_over: bool,
+    /// Creation time, from which the endpoint has `MAX_AGE` for its first answer.
     since: Millis,
-    /// When the newest question that was answered had been asked.
-    heard: Option<Millis>,
+    /// When the newest answered poll was sent.
+    last_answered: Option<Millis>,
     poller: Option<Poller>,
 }
 
 impl Slot {
-    /// A slot that starts now, and is polled at once.
+    /// A slot created now; it isn't polled before `start_polling`.
     pub fn new(pool: PoolId, terms: &Pool, address: SocketAddr, rng: Pcg32, now: Millis) -> Self {
         Self {
             pool,
@@ -50,35 +52,35 @@
             drained: false,
             own: false,
             leaving: false,
-            moved: false,
+            handed_over: false,
             since: now,
-            heard: None,
+            last_answered: None,
             poller: None,
         }
     }
 
-    /// Polls the endpoint from now on.
-    pub fn watch(&mut self, context: &Arc<Context>, id: &EndpointId) {
+    /// Starts to poll the endpoint, unless it is polled already.
+    pub fn start_polling(&mut self, context: &Arc<Context>, id: &EndpointId) {
         if self.poller.is_none() {
             let context = Arc::clone(context);
             self.poller = Some(Poller::start(context, id.clone(), self.address));
         }
     }
 
-    /// Notes whether this daemon is the endpoint's home; a former home admits nothing more.
-    pub fn settle(&mut self, own: bool) {
-        self.moved = (self.moved || self.own) && !own;
+    /// Sets whether this daemon is the endpoint's home; a former home admits nothing more.
+    pub fn set_own(&mut self, own: bool) {
+        self.handed_over = (self.handed_over || self.own) && !own;
         self.own = own;
     }
 
-    /// Admits again, though another daemon may be the home: that one can't be reached.
+    /// Admits requests although another daemon may be the home, as that can't be reached.
     pub fn stand_in(&mut self) {
-        self.moved = false;
+        self.handed_over = false;
     }
 
-    /// Takes the answer to a poll of time `asked`.
-    pub fn polled(&mut self, load: &endpoint::Load, asked: Millis, now: Millis) -> Vec<Action> {
-        self.heard = self.heard.max(Some(asked));
+    /// Handles the answer to the poll sent at `asked_at`.
+    pub fn polled(&mut self, load: &endpoint::Load, asked_at: Millis, now: Millis) -> Vec<Action> {
+        self.last_answered = self.last_answered.max(Some(asked_at));
         self.leaving = load.state == endpoint::State::Leaving;
         let age = wall().since(load.as_of);
         let report = Report {
@@ -93,7 +95,7 @@
         actions
     }
 
-    /// Brings the admission's state up to what is known now.
+    /// Updates the admission's state from the current evidence.
     pub fn refresh(&mut self, now: Millis) -> Vec<Action> {
         let state = self.state(now);
         if state == self.home.state() {
@@ -102,7 +104,7 @@
         self.home.handle(Event::State(state), now)
     }
 
-    /// What it carries now.
+    /// Its current load and free capacity.
     pub fn occupancy(&self, now: Millis) -> Occupancy {
         let free = self.home.in_flight() < self.home.slots();
         let under = self.home.load(now) <= self.home.limit(now);
@@ -113,24 +115,25 @@
         }
     }
 
-    /// Whether the slot can be dropped.
+    /// Whether no request runs or waits here.
     pub fn is_idle(&self) -> bool {
         self.home.in_flight() == 0 && self.home.queued() == 0
     }
 
     fn state(&self, now: Millis) -> State {
-        if now.since(self.heard.unwrap_or(self.since)) > STALE {
+        if now.since(self.last_answered.unwrap_or(self.since)) > MAX_AGE {
             return State::Unreachable;
         }
-        if self.moved {
+        if self.handed_over {
             return State::Moved;
         }
         if self.drained || self.leaving {
             return State::Leaving;
         }
-        // Who stands in for a home doesn't know whether the endpoint is leaving. Where nobody
-        // waited, 3 of 14 runs with a frozen home sent to one that was; so, none of 24.
-        if !self.own && self.heard.is_none() {
+        // A daemon standing in for a home doesn't know yet whether the endpoint is leaving.
+        // Without this wait, 3 of 14 runs with a frozen home dispatched to a leaving endpoint;
+        // with it, 0 of 24.
+        if !self.own && self.last_answered.is_none() {
             return State::Unconfirmed;
         }
         State::Ready
--- a/crates/daemon/src/home/task.rs
+++ b/crates/daemon/src/home/task.rs
@@ -18,9 +18,9 @@
 use tokio::time::{Instant, MissedTickBehavior, interval_at};
 
 use super::dispatch::{Control, Dispatch};
-use super::gossip::Names;
+use super::gossip::NameHashes;
 use super::handover::Handover;
-use super::held::Held;
+use super::held::HeldRequest;
 use super::message::{Finished, Message};
 use super::reply::{Refusal, Reply};
 use super::slot::Slot;
@@ -28,9 +28,9 @@
 use crate::context::Context;
 use crate::fleet::FleetView;
 
-/// Time between two looks at queues and means.
+/// Interval between checks of queues and mean loads.
 const TICK: Millis = Millis(25);
-/// Endpoints that one home tries before it lets a request wait.
+/// Endpoints attempted before a request has to wait.
 const MAX_TRIED: usize = 3;
 
 /// State of the home task.
@@ -41,10 +41,10 @@
     pub(super) loads: LoadView,
     pub(super) directory: Directory,
     pub(super) slots: BTreeMap<EndpointId, Slot>,
-    pub(super) held: HashMap<AttemptId, Held>,
+    pub(super) held: HashMap<AttemptId, HeldRequest>,
     pub(super) rng: Pcg32,
-    pub(super) names: Names,
-    pub(super) told: Millis,
+    pub(super) names: NameHashes,
+    pub(super) load_published: Millis,
     pub(super) handover: Handover,
 }
 
@@ -61,13 +61,13 @@
             held: HashMap::new(),
             context,
             rng,
-            names: Names::default(),
-            told: Millis::ZERO,
+            names: NameHashes::default(),
+            load_published: Millis::ZERO,
             handover: Handover::default(),
         }
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every handle is dropped.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let mut config = self.context.config.clone();
         let mut fleet = self.context.fleet.clone();
@@ -78,27 +78,27 @@
         loop {
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Ok(()) = config.changed() => self.configure(&mut config),
-                Ok(()) = fleet.changed() => self.regroup(&mut fleet),
+                Ok(()) = config.changed() => self.update_config(&mut config),
+                Ok(()) = fleet.changed() => self.update_fleet(&mut fleet),
                 _ = ticks.tick() => self.tick(),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Offer(from, forward) => self.offer(&from, *forward),
             Message::Credit(_, credit) => {
                 let id = credit.attempt.as_ref().and_then(|attempt| attempt.id());
-                self.tell(id, Control::Credit(credit.bytes));
+                self.send_control(id, Control::Credit(credit.bytes));
             }
             Message::Cancel(_, cancel) => {
                 let id = cancel.attempt.as_ref().and_then(|attempt| attempt.id());
                 let control = match cancel.leave {
-                    true => Control::Drop,
+                    true => Control::Detach,
                     false => Control::Cancel,
                 };
                 if let Some(id) = id {
@@ -107,14 +107,14 @@
             }
             Message::Placed(placed) => self.placed(&placed),
             Message::Moved(moved) => self.moved(moved),
-            Message::LoadHeard(from, at, pools) => self.load_heard(&from, at, &pools),
+            Message::LoadReceived(from, at, pools) => self.load_received(&from, at, &pools),
             Message::PeerLost(peer) => self.entry_lost(peer.incarnation),
             Message::Progress(id, tokens) => self.progress(id, tokens),
             Message::Finished(finished) => self.finished(&finished),
-            Message::Polled(endpoint, asked, load) => self.polled(&endpoint, asked, load),
-            Message::StateRequested(from, ask) => self.tell_state(from, ask),
+            Message::Polled(endpoint, asked_at, load) => self.polled(&endpoint, asked_at, load),
+            Message::StateRequested(from, ask) => self.send_state(from, ask),
             Message::Show(reply) => {
-                // Who asked may have gone away.
+                // The caller may have been dropped.
                 let _ = reply.send(self.show());
             }
         }
@@ -124,13 +124,13 @@
         let id = forward.attempt.as_ref().and_then(|attempt| attempt.id());
         let origin = forward.origin.parse();
         let (Some(id), Ok(origin)) = (id, origin) else {
-            log::warn!(target: "home", "home: {from} sent a request that names no try or origin");
+            log::warn!(target: "home", "home: {from} sent a request without an attempt or origin");
             return;
         };
         if self.held.contains_key(&id) {
             return;
         }
-        let held = Held {
+        let held = HeldRequest {
             id,
             reply: Reply::new(Arc::clone(&self.context), id, origin),
             endpoint: None,
@@ -148,7 +148,7 @@
     }
 
     /// Offers a request to an endpoint's admission.
-    pub(super) fn admit(&mut self, mut held: Held, endpoint: &EndpointId) {
+    pub(super) fn admit(&mut self, mut held: HeldRequest, endpoint: &EndpointId) {
         if !self.ensure_slot(endpoint) {
             self.refuse(held, Refusal::new(Reason::NoEndpoint));
             return;
@@ -158,13 +158,13 @@
         }
         self.refresh(endpoint);
         held.endpoint = Some(endpoint.clone());
-        let offer = self.describe(&held);
+        let offer = self.to_offer(&held);
         let id = held.id;
         self.held.insert(id, held);
-        self.drive(endpoint, Event::Offer(offer));
+        self.handle_event(endpoint, Event::Offer(offer));
     }
 
-    fn describe(&self, held: &Held) -> Offer {
+    fn to_offer(&self, held: &HeldRequest) -> Offer {
         let forward = &held.forward;
         let institution = forward.institution.parse().ok();
         let contract = institution
@@ -174,8 +174,11 @@
         Offer {
             id: held.id,
             share: contract.map_or(1, |institution| institution.contract.share),
-            institution: institution.unwrap_or_else(unnamed),
-            account: forward.account.parse().unwrap_or_else(|_| unnamed()),
+            institution: institution.unwrap_or_else(placeholder_name),
+            account: forward
+                .account
+                .parse()
+                .unwrap_or_else(|_| placeholder_name()),
             prompt: Tokens(forward.prompt.saturating_sub(forward.cached)),
             output: Tokens(forward.output),
             patience: Millis(forward.patience).since(waited),
@@ -184,20 +187,20 @@
         }
     }
 
-    /// Feeds an event to an endpoint's admission and carries out its actions.
-    pub(super) fn drive(&mut self, endpoint: &EndpointId, event: Event) {
+    /// Passes an event to an endpoint's admission and applies the resulting actions.
+    pub(super) fn handle_event(&mut self, endpoint: &EndpointId, event: Event) {
         let now = now();
         let Some(slot) = self.slots.get_mut(endpoint) else {
             return;
         };
-        // After a pause the evidence is old, whatever message is read first.
+        // After a pause of this process the evidence may be stale, whichever message comes first.
         let mut actions = slot.refresh(now);
         actions.extend(slot.home.handle(event, now));
-        self.note_load(endpoint, now);
-        self.act(endpoint, actions);
+        self.record_load(endpoint, now);
+        self.apply(endpoint, actions);
     }
 
-    pub(super) fn act(&mut self, endpoint: &EndpointId, actions: Vec<Action>) {
+    pub(super) fn apply(&mut self, endpoint: &EndpointId, actions: Vec<Action>) {
         for action in actions {
             let Some(held) = self.held.remove(&action.id()) else {
                 continue;
@@ -210,7 +213,7 @@
                     ..
                 } => {
                     let refusal = Refusal {
-                        after: retry_after,
+                        retry_after,
                         endpoint: Some(endpoint.clone()),
                         ..Refusal::new(reason)
                     };
@@ -222,7 +225,7 @@
     }
 
     /// Sends a request to its endpoint, in a task of its own.
-    pub(super) fn dispatch(&mut self, mut held: Held, endpoint: &EndpointId, priority: u8) {
+    pub(super) fn dispatch(&mut self, mut held: HeldRequest, endpoint: &EndpointId, priority: u8) {
         let slot = self.slots.get(endpoint);
         let pool = slot.and_then(|slot| self.config.pool(&slot.pool));
         let (Some(slot), Some(pool)) = (slot, pool) else {
@@ -239,15 +242,15 @@
             priority,
             reply: held.reply.clone(),
         };
-        // The body lives on in the request's own task.
+        // The request's own task keeps the body.
         held.forward.body = bytes::Bytes::new();
         held.control = Some(sender);
         self.held.insert(held.id, held);
         tokio::spawn(dispatch.run(Arc::clone(&self.context), receiver));
     }
 
-    /// Takes up a stream at its endpoint, past admission: it runs there already.
-    fn resume(&mut self, mut held: Held) {
+    /// Resumes a stream at its endpoint, without admission as it already runs there.
+    fn resume(&mut self, mut held: HeldRequest) {
         let endpoint = held.forward.endpoint.parse::<EndpointId>().ok();
         let Some(endpoint) = endpoint.filter(|id| self.ensure_slot(id)) else {
             self.refuse(held, Refusal::new(Reason::NoEndpoint));
@@ -257,7 +260,7 @@
         self.dispatch(held, &endpoint, RESUME_PRIORITY);
     }
 
-    pub(super) fn refuse(&self, held: Held, refusal: Refusal) {
+    pub(super) fn refuse(&self, held: HeldRequest, refusal: Refusal) {
         tokio::spawn(async move { held.reply.refused(refusal).await });
     }
 
@@ -266,15 +269,15 @@
             return;
         };
         let endpoint = held.endpoint.clone();
-        if !held.tell(control) {
+        if !held.send_control(control) {
             self.held.remove(&id);
         }
         if let Some(endpoint) = endpoint {
-            self.drive(&endpoint, Event::Cancelled { id });
+            self.handle_event(&endpoint, Event::Cancelled { id });
         }
     }
 
-    /// Ends what a lost entry asked for. The endpoint's grace lets another entry take it up.
+    /// Ends the requests of a lost entry. Streams can be resumed within the endpoint's grace period.
     fn entry_lost(&mut self, sender: Incarnation) {
         let lost: Vec<AttemptId> = self
             .held
@@ -283,20 +286,20 @@
             .filter(|id| id.sender == sender)
             .collect();
         for id in lost {
-            self.cancel(id, Control::Drop);
+            self.cancel(id, Control::Detach);
         }
     }
 
-    fn tell(&self, id: Option<AttemptId>, control: Control) {
+    fn send_control(&self, id: Option<AttemptId>, control: Control) {
         if let Some(held) = id.and_then(|id| self.held.get(&id)) {
-            held.tell(control);
+            held.send_control(control);
         }
     }
 
     fn progress(&mut self, id: AttemptId, output: Tokens) {
         let endpoint = self.held.get(&id).and_then(|held| held.endpoint.clone());
         if let Some(endpoint) = endpoint {
-            self.drive(&endpoint, Event::Progress { id, output });
+            self.handle_event(&endpoint, Event::Progress { id, output });
         }
     }
 
@@ -310,12 +313,12 @@
         };
         let ending = finished.ending;
         if ending == Ending::Done {
-            self.record(&held, &endpoint, finished.usage);
+            self.record_served(&held, &endpoint, finished.usage);
         }
-        self.drive(&endpoint, Event::Finished { id, ending });
+        self.handle_event(&endpoint, Event::Finished { id, ending });
     }
 
-    fn polled(&mut self, endpoint: &EndpointId, asked: Millis, load: CallResult<Load>) {
+    fn polled(&mut self, endpoint: &EndpointId, asked_at: Millis, load: CallResult<Load>) {
         let now = now();
         let Some(slot) = self.slots.get_mut(endpoint) else {
             return;
@@ -325,7 +328,7 @@
                 let cache = load.cache.as_ref();
                 let age = cache.and_then(|cache| cache.eviction_age).map(Millis);
                 let pool = slot.pool.clone();
-                let actions = slot.polled(&load, asked, now);
+                let actions = slot.polled(&load, asked_at, now);
                 if let Some(pool) = self.loads.pool_mut(&pool) {
                     pool.set_eviction_age(endpoint, age);
                 }
@@ -336,14 +339,14 @@
                 slot.refresh(now)
             }
         };
-        self.note_load(endpoint, now);
-        self.act(endpoint, actions);
+        self.record_load(endpoint, now);
+        self.apply(endpoint, actions);
     }
 
     fn tick(&mut self) {
         let now = now();
-        self.context.home.note_held(self.held.len());
-        self.tell_load(now);
+        self.context.home.set_held(self.held.len());
+        self.publish_load(now);
         self.step_handover(now);
         let endpoints: Vec<EndpointId> = self.slots.keys().cloned().collect();
         for endpoint in endpoints {
@@ -351,20 +354,20 @@
                 continue;
             };
             let mut actions = slot.refresh(now);
-            if let Some(mean) = mean(&self.loads, slot, now) {
+            if let Some(mean) = pool_mean(&self.loads, slot, now) {
                 actions.extend(slot.home.handle(Event::Mean(mean), now));
             }
             if slot.home.wake().is_some_and(|at| at <= now) {
                 actions.extend(slot.home.handle(Event::Tick, now));
             }
-            self.note_load(&endpoint, now);
-            self.act(&endpoint, actions);
+            self.record_load(&endpoint, now);
+            self.apply(&endpoint, actions);
         }
         self.slots.retain(|_, slot| slot.own || !slot.is_idle());
-        self.count();
+        self.update_gauges();
     }
 
-    fn count(&self) {
+    fn update_gauges(&self) {
         let own = self.slots.values().filter(|slot| slot.own);
         let probation = own.clone().filter(|slot| slot.home.on_probation());
         let metrics = &self.context.metrics;
@@ -373,21 +376,21 @@
         metrics.daemons.set(self.fleet.placement.len() as i64);
     }
 
-    fn configure(&mut self, config: &mut watch::Receiver<Arc<ConfigView>>) {
+    fn update_config(&mut self, config: &mut watch::Receiver<Arc<ConfigView>>) {
         self.config = config.borrow_and_update().clone();
         self.rebuild();
     }
 
-    fn regroup(&mut self, fleet: &mut watch::Receiver<Arc<FleetView>>) {
+    fn update_fleet(&mut self, fleet: &mut watch::Receiver<Arc<FleetView>>) {
         self.fleet = fleet.borrow_and_update().clone();
         self.rebuild();
     }
 }
 
-/// Priority of a stream that is taken up again.
+/// Priority of a resumed stream.
 const RESUME_PRIORITY: u8 = 9;
 
-fn mean(loads: &LoadView, slot: &Slot, now: Millis) -> Option<Mean> {
+fn pool_mean(loads: &LoadView, slot: &Slot, now: Millis) -> Option<Mean> {
     let mean = loads.pool(&slot.pool)?.mean(now);
     Some(Mean {
         as_of: now,
@@ -396,7 +399,7 @@
     })
 }
 
-fn unnamed<T: std::str::FromStr>() -> T
+fn placeholder_name<T: std::str::FromStr>() -> T
 where
     T::Err: std::fmt::Debug,
 {
--- a/crates/daemon/src/home/view.rs
+++ b/crates/daemon/src/home/view.rs
@@ -1,4 +1,4 @@
-//! Keeps slots and load view in step with configuration and fleet.
+//! Updates slots and load view when the configuration or the fleet changes.
 
 use medlarrill_core::admission::State;
 use medlarrill_core::clock::Millis;
@@ -8,21 +8,21 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use super::gossip::Names;
+use super::gossip::NameHashes;
 use super::slot::Slot;
 use super::task::Task;
 
 impl Task {
-    /// Brings pools, endpoints and slots up to the present configuration and fleet.
+    /// Updates pools, endpoints and slots to the current configuration and fleet.
     pub(super) fn rebuild(&mut self) {
         self.rebuild_pools();
-        self.names = Names::new(&self.config.config);
+        self.names = NameHashes::new(&self.config.config);
         let endpoints: Vec<EndpointId> = self.config.config.endpoints.keys().cloned().collect();
         for endpoint in endpoints {
-            self.settle(&endpoint);
+            self.update_role(&endpoint);
         }
-        self.retire();
-        self.plan_handover();
+        self.release_removed();
+        self.start_handover();
     }
 
     fn rebuild_pools(&mut self) {
@@ -35,21 +35,21 @@
             view.or_insert_with(|| PoolView::new(pool.load_bound));
         }
         for (id, view) in &mut self.loads.pools {
-            let gone: Vec<EndpointId> = view
+            let removed: Vec<EndpointId> = view
                 .endpoints()
                 .iter()
                 .map(|endpoint| endpoint.id.clone())
-                .filter(|endpoint| !belongs(&self.config.config, endpoint, id))
+                .filter(|endpoint| !is_in_pool(&self.config.config, endpoint, id))
                 .collect();
-            for endpoint in gone {
+            for endpoint in removed {
                 view.remove_endpoint(&endpoint);
                 self.directory.drop_endpoint(&endpoint);
             }
         }
     }
 
-    /// Decides whether this daemon is the home of an endpoint.
-    fn settle(&mut self, endpoint: &EndpointId) {
+    /// Updates an endpoint's load view and slot, and whether this daemon is its home.
+    fn update_role(&mut self, endpoint: &EndpointId) {
         let Some(settings) = self.config.endpoint(endpoint) else {
             return;
         };
@@ -70,31 +70,31 @@
         }
         if let Some(slot) = self.slots.get_mut(endpoint) {
             slot.drained = drained;
-            slot.settle(own);
+            slot.set_own(own);
         }
         if !own {
-            self.release(endpoint, &pool);
+            self.release_endpoint(endpoint, &pool);
         }
     }
 
-    fn release(&mut self, endpoint: &EndpointId, pool: &PoolId) {
+    fn release_endpoint(&mut self, endpoint: &EndpointId, pool: &PoolId) {
         if let Some(view) = self.loads.pool_mut(pool) {
             view.release_own(endpoint);
         }
         self.refresh(endpoint);
     }
 
-    /// Lets go of endpoints that are no longer configured, once nothing runs there.
-    fn retire(&mut self) {
-        let gone: Vec<EndpointId> = self
+    /// Drains endpoints that are no longer configured; the tick drops their slots once idle.
+    fn release_removed(&mut self) {
+        let removed: Vec<EndpointId> = self
             .slots
             .keys()
             .filter(|id| !self.config.config.endpoints.contains_key(*id))
             .cloned()
             .collect();
-        for endpoint in gone {
+        for endpoint in removed {
             if let Some(slot) = self.slots.get_mut(&endpoint) {
-                slot.settle(false);
+                slot.set_own(false);
                 slot.drained = true;
             }
             self.refresh(&endpoint);
@@ -107,11 +107,11 @@
             return;
         };
         let actions = slot.refresh(now);
-        self.note_load(endpoint, now);
-        self.act(endpoint, actions);
+        self.record_load(endpoint, now);
+        self.apply(endpoint, actions);
     }
 
-    /// Makes sure that an endpoint has a slot; false if it isn't configured.
+    /// Creates an endpoint's slot if it has none; false if the endpoint isn't configured.
     pub(super) fn ensure_slot(&mut self, endpoint: &EndpointId) -> bool {
         if self.slots.contains_key(endpoint) {
             return true;
@@ -125,12 +125,12 @@
         let rng = Pcg32::new(self.rng.random(), self.rng.random());
         let mut slot = Slot::new(settings.pool.clone(), pool, settings.address, rng, now());
         slot.drained = settings.drained;
-        slot.watch(&self.context, endpoint);
+        slot.start_polling(&self.context, endpoint);
         self.slots.insert(endpoint.clone(), slot);
         true
     }
 
-    pub(super) fn note_load(&mut self, endpoint: &EndpointId, now: Millis) {
+    pub(super) fn record_load(&mut self, endpoint: &EndpointId, now: Millis) {
         let Some(slot) = self.slots.get(endpoint) else {
             return;
         };
@@ -161,7 +161,11 @@
     }
 }
 
-fn belongs(config: &medlarrill_core::config::Config, endpoint: &EndpointId, pool: &PoolId) -> bool {
+fn is_in_pool(
+    config: &medlarrill_core::config::Config,
+    endpoint: &EndpointId,
+    pool: &PoolId,
+) -> bool {
     let settings = config.endpoints.get(endpoint);
     settings.is_some_and(|settings| settings.pool == *pool)
 }
