--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemons held to be live: the membership task and the view of it.
+//! The fleet's membership: its task, and the view of live daemons for other tasks.
 
 mod handle;
 mod task;
--- a/crates/daemon/src/fleet/handle.rs
+++ b/crates/daemon/src/fleet/handle.rs
@@ -1,4 +1,4 @@
-//! Sends to the membership task.
+//! The membership task's messages and handle.
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,16 @@
 
 use crate::mailbox::Mailbox;
 
-/// What the membership task is told.
+/// Messages to the membership task.
 #[derive(Debug)]
 pub enum Message {
-    /// A heartbeat came in.
+    /// A heartbeat from a peer.
     Heartbeat(PeerId, Gossip),
     /// A link is up.
     Opened(PeerId),
     /// A link is down.
     Closed(PeerId),
-    /// An address could not be dialled.
+    /// A connection to this address failed.
     Unreachable(SocketAddr),
     /// The platform's list of router VMs.
     Listed(Vec<ListedVm>),
@@ -27,22 +27,22 @@
     OwnLoad(Vec<PoolLoad>),
     /// The configuration in force here.
     InForce(Generation),
-    /// Asks which live daemons aren't known to have a generation.
+    /// Requests the live daemons that aren't known to have a generation.
     Lagging {
         /// The generation.
         generation: Generation,
-        /// Whether to ask them for it.
+        /// Whether to probe them for their generation.
         probe: bool,
-        /// Takes their names.
+        /// Receives their names.
         reply: oneshot::Sender<Vec<DaemonId>>,
     },
-    /// Whether this daemon takes callers.
+    /// Whether this daemon serves callers.
     Ready(bool),
     /// This daemon begins to leave.
     Leave,
-    /// This daemon has done its work.
+    /// This daemon has finished its work and departs.
     Depart,
 }
 
-/// Sends to the membership task.
+/// Sends messages to the membership task.
 pub type Handle = Mailbox<Message>;
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -1,4 +1,4 @@
-//! The membership task: drives the machine of `medlarrill-core`.
+//! The membership task: drives the state machine `medlarrill_core::membership`.
 
 use std::sync::Arc;
 
@@ -15,18 +15,18 @@
 use super::view::FleetView;
 use crate::home;
 
-/// Time between two ticks of the machine.
+/// Interval between two ticks of the state machine.
 const TICK: Millis = Millis(100);
 
-/// Where the task's findings go.
+/// Where the task sends its results.
 pub struct Outputs {
-    /// The view for all other tasks.
+    /// The fleet view, for all other tasks.
     pub view: watch::Sender<Arc<FleetView>>,
-    /// Loads heard.
+    /// Load reports received from peers.
     pub home: home::Handle,
-    /// A peer has a later configuration.
+    /// Peers that have a later configuration, and its generation.
     pub generation: mpsc::UnboundedSender<(DaemonId, Generation)>,
-    /// Peers know that this daemon leaves, or has left.
+    /// Number of peers that know that this daemon is leaving or has departed.
     pub leave_acks: watch::Sender<usize>,
 }
 
@@ -36,7 +36,7 @@
     links: Links,
     outputs: Outputs,
     version: u64,
-    fresh: bool,
+    is_fresh: bool,
 }
 
 impl Task {
@@ -47,30 +47,30 @@
             links,
             outputs,
             version: 0,
-            fresh: false,
+            is_fresh: false,
         }
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every handle is dropped.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let mut ticks = interval(TICK.as_duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let actions = tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 _ = ticks.tick() => self.membership.handle(Event::Tick { wall: wall() }, now()),
             };
             for action in actions {
-                self.act(action);
+                self.apply(action);
             }
             self.publish();
         }
     }
 
-    fn take(&mut self, message: Message) -> Vec<Action> {
+    fn handle_message(&mut self, message: Message) -> Vec<Action> {
         let event = match message {
             Message::Heartbeat(from, message) => Event::Received {
                 from: peer(from),
@@ -97,7 +97,7 @@
             } => {
                 let lagging = self.membership.lagging(generation);
                 let lagging = lagging.map(|member| member.daemon.clone()).collect();
-                // Who asked may have gone away.
+                // The caller may have been dropped.
                 let _ = reply.send(lagging);
                 return match probe {
                     true => self.membership.probe_lagging(generation, now()),
@@ -112,11 +112,11 @@
         self.membership.handle(event, now())
     }
 
-    fn act(&self, action: Action) {
+    fn apply(&self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, message),
             Action::LoadReceived { from, at, pools } => {
-                self.outputs.home.load_heard(from, at, pools)
+                self.outputs.home.load_received(from, at, pools)
             }
             Action::NewerGeneration { from, generation } => {
                 // The configuration task ends only with the daemon.
@@ -126,10 +126,12 @@
                 log::info!(target: "fleet", "fleet: {} is {}", member.daemon, member.state());
             }
             Action::Forgotten(daemon) => log::info!(target: "fleet", "fleet: forgot {daemon}"),
-            Action::Stale => log::warn!(target: "fleet", "fleet: paused, all knowledge is stale"),
-            Action::Fresh => log::info!(target: "fleet", "fleet: heard enough to act"),
+            Action::Stale => {
+                log::warn!(target: "fleet", "fleet: this process was paused, the fleet view is stale")
+            }
+            Action::Fresh => log::info!(target: "fleet", "fleet: the fleet view is fresh"),
             Action::ListedLeaving => {
-                log::warn!(target: "fleet", "fleet: the platform takes this VM away")
+                log::warn!(target: "fleet", "fleet: the platform lists this VM as leaving")
             }
             Action::LeaveAcknowledged { peers } | Action::Departed { peers } => {
                 self.outputs.leave_acks.send_replace(peers);
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Heartbeats never wait: one that finds no room is dropped.
+    /// Sends without waiting: a heartbeat is dropped if the link's queue is full.
     fn send(&self, to: Target, message: Gossip) {
         let links = self.links.clone();
         let address = to.address.or_else(|| {
@@ -154,20 +156,20 @@
         };
         tokio::spawn(async move {
             if let Ok(link) = links.at(address).await {
-                // A lost heartbeat is made up for by the next.
+                // The next heartbeat makes up for a lost one.
                 let _ = link.try_send(Body::Gossip(message));
             }
         });
     }
 
     fn publish(&mut self) {
-        let fresh = self.membership.is_fresh(now());
-        if self.version == self.membership.version() && self.fresh == fresh {
+        let is_fresh = self.membership.is_fresh(now());
+        if self.version == self.membership.version() && self.is_fresh == is_fresh {
             return;
         }
         self.version = self.membership.version();
-        self.fresh = fresh;
-        let view = FleetView::new(&self.membership, fresh);
+        self.is_fresh = is_fresh;
+        let view = FleetView::new(&self.membership, is_fresh);
         self.outputs.view.send_replace(Arc::new(view));
     }
 }
--- a/crates/daemon/src/fleet/view.rs
+++ b/crates/daemon/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! The daemons held to be live, as the other tasks see them.
+//! The view of the fleet's live daemons, for other tasks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,20 +9,20 @@
 
 use crate::configuration::ConfigView;
 
-/// One daemon.
+/// One daemon of the fleet.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Peer {
-    /// Where it takes links.
+    /// Its address for peer links.
     pub address: SocketAddr,
-    /// Its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// The region of its data centre.
     pub region: RegionId,
-    /// Its state, as membership names it.
+    /// Its membership state.
     pub state: medlarrill_core::membership::State,
-    /// The configuration in force there, as last heard.
+    /// The configuration in force there, as last reported.
     pub generation: Generation,
 }
 
@@ -39,24 +39,24 @@
     }
 }
 
-/// What is known of the fleet.
+/// The fleet as this daemon knows it.
 #[derive(Clone, PartialEq, Default, Debug)]
 pub struct FleetView {
-    /// Daemons on which roles are placed.
+    /// Daemons eligible for roles, such as home.
     pub placement: Fleet,
-    /// All that can be reached, leaving ones too, by name.
+    /// All reachable daemons, including leaving ones, by name.
     pub peers: BTreeMap<DaemonId, Peer>,
     /// The region of each data centre that has a daemon.
     pub regions: BTreeMap<DataCentreId, RegionId>,
-    /// Whether what is known may be acted on.
+    /// Whether the view is fresh enough to act on.
     pub fresh: bool,
 }
 
 impl FleetView {
-    /// The view of a membership.
+    /// The view of the current membership.
     pub fn new(membership: &Membership, fresh: bool) -> Self {
-        let places = membership.members().filter(|member| member.is_eligible());
-        let placement = Fleet::new(places.map(daemon));
+        let eligible = membership.members().filter(|member| member.is_eligible());
+        let placement = Fleet::new(eligible.map(daemon));
         let reachable = membership.members().filter(|member| !member.is_gone());
         let peers: BTreeMap<_, _> = reachable
             .map(|member| (member.daemon.clone(), Peer::from(member)))
--- a/crates/daemon/src/fleet/vms.rs
+++ b/crates/daemon/src/fleet/vms.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's lagging list of VMs, slowly.
+//! Polls the platform's list of VMs, which lags behind their real state.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,21 @@
 
 use super::handle::{Handle, Message};
 
-/// Time between two reads.
-const EVERY: Millis = Millis::from_secs(5);
-/// Time between two reads until the list, which lags, names this daemon.
-const FIRST: Millis = Millis(500);
+/// Interval between two reads.
+const INTERVAL: Millis = Millis::from_secs(5);
+/// Interval between two reads until the lagging list contains this daemon.
+const INITIAL_INTERVAL: Millis = Millis(500);
 /// Longest wait for an answer.
-const WAIT: Millis = Millis::from_secs(2);
+const TIMEOUT: Millis = Millis::from_secs(2);
 
-/// Reads the list for as long as the daemon runs.
+/// Reads the list until the membership task ends.
 pub async fn follow_vms(platform: Client, fleet: Handle, own: SocketAddr) {
-    let mut every = FIRST;
+    let mut interval = INITIAL_INTERVAL;
     loop {
-        match platform.vms(Role::Vms, WAIT).await {
+        match platform.vms(Role::Vms, TIMEOUT).await {
             Ok(list) => {
                 if list.vms.iter().any(|vm| vm.address == own) {
-                    every = EVERY;
+                    interval = INTERVAL;
                 }
                 let routers = list.vms.iter().filter(|vm| vm.kind == VmKind::Router);
                 let listed = routers.map(|vm| ListedVm {
@@ -33,8 +33,8 @@
                     return;
                 }
             }
-            Err(error) => log::info!(target: "fleet", "fleet: no list of VMs: {error}"),
+            Err(error) => log::info!(target: "fleet", "fleet: can't read the list of VMs: {error}"),
         }
-        tokio::time::sleep(every.as_duration()).await;
+        tokio::time::sleep(interval.as_duration()).await;
     }
 }
