--- a/crates/daemon/src/entry/states.rs
+++ b/crates/daemon/src/entry/states.rs
@@ -31,7 +31,7 @@
 /// Looks up states at other daemons, and queues their questions. Cheap to clone.
 #[derive(Clone)]
 pub struct RequestStates {
-    asked: mpsc::Sender<StateQuestion>,
+    questions: mpsc::Sender<StateQuestion>,
     waiting: Arc<Mutex<HashMap<u64, oneshot::Sender<RequestAnswer>>>>,
 }
 
@@ -41,15 +41,15 @@
 impl RequestStates {
     /// The handle, and the queue of its task.
     pub fn new() -> (Self, StateQueue) {
-        let (asked, receiver) = mpsc::channel(QUEUE_LENGTH);
+        let (questions, receiver) = mpsc::channel(QUEUE_LENGTH);
         let waiting = Arc::default();
-        (Self { asked, waiting }, StateQueue(receiver))
+        (Self { questions, waiting }, StateQueue(receiver))
     }
 
     /// Queues a question; false if the queue is full.
     pub fn requested(&self, from: &PeerId, ask: RequestAsk) -> bool {
         let from = from.clone();
-        self.asked.try_send(StateQuestion { from, ask }).is_ok()
+        self.questions.try_send(StateQuestion { from, ask }).is_ok()
     }
 
     /// Delivers an answer; false if no lookup waits for it.
--- a/crates/daemon/src/fleet/view.rs
+++ b/crates/daemon/src/fleet/view.rs
@@ -61,8 +61,8 @@
         let peers: BTreeMap<_, _> = reachable
             .map(|member| (member.daemon.clone(), Peer::from(member)))
             .collect();
-        let place = |peer: &Peer| (peer.data_centre.clone(), peer.region.clone());
-        let regions = peers.values().map(place).collect();
+        let region_of = |peer: &Peer| (peer.data_centre.clone(), peer.region.clone());
+        let regions = peers.values().map(region_of).collect();
         Self {
             placement,
             peers,
--- a/crates/daemon/src/home/dispatch.rs
+++ b/crates/daemon/src/home/dispatch.rs
@@ -22,8 +22,8 @@
 use crate::context::Context;
 use crate::entry::last_id;
 
-/// Bytes at the end of an answer that are searched for its usage.
-const MAX_USAGE_SIZE: usize = 2048;
+/// Bytes kept of the end of an answer, to find its last event id and its usage.
+const TAIL_SIZE: usize = 2048;
 /// Tokens between two progress messages.
 const PROGRESS_INTERVAL: u64 = 32;
 /// Headers of an answer that are returned to the entry.
@@ -72,7 +72,7 @@
     ending: Ending,
     usage: Option<Usage>,
     /// The end of the answer, if the entry is to be sent one.
-    last: Option<StreamEnd>,
+    stream_end: Option<StreamEnd>,
 }
 
 /// The end of an answer.
@@ -88,7 +88,7 @@
         Self {
             ending,
             usage: None,
-            last: None,
+            stream_end: None,
         }
     }
 }
@@ -111,7 +111,7 @@
             ending: end.ending,
             usage: end.usage,
         }));
-        if let Some(last) = end.last {
+        if let Some(last) = end.stream_end {
             self.reply.end(last.length, last.reason).await;
         }
     }
@@ -195,11 +195,11 @@
             reported: 0,
             tail: BytesMut::new(),
         };
-        let (ending, last) = relay.run().await;
+        let (ending, stream_end) = relay.run().await;
         CallEnd {
             ending,
             usage: parse_usage(&relay.tail),
-            last,
+            stream_end,
         }
     }
 }
@@ -295,7 +295,7 @@
 
     fn track_progress(&mut self, data: &Bytes) {
         self.tail.extend_from_slice(data);
-        let excess = self.tail.len().saturating_sub(MAX_USAGE_SIZE);
+        let excess = self.tail.len().saturating_sub(TAIL_SIZE);
         self.tail.advance(excess);
         // An event may contain many tokens; its id is the total so far.
         self.tokens = last_id(&self.tail).unwrap_or(self.tokens);
--- a/crates/daemon/src/home/handover.rs
+++ b/crates/daemon/src/home/handover.rs
@@ -1,9 +1,9 @@
 //! Moves directory entries to their new daemons after a change of the fleet.
 //!
-//! A few entries are examined in each step, the most recent chats first, to
-//! limit the load on the task and on the control traffic. A daemon that leaves
-//! takes larger steps, as it has no other work. An entry that is lost on the
-//! way costs one prefill.
+//! A few entries are examined in each step, the most recent chats first, so
+//! that a step takes little of the task's time and of the budget for control
+//! traffic. A daemon that leaves takes larger steps, as it has no other work.
+//! An entry that is lost on the way costs one prefill.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/daemon/src/home/placing.rs
+++ b/crates/daemon/src/home/placing.rs
@@ -58,7 +58,7 @@
             own_only: held.forward.hops >= HOP_LIMIT,
         };
         let placement = place(pool, &ask, now, &mut self.rng)?;
-        log::debug!(target: "home", "home: {} goes to {}: {:?}, {} of {} places known", held.id, placement.endpoint, placement.why, ask.places.len(), placement.cached);
+        log::debug!(target: "home", "home: {} goes to {}: {:?}, {} places known, {} tokens cached there", held.id, placement.endpoint, placement.why, ask.places.len(), placement.cached);
         Ok(Choice {
             endpoint: placement.endpoint,
             cached: placement.cached,
--- a/crates/daemon/src/home/slot.rs
+++ b/crates/daemon/src/home/slot.rs
@@ -33,7 +33,7 @@
     pub own: bool,
     /// Whether the endpoint reported that it is leaving.
     leaving: bool,
-    /// Whether this daemon was its home and no longer is.
+    /// Whether this daemon was its home and no longer is; cleared by `stand_in`.
     handed_over: bool,
     /// Creation time, from which the endpoint has `MAX_AGE` for its first answer.
     since: Millis,
@@ -44,11 +44,17 @@
 
 impl Slot {
     /// A slot created now; it isn't polled before `start_polling`.
-    pub fn new(pool: PoolId, terms: &Pool, address: SocketAddr, rng: Pcg32, now: Millis) -> Self {
+    pub fn new(
+        pool: PoolId,
+        pool_settings: &Pool,
+        address: SocketAddr,
+        rng: Pcg32,
+        now: Millis,
+    ) -> Self {
         Self {
             pool,
             address,
-            home: Home::new(Settings::new(terms), rng, now),
+            home: Home::new(Settings::new(pool_settings), rng, now),
             drained: false,
             own: false,
             leaving: false,
