--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -9,7 +9,7 @@
 
 use crate::claims;
 use crate::configuration::{self, ConfigView};
-use crate::entry::{Attempts, States, Tracker};
+use crate::entry::{AttemptTable, RequestStates, Tracker};
 use crate::fleet::{self, FleetView};
 use crate::home;
 use crate::limits;
@@ -36,13 +36,13 @@
     /// Sends to other daemons.
     pub peers: Peers,
     /// Tries of this entry that wait for an answer.
-    pub attempts: Attempts,
+    pub attempts: AttemptTable,
     /// Questions of operators that wait for other daemons.
     pub questions: Questions,
     /// What became of requests.
     pub tracker: Tracker,
     /// What became of requests that other daemons took.
-    pub states: States,
+    pub states: RequestStates,
     /// Set once the daemon is told to stop.
     pub stopping: watch::Receiver<bool>,
     /// The claims task.
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemons held to be live: the membership task and the view of it.
+//! The fleet's membership: its task, and the view of live daemons for other tasks.
 
 mod handle;
 mod task;
@@ -6,6 +6,6 @@
 mod vms;
 
 pub use handle::{Handle, Message};
-pub use task::{Outlets, Task};
+pub use task::{Outputs, Task};
 pub use view::{FleetView, Peer};
 pub use vms::follow_vms;
--- a/crates/daemon/src/fleet/task.rs
+++ b/crates/daemon/src/fleet/task.rs
@@ -1,4 +1,4 @@
-//! The membership task: drives the machine of `medlarrill-core`.
+//! The membership task: drives the state machine `medlarrill_core::membership`.
 
 use std::sync::Arc;
 
@@ -15,64 +15,64 @@
 use super::view::FleetView;
 use crate::home;
 
-/// Time between two ticks of the machine.
+/// Interval between two ticks of the state machine.
 const TICK: Millis = Millis(100);
 
-/// Where the task's findings go.
-pub struct Outlets {
-    /// The view for all other tasks.
+/// Where the task sends its results.
+pub struct Outputs {
+    /// The fleet view, for all other tasks.
     pub view: watch::Sender<Arc<FleetView>>,
-    /// Loads heard.
+    /// Load reports received from peers.
     pub home: home::Handle,
-    /// A peer has a later configuration.
+    /// Peers that have a later configuration, and its generation.
     pub generation: mpsc::UnboundedSender<(DaemonId, Generation)>,
-    /// Peers know that this daemon leaves, or has left.
-    pub farewell: watch::Sender<usize>,
+    /// Number of peers that know that this daemon is leaving or has departed.
+    pub leave_acks: watch::Sender<usize>,
 }
 
 /// State of the membership task.
 pub struct Task {
     membership: Membership,
     links: Links,
-    outlets: Outlets,
+    outputs: Outputs,
     version: u64,
-    fresh: bool,
+    is_fresh: bool,
 }
 
 impl Task {
     /// A task for a daemon that has just started.
-    pub const fn new(membership: Membership, links: Links, outlets: Outlets) -> Self {
+    pub const fn new(membership: Membership, links: Links, outputs: Outputs) -> Self {
         Self {
             membership,
             links,
-            outlets,
+            outputs,
             version: 0,
-            fresh: false,
+            is_fresh: false,
         }
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every handle is dropped.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let mut ticks = interval(TICK.as_duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let actions = tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 _ = ticks.tick() => self.membership.handle(Event::Tick { wall: wall() }, now()),
             };
             for action in actions {
-                self.act(action);
+                self.apply(action);
             }
             self.publish();
         }
     }
 
-    fn take(&mut self, message: Message) -> Vec<Action> {
+    fn handle_message(&mut self, message: Message) -> Vec<Action> {
         let event = match message {
-            Message::Heard(from, message) => Event::Received {
+            Message::Heartbeat(from, message) => Event::Received {
                 from: peer(from),
                 message,
             },
@@ -92,14 +92,14 @@
             }
             Message::Lagging {
                 generation,
-                ask,
+                probe,
                 reply,
             } => {
                 let lagging = self.membership.lagging(generation);
                 let lagging = lagging.map(|member| member.daemon.clone()).collect();
-                // Who asked may have gone away.
+                // The caller may have been dropped.
                 let _ = reply.send(lagging);
-                return match ask {
+                return match probe {
                     true => self.membership.probe_lagging(generation, now()),
                     false => Vec::new(),
                 };
@@ -112,27 +112,29 @@
         self.membership.handle(event, now())
     }
 
-    fn act(&self, action: Action) {
+    fn apply(&self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, message),
             Action::LoadReceived { from, at, pools } => {
-                self.outlets.home.load_heard(from, at, pools)
+                self.outputs.home.load_received(from, at, pools)
             }
             Action::NewerGeneration { from, generation } => {
                 // The configuration task ends only with the daemon.
-                let _ = self.outlets.generation.send((from, generation));
+                let _ = self.outputs.generation.send((from, generation));
             }
             Action::Changed(member) => {
                 log::info!(target: "fleet", "fleet: {} is {}", member.daemon, member.state());
             }
             Action::Forgotten(daemon) => log::info!(target: "fleet", "fleet: forgot {daemon}"),
-            Action::Stale => log::warn!(target: "fleet", "fleet: paused, all knowledge is stale"),
-            Action::Fresh => log::info!(target: "fleet", "fleet: heard enough to act"),
+            Action::Stale => {
+                log::warn!(target: "fleet", "fleet: this process was paused, the fleet view is stale")
+            }
+            Action::Fresh => log::info!(target: "fleet", "fleet: the fleet view is fresh"),
             Action::ListedLeaving => {
-                log::warn!(target: "fleet", "fleet: the platform takes this VM away")
+                log::warn!(target: "fleet", "fleet: the platform lists this VM as leaving")
             }
             Action::LeaveAcknowledged { peers } | Action::Departed { peers } => {
-                self.outlets.farewell.send_replace(peers);
+                self.outputs.leave_acks.send_replace(peers);
             }
             Action::Replaced { by } => {
                 log::error!(target: "fleet", "fleet: {by} runs under this daemon's name");
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Heartbeats never wait: one that finds no room is dropped.
+    /// Sends without waiting: a heartbeat is dropped if the link's queue is full.
     fn send(&self, to: Target, message: Gossip) {
         let links = self.links.clone();
         let address = to.address.or_else(|| {
@@ -154,21 +156,21 @@
         };
         tokio::spawn(async move {
             if let Ok(link) = links.at(address).await {
-                // A lost heartbeat is made up for by the next.
+                // The next heartbeat makes up for a lost one.
                 let _ = link.try_send(Body::Gossip(message));
             }
         });
     }
 
     fn publish(&mut self) {
-        let fresh = self.membership.is_fresh(now());
-        if self.version == self.membership.version() && self.fresh == fresh {
+        let is_fresh = self.membership.is_fresh(now());
+        if self.version == self.membership.version() && self.is_fresh == is_fresh {
             return;
         }
         self.version = self.membership.version();
-        self.fresh = fresh;
-        let view = FleetView::new(&self.membership, fresh);
-        self.outlets.view.send_replace(Arc::new(view));
+        self.is_fresh = is_fresh;
+        let view = FleetView::new(&self.membership, is_fresh);
+        self.outputs.view.send_replace(Arc::new(view));
     }
 }
 
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -24,8 +24,8 @@
 use crate::configuration::{self, ConfigView};
 use crate::context::Context;
 use crate::entry::server::{self, ServerError, Serving};
-use crate::entry::{Attempts, StateQueue, States, StrayQueue, Strays, Tracker};
-use crate::fleet::{self, FleetView, Outlets, follow_vms};
+use crate::entry::{AttemptTable, RequestStates, StateQueue, StrayFrames, StrayQueue, Tracker};
+use crate::fleet::{self, FleetView, Outputs, follow_vms};
 use crate::home;
 use crate::limits;
 use crate::metrics::{ControlSources, Metrics};
@@ -166,8 +166,8 @@
     limits: limits::Handle,
     fleet: fleet::Handle,
     configuration: configuration::Handle,
-    strays: Strays,
-    states: States,
+    strays: StrayFrames,
+    states: RequestStates,
 }
 
 /// What the tasks own.
@@ -193,8 +193,8 @@
     let (limits, limits_receiver) = limits::Handle::new();
     let (fleet, fleet_receiver) = fleet::Handle::new();
     let (configuration, configuration_receiver) = configuration::Handle::new();
-    let (strays, stray_queue) = Strays::new();
-    let (states, state_queue) = States::new();
+    let (strays, stray_queue) = StrayFrames::new();
+    let (states, state_queue) = RequestStates::new();
     let channels = Channels {
         view,
         config,
@@ -232,7 +232,7 @@
     let address = settings.listen.reachable(listener.local_addr()?);
     let identity = identity(&settings, &me, address);
     let metrics = Arc::new(Metrics::new());
-    let attempts = Attempts::new(metrics.buffered.clone());
+    let attempts = AttemptTable::new(metrics.buffered.clone());
     let questions = Questions::default();
     let switch = Switch {
         questions: questions.clone(),
@@ -280,14 +280,14 @@
 fn spawn(context: &Arc<Context>, address: SocketAddr, ends: Ends) -> Running {
     let (farewell_sender, farewell) = watch::channel(0);
     let (generation, generations) = mpsc::unbounded_channel();
-    let outlets = Outlets {
+    let outputs = Outputs {
         view: ends.view,
         home: context.home.clone(),
         generation,
-        farewell: farewell_sender,
+        leave_acks: farewell_sender,
     };
     let links = context.peers.links().clone();
-    let members = fleet::Task::new(membership(context, address), links, outlets);
+    let members = fleet::Task::new(membership(context, address), links, outputs);
     tokio::spawn(members.run(ends.fleet));
     let fleet = context.fleet_task.clone();
     tokio::spawn(follow_vms(context.platform.clone(), fleet, address));
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -7,7 +7,7 @@
 
 use crate::claims;
 use crate::configuration;
-use crate::entry::{Attempts, States, Strays};
+use crate::entry::{AttemptTable, RequestStates, StrayFrames};
 use crate::fleet;
 use crate::home;
 use crate::limits;
@@ -17,13 +17,13 @@
 /// Where messages go.
 pub struct Switch {
     /// Tries of this entry.
-    pub attempts: Attempts,
+    pub attempts: AttemptTable,
     /// Where answers go that nobody waits for.
-    pub strays: Strays,
+    pub strays: StrayFrames,
     /// The claims task.
     pub claims: claims::Handle,
     /// Questions for the state of requests.
-    pub states: States,
+    pub states: RequestStates,
     /// The limits task.
     pub limits: limits::Handle,
     /// The home task.
@@ -44,7 +44,7 @@
         match event {
             Event::Message(from, body) => self.message(&from, *body),
             Event::Closed(peer) => {
-                self.attempts.lost(&peer);
+                self.attempts.peer_lost(&peer);
                 self.home.peer_lost(peer.clone());
                 let lost = configuration::Message::Lost(peer.clone());
                 self.configuration.tell(lost);
@@ -77,10 +77,12 @@
             Body::Grant(grant) => self
                 .limits
                 .tell(limits::Message::Grant(from.daemon.clone(), grant)),
-            Body::Gossip(gossip) => self.fleet.tell(fleet::Message::Heard(from.clone(), gossip)),
+            Body::Gossip(gossip) => self
+                .fleet
+                .tell(fleet::Message::Heartbeat(from.clone(), gossip)),
             Body::Moved(moved) => self.home.moved(moved),
             Body::Placed(placed) => self.home.placed(placed),
-            Body::StateAsk(ask) => self.home.state_asked(from.clone(), ask),
+            Body::StateAsk(ask) => self.home.state_requested(from.clone(), ask),
             Body::StateAnswer(answer) => self.questions.deliver(answer),
             Body::PartAsk(ask) => {
                 let asked = configuration::Message::Asked(from.clone(), ask);
@@ -90,8 +92,8 @@
                 let answered = configuration::Message::Answered(from.clone(), answer);
                 self.configuration.tell(answered)
             }
-            Body::RequestAsk(ask) => self.states.asked(from, ask),
-            Body::RequestAnswer(answer) => self.states.answered(answer),
+            Body::RequestAsk(ask) => self.states.requested(from, ask),
+            Body::RequestAnswer(answer) => self.states.take_answer(answer),
             answer @ (Body::Accepted(_)
             | Body::Passed(_)
             | Body::Refused(_)
@@ -113,7 +115,7 @@
         };
         let held = self.attempts.deliver(from, answer);
         if let Some(attempt) = running.filter(|_| !held) {
-            self.strays.note(from, attempt);
+            self.strays.record(from, attempt);
         }
         held
     }
