--- a/crates/core/src/change/spread/event.rs
+++ b/crates/core/src/change/spread/event.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::config::Config;
 use crate::ids::{Generation, Incarnation};
-use crate::wire::{PartAnswer, PartAsk};
+use crate::wire::{PartAnswer, PartRequest};
 
 /// What happened.
 #[derive(Clone, PartialEq, Debug)]
@@ -60,7 +60,7 @@
         /// The peer.
         peer: Incarnation,
         /// What to ask.
-        ask: PartAsk,
+        ask: PartRequest,
     },
     /// Read the head from the platform.
     ReadHead,
--- a/crates/core/src/change/spread/fetch.rs
+++ b/crates/core/src/change/spread/fetch.rs
@@ -10,7 +10,7 @@
 use crate::change::digest::Digest;
 use crate::clock::Millis;
 use crate::ids::{Generation, Incarnation};
-use crate::wire::{PartAnswer, PartAsk};
+use crate::wire::{PartAnswer, PartRequest};
 
 /// Largest answer, in bytes, unless one part alone is larger.
 const MAX_ANSWER: usize = 1 << 20;
@@ -21,7 +21,7 @@
 
 impl Spread {
     /// Answers a peer with what is in force.
-    pub fn serve(&self, ask: &PartAsk) -> PartAnswer {
+    pub fn serve(&self, ask: &PartRequest) -> PartAnswer {
         let mut answer = PartAnswer::default();
         let Some(held) = &self.held else {
             return answer;
@@ -101,7 +101,7 @@
     ) {
         let digests: BTreeSet<_> = digests.into_iter().take(MAX_ASKED).collect();
         let wanted = digests.iter().map(|d| Bytes::copy_from_slice(&d.0));
-        let ask = PartAsk {
+        let ask = PartRequest {
             digests: wanted.collect(),
         };
         actions.push(Action::Ask { peer, ask });
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -21,7 +21,7 @@
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
 use crate::reason::Reason;
-use crate::wire::{ClaimAnswer, ClaimAsk};
+use crate::wire::{ClaimAnswer, ClaimRequest};
 
 use keys::{Keys, Phase};
 
@@ -164,7 +164,7 @@
         self.timers.insert((entry.due, *key));
         self.asks.insert(ask, *key);
         let given_up = entry.given_up.unwrap_or(ClaimId::NONE);
-        self.actions.push(Action::Ask(ClaimAsk {
+        self.actions.push(Action::Ask(ClaimRequest {
             ask,
             key: key.to_bytes(),
             digest: entry.start.digest.to_bytes(),
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -8,7 +8,7 @@
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
 use crate::reason::Reason;
-use crate::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
+use crate::wire::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
 
 /// A caller's keyed request.
 #[derive(Clone, PartialEq, Eq)]
@@ -56,7 +56,7 @@
         /// The daemon.
         from: String,
         /// Its question.
-        ask: KeyAsk,
+        ask: KeyQuery,
     },
     /// Another claimant said what became of a key.
     KeyAnswer(KeyAnswer),
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub enum Action {
     /// Send a question to the owner of the key's shard.
-    Ask(ClaimAsk),
+    Ask(ClaimRequest),
     /// Run the request; it ends with [`Event::Ended`].
     Dispatch {
         /// The request.
@@ -118,7 +118,7 @@
         /// Its daemon.
         to: String,
         /// The question.
-        ask: KeyAsk,
+        ask: KeyQuery,
     },
     /// Read the object that a claimant left.
     ReadFarewell {
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -13,7 +13,7 @@
 use crate::ids::{Incarnation, RequestId};
 use crate::outcome::Outcome;
 use crate::reason::Reason;
-use crate::wire::{KeyAnswer, KeyAsk};
+use crate::wire::{KeyAnswer, KeyQuery};
 
 impl Claimant {
     /// Asks the process that holds a key.
@@ -32,7 +32,7 @@
         };
         self.actions.push(Action::AskKey {
             to: daemon.into(),
-            ask: KeyAsk {
+            ask: KeyQuery {
                 ask: inquiry,
                 key: key.to_bytes(),
                 claimant: holder.claimant.0,
@@ -135,7 +135,7 @@
     }
 
     /// Answers another daemon; "not run" only of a number that this process can't dispatch any more.
-    pub(super) fn key_asked(&mut self, from: String, ask: &KeyAsk, now: Millis) {
+    pub(super) fn key_asked(&mut self, from: String, ask: &KeyQuery, now: Millis) {
         let mut answer = KeyAnswer {
             ask: ask.ask,
             asker: ask.asker,
@@ -158,7 +158,7 @@
         self.actions.push(Action::TellKey { to: from, answer });
     }
 
-    fn key_state(&self, ask: &KeyAsk) -> KeyState {
+    fn key_state(&self, ask: &KeyQuery) -> KeyState {
         let Ok(key) = KeyHash::from_bytes(&ask.key) else {
             return KeyState::Unknown;
         };
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -22,7 +22,7 @@
 use crate::claims::backoff::Backoff;
 use crate::claims::chain::Chain;
 use crate::clock::Millis;
-use crate::wire::ClaimAsk;
+use crate::wire::ClaimRequest;
 
 use batch::Waiting;
 use calls::Calls;
@@ -186,7 +186,7 @@
         }
     }
 
-    fn ask(&mut self, ask: ClaimAsk, now: Millis) {
+    fn ask(&mut self, ask: ClaimRequest, now: Millis) {
         self.stats.asks += 1;
         let waiting = match Waiting::read(&ask, now) {
             Ok(waiting) => waiting,
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -13,7 +13,7 @@
 use crate::claims::table::{Claim, ClaimId, EntryWriter};
 use crate::clock::Millis;
 use crate::ids::{DaemonId, Incarnation, RequestId};
-use crate::wire::ClaimAsk;
+use crate::wire::ClaimRequest;
 
 /// Most voids in a batch.
 const MAX_VOIDS: usize = 512;
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 #[derive(Debug)]
 pub(super) struct Waiting {
-    ask: ClaimAsk,
+    ask: ClaimRequest,
     pub(super) key: KeyHash,
     daemon: DaemonId,
     digest: Digest,
@@ -56,7 +56,7 @@
 }
 
 impl Waiting {
-    pub(super) fn read(ask: &ClaimAsk, now: Millis) -> Result<Self> {
+    pub(super) fn read(ask: &ClaimRequest, now: Millis) -> Result<Self> {
         let daemon = ask.daemon.parse();
         let request = RequestId::from_bytes(&ask.request);
         Ok(Self {
--- a/crates/core/src/claims/log/calls.rs
+++ b/crates/core/src/claims/log/calls.rs
@@ -11,7 +11,7 @@
 use crate::claims::table::Claim;
 use crate::clock::Millis;
 use crate::ids::Incarnation;
-use crate::wire::{ClaimAnswer, ClaimAsk};
+use crate::wire::{ClaimAnswer, ClaimRequest};
 
 /// Failures in a row after which the platform counts as down.
 const DOWN_FAILURES: u32 = 2;
@@ -100,7 +100,7 @@
 
     pub(super) fn answer(
         &mut self,
-        ask: &ClaimAsk,
+        ask: &ClaimRequest,
         verdict: Verdict,
         holder: Option<&Claim>,
         stats: &mut LogStats,
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -6,7 +6,7 @@
 use crate::claims::backoff::Backoff;
 use crate::clock::Millis;
 use crate::ids::{DaemonId, Incarnation};
-use crate::wire::{ClaimAnswer, ClaimAsk};
+use crate::wire::{ClaimAnswer, ClaimRequest};
 
 /// A process of the fleet.
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -36,7 +36,7 @@
     /// Whether placement wants this daemon to own the shard.
     Own(bool),
     /// A claimant asks.
-    Ask(ClaimAsk),
+    Ask(ClaimRequest),
     /// The platform replied to a call.
     Reply {
         /// The call.
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -16,8 +16,8 @@
 
 use prost::{Message, Oneof};
 
-pub use claim::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
-pub use config::{PartAnswer, PartAsk};
+pub use claim::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
+pub use config::{PartAnswer, PartRequest};
 pub use gossip::{Change, EndpointLoad, Gossip, PoolLoad, PoolSum, Record, name_hash};
 pub use limit::{Grant, Usage, Watch};
 pub use link::{Hello, Proof};
@@ -25,8 +25,8 @@
 pub use request::{
     Accepted, Attempt, Cancel, Chunk, Credit, End, Forward, Header, Passed, Placed, Refused,
 };
-pub use request_state::{RequestAnswer, RequestAsk};
-pub use state::{HomeState, StateAnswer, StateAsk};
+pub use request_state::{RequestAnswer, RequestQuery};
+pub use state::{HomeState, StateAnswer, StateQuery};
 
 /// Largest frame, in bytes.
 pub const MAX_FRAME: usize = 8 << 20;
@@ -82,20 +82,20 @@
     Gossip(Gossip),
     /// Asks for the right to run a key.
     #[prost(message, tag = "12")]
-    ClaimAsk(ClaimAsk),
-    /// Answers `ClaimAsk`.
+    ClaimRequest(ClaimRequest),
+    /// Answers `ClaimRequest`.
     #[prost(message, tag = "13")]
     ClaimAnswer(ClaimAnswer),
     /// Asks a claimant what became of a key.
     #[prost(message, tag = "14")]
-    KeyAsk(KeyAsk),
-    /// Answers `KeyAsk`.
+    KeyQuery(KeyQuery),
+    /// Answers `KeyQuery`.
     #[prost(message, tag = "15")]
     KeyAnswer(KeyAnswer),
     /// Asks for parts of a configuration.
     #[prost(message, tag = "16")]
-    PartAsk(PartAsk),
-    /// Answers `PartAsk`.
+    PartRequest(PartRequest),
+    /// Answers `PartRequest`.
     #[prost(message, tag = "17")]
     PartAnswer(PartAnswer),
     /// An entry's use of accounts.
@@ -112,14 +112,14 @@
     Placed(Placed),
     /// Asks what became of a request.
     #[prost(message, tag = "21")]
-    RequestAsk(RequestAsk),
-    /// Answers `RequestAsk`.
+    RequestQuery(RequestQuery),
+    /// Answers `RequestQuery`.
     #[prost(message, tag = "22")]
     RequestAnswer(RequestAnswer),
     /// Asks a home for the state of its endpoints.
     #[prost(message, tag = "30")]
-    StateAsk(StateAsk),
-    /// Answers `StateAsk`.
+    StateQuery(StateQuery),
+    /// Answers `StateQuery`.
     #[prost(message, tag = "31")]
     StateAnswer(StateAnswer),
 }
@@ -139,19 +139,19 @@
             Self::Credit(_) => "credit",
             Self::Cancel(_) => "cancel",
             Self::Gossip(_) => "gossip",
-            Self::ClaimAsk(_) => "claim-ask",
+            Self::ClaimRequest(_) => "claim-ask",
             Self::ClaimAnswer(_) => "claim-answer",
-            Self::KeyAsk(_) => "key-ask",
+            Self::KeyQuery(_) => "key-ask",
             Self::KeyAnswer(_) => "key-answer",
-            Self::PartAsk(_) => "part-ask",
+            Self::PartRequest(_) => "part-ask",
             Self::PartAnswer(_) => "part-answer",
             Self::Usage(_) => "usage",
             Self::Grant(_) => "grant",
             Self::Moved(_) => "moved",
             Self::Placed(_) => "placed",
-            Self::RequestAsk(_) => "request-ask",
+            Self::RequestQuery(_) => "request-ask",
             Self::RequestAnswer(_) => "request-answer",
-            Self::StateAsk(_) => "state-ask",
+            Self::StateQuery(_) => "state-ask",
             Self::StateAnswer(_) => "state-answer",
         }
     }
--- a/crates/core/src/wire/claim.rs
+++ b/crates/core/src/wire/claim.rs
@@ -6,7 +6,7 @@
 /// Asks for the right to run a key.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// Number of the question, for its answer.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
@@ -36,7 +36,7 @@
     pub given_ask: u64,
 }
 
-/// Answers `ClaimAsk`.
+/// Answers `ClaimRequest`.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct ClaimAnswer {
@@ -66,7 +66,7 @@
 /// Asks a claimant what became of a key.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct KeyAsk {
+pub struct KeyQuery {
     /// Number of the question, for its answer.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
@@ -84,7 +84,7 @@
     pub asker: u64,
 }
 
-/// Answers `KeyAsk`.
+/// Answers `KeyQuery`.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct KeyAnswer {
--- a/crates/core/src/wire/config.rs
+++ b/crates/core/src/wire/config.rs
@@ -6,13 +6,13 @@
 /// Asks for a head, and for parts of it by digest.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct PartAsk {
+pub struct PartRequest {
     /// Digests wanted; none asks for the head.
     #[prost(bytes = "bytes", repeated, tag = "1")]
     pub digests: Vec<Bytes>,
 }
 
-/// Answers `PartAsk`.
+/// Answers `PartRequest`.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct PartAnswer {
--- a/crates/core/src/wire/request_state.rs
+++ b/crates/core/src/wire/request_state.rs
@@ -6,7 +6,7 @@
 /// Asks an entry for the state of a request.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct RequestAsk {
+pub struct RequestQuery {
     /// The request, 16 bytes.
     #[prost(bytes = "bytes", tag = "1")]
     pub request: Bytes,
@@ -15,7 +15,7 @@
     pub question: u64,
 }
 
-/// Answers `RequestAsk`.
+/// Answers `RequestQuery`.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct RequestAnswer {
--- a/crates/core/src/wire/state.rs
+++ b/crates/core/src/wire/state.rs
@@ -5,13 +5,13 @@
 /// Asks a home for the state of its endpoints.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Message)]
-pub struct StateAsk {
+pub struct StateQuery {
     /// Names the question.
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
 
-/// Answers `StateAsk`.
+/// Answers `StateQuery`.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
 pub struct StateAnswer {
--- a/crates/core/tests/claims/bench.rs
+++ b/crates/core/tests/claims/bench.rs
@@ -9,7 +9,7 @@
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
-use medlarrill_core::wire::{ClaimAnswer, ClaimAsk};
+use medlarrill_core::wire::{ClaimAnswer, ClaimRequest};
 
 use crate::platform::{Platform, call_of};
 
@@ -69,8 +69,8 @@
 }
 
 /// A question of claimant 500 about a key.
-pub fn ask(key_number: u64, ask: u64) -> ClaimAsk {
-    ClaimAsk {
+pub fn ask(key_number: u64, ask: u64) -> ClaimRequest {
+    ClaimRequest {
         ask,
         key: key(key_number).to_bytes(),
         digest: Digest::of("POST", "/book", b"one").to_bytes(),
@@ -78,7 +78,7 @@
         daemon: "entry".into(),
         lifetime: 3_600_000,
         request: Bytes::copy_from_slice(&[ask as u8; 16]),
-        ..ClaimAsk::default()
+        ..ClaimRequest::default()
     }
 }
 
@@ -107,7 +107,7 @@
         self.event(log, LogEvent::Own(wanted));
     }
 
-    pub fn ask(&mut self, log: usize, ask: &ClaimAsk) {
+    pub fn ask(&mut self, log: usize, ask: &ClaimRequest) {
         self.event(log, LogEvent::Ask(ask.clone()));
     }
 
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::ids::{Incarnation, RequestId};
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::ByteSize;
-use medlarrill_core::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
+use medlarrill_core::wire::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
 
 use crate::bench::{key, member};
 
@@ -30,14 +30,14 @@
 }
 
 /// The one question among the actions.
-fn asked(actions: &[ClaimantAction]) -> ClaimAsk {
+fn asked(actions: &[ClaimantAction]) -> ClaimRequest {
     match actions {
         [ClaimantAction::Ask(ask)] => ask.clone(),
         other => panic!("no question: {other:?}"),
     }
 }
 
-fn answer(ask: &ClaimAsk, verdict: Verdict) -> ClaimAnswer {
+fn answer(ask: &ClaimRequest, verdict: Verdict) -> ClaimAnswer {
     ClaimAnswer {
         ask: ask.ask,
         verdict: verdict.code(),
@@ -47,7 +47,7 @@
 }
 
 /// Starts a request and has its claim granted.
-fn run(claimant: &mut Claimant, request: u128, key_number: u64, now: Millis) -> ClaimAsk {
+fn run(claimant: &mut Claimant, request: u128, key_number: u64, now: Millis) -> ClaimRequest {
     let ask = asked(&claimant.handle(start(request, key_number), now));
     let granted = ClaimantEvent::Answer(answer(&ask, Verdict::Granted));
     let actions = claimant.handle(granted, now);
@@ -77,7 +77,7 @@
 
 /// What a claimant tells another daemon of a claim.
 fn told(claimant: &mut Claimant, key: KeyHash, held: u64, now: Millis) -> KeyAnswer {
-    let ask = KeyAsk {
+    let ask = KeyQuery {
         ask: 77,
         key: key.to_bytes(),
         claimant: member(0).incarnation.0,
@@ -96,7 +96,7 @@
 }
 
 /// Starts a request whose key process 9 holds under number 5; returns the question to it.
-fn inquire(claimant: &mut Claimant) -> KeyAsk {
+fn inquire(claimant: &mut Claimant) -> KeyQuery {
     let ask = asked(&claimant.handle(start(1, 7), NOW));
     let held = ClaimAnswer {
         claimant: 9,
@@ -110,7 +110,7 @@
     }
 }
 
-fn key_answer(ask: &KeyAsk, state: KeyState) -> ClaimantEvent {
+fn key_answer(ask: &KeyQuery, state: KeyState) -> ClaimantEvent {
     ClaimantEvent::KeyAnswer(KeyAnswer {
         ask: ask.ask,
         asker: ask.asker,
@@ -243,11 +243,11 @@
 #[gtest]
 fn claimant_of_another_process_is_unknown() {
     let mut claimant = claimant();
-    let ask = KeyAsk {
+    let ask = KeyQuery {
         key: key(7).to_bytes(),
         claimant: 12,
         held: 1,
-        ..KeyAsk::default()
+        ..KeyQuery::default()
     };
     let from = "d9".into();
     let actions = claimant.handle(ClaimantEvent::KeyAsked { from, ask }, NOW);
--- a/crates/core/tests/claims/network.rs
+++ b/crates/core/tests/claims/network.rs
@@ -5,7 +5,7 @@
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{Incarnation, RequestId};
-use medlarrill_core::wire::{ClaimAsk, KeyAsk};
+use medlarrill_core::wire::{ClaimRequest, KeyQuery};
 use rand::RngExt;
 
 use crate::fleet::Fleet;
@@ -136,7 +136,7 @@
         }
     }
 
-    fn send_ask(&mut self, daemon: usize, ask: ClaimAsk) {
+    fn send_ask(&mut self, daemon: usize, ask: ClaimRequest) {
         self.oracle.asked(&ask);
         let owner = format!("d{}", self.daemons[daemon].owner);
         if self.chance(5) {
@@ -147,7 +147,7 @@
         self.send(daemon, &owner, Input::Ask(ask));
     }
 
-    fn ask_key(&mut self, daemon: usize, to: &str, ask: KeyAsk) {
+    fn ask_key(&mut self, daemon: usize, to: &str, ask: KeyQuery) {
         if self.chance(10) {
             let at = self.soon(200);
             let event = ClaimantEvent::KeyAskLost { ask: ask.ask };
--- a/crates/core/tests/claims/oracle.rs
+++ b/crates/core/tests/claims/oracle.rs
@@ -9,7 +9,7 @@
 use medlarrill_core::ids::{Incarnation, RequestId};
 use medlarrill_core::outcome::Outcome;
 use medlarrill_core::reason::Reason;
-use medlarrill_core::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
+use medlarrill_core::wire::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
 
 /// A caller's request.
 #[derive(Clone, Copy, Debug)]
@@ -50,7 +50,7 @@
         self.crashed.insert(incarnation);
     }
 
-    pub fn asked(&mut self, ask: &ClaimAsk) {
+    pub fn asked(&mut self, ask: &ClaimRequest) {
         let id = ClaimId {
             claimant: Incarnation(ask.claimant),
             ask: ask.ask,
@@ -147,7 +147,7 @@
     }
 
     /// A claimant's word on a key.
-    pub fn key_told(&mut self, ask: &KeyAsk, answer: &KeyAnswer) {
+    pub fn key_told(&mut self, ask: &KeyQuery, answer: &KeyAnswer) {
         if KeyState::from_code(answer.state) != KeyState::NotRun {
             return;
         }
--- a/crates/core/tests/claims/sizes.rs
+++ b/crates/core/tests/claims/sizes.rs
@@ -6,7 +6,7 @@
 };
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
-use medlarrill_core::wire::ClaimAsk;
+use medlarrill_core::wire::ClaimRequest;
 
 use crate::bench::{WALL, ask};
 use crate::platform::{Platform, call_of};
@@ -42,7 +42,7 @@
     event(&mut log, &mut platform, LogEvent::Own(true), now);
     for number in 0..CLAIMS {
         let daemon = format!("{:0name$}", number % claimants);
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             claimant: u64::MAX - number % claimants,
             daemon,
             ask: u64::from(u32::MAX) + number,
--- a/crates/core/tests/claims/steps.rs
+++ b/crates/core/tests/claims/steps.rs
@@ -3,7 +3,7 @@
 use medlarrill_core::claims::{ClaimantEvent, LogAction, LogEvent};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Incarnation;
-use medlarrill_core::wire::ClaimAsk;
+use medlarrill_core::wire::ClaimRequest;
 
 /// How likely each fate of a call is, in percent.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
 pub enum Input {
     Log(LogEvent),
     Claimant(ClaimantEvent),
-    Ask(ClaimAsk),
+    Ask(ClaimRequest),
     Placement(usize),
     Wake,
 }
--- a/crates/core/tests/spread.rs
+++ b/crates/core/tests/spread.rs
@@ -14,7 +14,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChangeId, Generation, Incarnation};
 use medlarrill_core::operator::parse;
-use medlarrill_core::wire::{PartAnswer, PartAsk};
+use medlarrill_core::wire::{PartAnswer, PartRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -67,7 +67,7 @@
         self.heads[generation - 1].clone()
     }
 
-    fn served(&self, ask: &PartAsk, generation: usize) -> PartAnswer {
+    fn served(&self, ask: &PartRequest, generation: usize) -> PartAnswer {
         let digest = |bytes: &Bytes| Digest::from_bytes(bytes).unwrap();
         PartAnswer {
             head: match ask.digests.is_empty() {
@@ -91,7 +91,7 @@
     }
 }
 
-fn asks(actions: &[Action]) -> Vec<(Incarnation, PartAsk)> {
+fn asks(actions: &[Action]) -> Vec<(Incarnation, PartRequest)> {
     let ask = |action: &Action| match action {
         Action::Ask { peer, ask } => Some((*peer, ask.clone())),
         _ => None,
@@ -256,7 +256,7 @@
 
 enum Body {
     Event(Event),
-    Ask(PartAsk),
+    Ask(PartRequest),
     Read(Action),
 }
 
--- a/crates/daemon/src/claims/message.rs
+++ b/crates/daemon/src/claims/message.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use medlarrill_core::claims::{CallId, End, Reply, Start};
 use medlarrill_core::ids::{Incarnation, RequestId};
-use medlarrill_core::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
+use medlarrill_core::wire::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
 use medlarrill_net::link::PeerId;
 use tokio::sync::oneshot;
 
@@ -17,11 +17,11 @@
     /// A request that was allowed to run has ended.
     Ended(RequestId, End),
     /// A claimant asks an owner.
-    Ask(ClaimAsk),
+    Ask(ClaimRequest),
     /// An owner answers.
     Answer(ClaimAnswer),
     /// A claimant asks what became of a key.
-    KeyAsk(PeerId, KeyAsk),
+    KeyAsk(PeerId, KeyQuery),
     /// A claimant says what became of a key.
     KeyAnswer(KeyAnswer),
     /// A question could not be sent.
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, RequestId};
 use medlarrill_core::placement::key_of;
-use medlarrill_core::wire::{Body, ClaimAsk, KeyAsk};
+use medlarrill_core::wire::{Body, ClaimRequest, KeyQuery};
 use medlarrill_net::link::PeerId;
 use medlarrill_net::now::{now, wall};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -158,7 +158,7 @@
         }
     }
 
-    fn asked_as_owner(&mut self, ask: ClaimAsk) {
+    fn asked_as_owner(&mut self, ask: ClaimRequest) {
         let Ok(key) = KeyHash::from_bytes(&ask.key) else {
             log::warn!(target: "claims", "claims: {} asks for a key of the wrong length", ask.daemon);
             return;
@@ -244,7 +244,7 @@
         }
     }
 
-    fn ask(&mut self, ask: ClaimAsk) {
+    fn ask(&mut self, ask: ClaimRequest) {
         let number = ask.ask;
         let owner = {
             let view = self.context.fleet.borrow();
@@ -260,7 +260,7 @@
                 };
                 self.asked.insert(number, asked);
                 let lost = Message::AskLost(number);
-                self.send(owner.as_str(), Body::ClaimAsk(ask), Some(lost));
+                self.send(owner.as_str(), Body::ClaimRequest(ask), Some(lost));
             }
             None => {
                 self.context.claims.tell(Message::AskLost(number));
@@ -268,7 +268,7 @@
         }
     }
 
-    fn ask_key(&mut self, to: &str, ask: KeyAsk) {
+    fn ask_key(&mut self, to: &str, ask: KeyQuery) {
         let number = ask.ask;
         let lost = Message::KeyAskLost(number);
         if let Ok(daemon) = to.parse() {
@@ -278,7 +278,7 @@
             };
             self.asked.insert(number, asked);
         }
-        self.send(to, Body::KeyAsk(ask), Some(lost));
+        self.send(to, Body::KeyQuery(ask), Some(lost));
     }
 
     /// Sends a message; tells this task if it can't go.
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use medlarrill_core::change::Digest;
 use medlarrill_core::change::changer::Stored;
-use medlarrill_core::wire::{PartAnswer, PartAsk};
+use medlarrill_core::wire::{PartAnswer, PartRequest};
 use medlarrill_net::link::PeerId;
 use medlarrill_net::platform;
 use tokio::sync::oneshot;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub enum Message {
     /// A peer asks for parts.
-    Asked(PeerId, PartAsk),
+    Asked(PeerId, PartRequest),
     /// A peer answers.
     Answered(PeerId, PartAnswer),
     /// A peer can't be asked, or its link is down.
--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::config::Config;
 use medlarrill_core::ids::{DaemonId, Generation, Incarnation};
 use medlarrill_core::placement::key_of;
-use medlarrill_core::wire::{Body, PartAsk};
+use medlarrill_core::wire::{Body, PartRequest};
 use medlarrill_net::link::PeerId;
 use medlarrill_net::now::now;
 use medlarrill_net::platform;
@@ -143,7 +143,7 @@
         }
     }
 
-    fn serve(&self, from: PeerId, ask: &PartAsk) {
+    fn serve(&self, from: PeerId, ask: &PartRequest) {
         let answer = self.spread.serve(ask);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
@@ -233,7 +233,7 @@
         }
     }
 
-    fn ask(&self, peer: Incarnation, ask: PartAsk) {
+    fn ask(&self, peer: Incarnation, ask: PartRequest) {
         let Some(name) = self.known.get(&peer).cloned() else {
             // Its time to answer runs out, and another is asked.
             return;
@@ -241,7 +241,12 @@
         let context = Arc::clone(&self.context);
         let handle = self.handle.clone();
         tokio::spawn(async move {
-            if context.peers.send(&name, Body::PartAsk(ask)).await.is_err() {
+            if context
+                .peers
+                .send(&name, Body::PartRequest(ask))
+                .await
+                .is_err()
+            {
                 let peer = PeerId {
                     daemon: name,
                     incarnation: peer,
--- a/crates/daemon/src/entry/states.rs
+++ b/crates/daemon/src/entry/states.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{DaemonId, RequestId};
-use medlarrill_core::wire::{Body, RequestAnswer, RequestAsk};
+use medlarrill_core::wire::{Body, RequestAnswer, RequestQuery};
 use medlarrill_net::link::PeerId;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
@@ -25,7 +25,7 @@
 /// A question from another daemon.
 struct Asked {
     from: PeerId,
-    ask: RequestAsk,
+    ask: RequestQuery,
 }
 
 /// Asks and answers. Cheap to clone.
@@ -47,7 +47,7 @@
     }
 
     /// Takes a question; false if too many wait.
-    pub fn asked(&self, from: &PeerId, ask: RequestAsk) -> bool {
+    pub fn asked(&self, from: &PeerId, ask: RequestQuery) -> bool {
         let from = from.clone();
         self.asked.try_send(Asked { from, ask }).is_ok()
     }
@@ -67,12 +67,15 @@
         let question = rand::random();
         let (sender, receiver) = oneshot::channel();
         self.lock().insert(question, sender);
-        let ask = RequestAsk {
+        let ask = RequestQuery {
             request: Bytes::copy_from_slice(&request.to_bytes()),
             question,
         };
         let answer = async {
-            let sent = context.peers.try_send(&daemon, Body::RequestAsk(ask)).await;
+            let sent = context
+                .peers
+                .try_send(&daemon, Body::RequestQuery(ask))
+                .await;
             sent.ok()?;
             receiver.await.ok()
         };
--- a/crates/daemon/src/home/handle.rs
+++ b/crates/daemon/src/home/handle.rs
@@ -5,7 +5,7 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::DaemonId;
-use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateAsk};
+use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateQuery};
 use medlarrill_net::link::PeerId;
 use tokio::sync::{mpsc, oneshot};
 
@@ -75,7 +75,7 @@
     }
 
     /// Asks for the state of endpoints on another daemon's behalf; false if the task has ended.
-    pub fn state_asked(&self, from: PeerId, ask: StateAsk) -> bool {
+    pub fn state_asked(&self, from: PeerId, ask: StateQuery) -> bool {
         self.send(Message::StateAsked(from, ask))
     }
 
--- a/crates/daemon/src/home/message.rs
+++ b/crates/daemon/src/home/message.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, DaemonId, EndpointId};
 use medlarrill_core::units::Tokens;
-use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateAsk};
+use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateQuery};
 use medlarrill_net::endpoint::{CallResult, Load};
 use medlarrill_net::link::PeerId;
 use tokio::sync::oneshot;
@@ -37,7 +37,7 @@
     /// Asks for what is known of endpoints.
     Show(oneshot::Sender<Vec<EndpointRow>>),
     /// Another daemon asks for the state of endpoints.
-    StateAsked(PeerId, StateAsk),
+    StateAsked(PeerId, StateQuery),
 }
 
 /// The end of a dispatched request.
--- a/crates/daemon/src/home/show.rs
+++ b/crates/daemon/src/home/show.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::ids::{DaemonId, EndpointId, PoolId};
 use medlarrill_core::placement::{EndpointState, EndpointView};
 use medlarrill_core::units::Tokens;
-use medlarrill_core::wire::{Body, HomeState, StateAnswer, StateAsk};
+use medlarrill_core::wire::{Body, HomeState, StateAnswer, StateQuery};
 use medlarrill_net::link::PeerId;
 use medlarrill_net::now::now;
 
@@ -61,7 +61,7 @@
     }
 
     /// Tells another daemon of the endpoints that this one is home of.
-    pub(super) fn tell_state(&self, to: PeerId, ask: StateAsk) {
+    pub(super) fn tell_state(&self, to: PeerId, ask: StateQuery) {
         let rows = self.show().into_iter();
         let answer = StateAnswer {
             number: ask.number,
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use medlarrill_core::ids::DaemonId;
-use medlarrill_core::wire::{Body, HomeState, StateAnswer, StateAsk};
+use medlarrill_core::wire::{Body, HomeState, StateAnswer, StateQuery};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
@@ -37,7 +37,7 @@
         for home in homes {
             let context = Arc::clone(context);
             tokio::spawn(async move {
-                let ask = Body::StateAsk(StateAsk { number });
+                let ask = Body::StateQuery(StateQuery { number });
                 // A home that can't be reached is shown without its counts.
                 let _ = context.peers.send(&home, ask).await;
             });
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -67,9 +67,9 @@
             Body::Forward(forward) => self.home.offer(from.clone(), forward),
             Body::Credit(credit) => self.home.credit(from.clone(), credit),
             Body::Cancel(cancel) => self.home.cancel(from.clone(), cancel),
-            Body::ClaimAsk(ask) => self.claims.tell(claims::Message::Ask(ask)),
+            Body::ClaimRequest(ask) => self.claims.tell(claims::Message::Ask(ask)),
             Body::ClaimAnswer(answer) => self.claims.tell(claims::Message::Answer(answer)),
-            Body::KeyAsk(ask) => self.claims.tell(claims::Message::KeyAsk(from.clone(), ask)),
+            Body::KeyQuery(ask) => self.claims.tell(claims::Message::KeyAsk(from.clone(), ask)),
             Body::KeyAnswer(answer) => self.claims.tell(claims::Message::KeyAnswer(answer)),
             Body::Usage(usage) => self
                 .limits
@@ -80,9 +80,9 @@
             Body::Gossip(gossip) => self.fleet.tell(fleet::Message::Heard(from.clone(), gossip)),
             Body::Moved(moved) => self.home.moved(moved),
             Body::Placed(placed) => self.home.placed(placed),
-            Body::StateAsk(ask) => self.home.state_asked(from.clone(), ask),
+            Body::StateQuery(ask) => self.home.state_asked(from.clone(), ask),
             Body::StateAnswer(answer) => self.questions.deliver(answer),
-            Body::PartAsk(ask) => {
+            Body::PartRequest(ask) => {
                 let asked = configuration::Message::Asked(from.clone(), ask);
                 self.configuration.tell(asked)
             }
@@ -90,7 +90,7 @@
                 let answered = configuration::Message::Answered(from.clone(), answer);
                 self.configuration.tell(answered)
             }
-            Body::RequestAsk(ask) => self.states.asked(from, ask),
+            Body::RequestQuery(ask) => self.states.asked(from, ask),
             Body::RequestAnswer(answer) => self.states.answered(answer),
             answer @ (Body::Accepted(_)
             | Body::Passed(_)
--- a/crates/net/tests/link.rs
+++ b/crates/net/tests/link.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::ids::Incarnation;
-use medlarrill_core::wire::{Body, Cancel, PartAsk};
+use medlarrill_core::wire::{Body, Cancel, PartRequest};
 use medlarrill_net::link::{Event, FleetKey, Identity, LinkError, Links, PeerId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -60,7 +60,9 @@
     let mut b = node("b", "secret").await;
     let link = a.links.to(&"b".parse().unwrap(), b.address).await.unwrap();
     for _ in 0..3 {
-        link.send(Body::PartAsk(PartAsk::default())).await.unwrap();
+        link.send(Body::PartRequest(PartRequest::default()))
+            .await
+            .unwrap();
     }
     link.send(Body::Cancel(Cancel::default())).await.unwrap();
     for _ in 0..3 {
