--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -23,7 +23,7 @@
 pub use link::{Hello, Proof};
 pub use moved::{Moved, MovedChat, MovedPlace};
 pub use request::{
-    Accepted, Attempt, Cancel, Chunk, Credit, End, Forward, Header, Passed, Placed, Refused,
+    Accepted, Attempt, Cancel, Chunk, Credit, End, Forward, Header, Placed, Refused, Rerouted,
 };
 pub use request_state::{RequestAnswer, RequestQuery};
 pub use state::{HomeState, StateAnswer, StateQuery};
@@ -61,7 +61,7 @@
     Accepted(Accepted),
     /// The request went on to another home.
     #[prost(message, tag = "5")]
-    Passed(Passed),
+    Rerouted(Rerouted),
     /// The request was refused and not sent to an endpoint, unless it says otherwise.
     #[prost(message, tag = "6")]
     Refused(Refused),
@@ -132,7 +132,7 @@
             Self::Proof(_) => "proof",
             Self::Forward(_) => "forward",
             Self::Accepted(_) => "accepted",
-            Self::Passed(_) => "passed",
+            Self::Rerouted(_) => "passed",
             Self::Refused(_) => "refused",
             Self::Chunk(_) => "chunk",
             Self::End(_) => "end",
--- a/crates/core/src/wire/request.rs
+++ b/crates/core/src/wire/request.rs
@@ -140,7 +140,7 @@
 /// The request went on to another home.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
-pub struct Passed {
+pub struct Rerouted {
     /// The try.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -170,7 +170,7 @@
                     self.deadline = Instant::now() + self.gap.as_duration();
                     return Ok(head(accepted));
                 }
-                Body::Passed(passed) => self.passed(&passed.to)?,
+                Body::Rerouted(passed) => self.passed(&passed.to)?,
                 Body::Refused(refused) => return Err(self.refused(&refused)),
                 _ => return Err(self.broken()),
             }
--- a/crates/daemon/src/entry/attempts.rs
+++ b/crates/daemon/src/entry/attempts.rs
@@ -46,7 +46,7 @@
         if let Some(bound) = &self.bound {
             return bound == from;
         }
-        let Body::Passed(passed) = body else {
+        let Body::Rerouted(passed) = body else {
             self.bound = Some(from.clone());
             self.daemon = from.daemon.clone();
             return true;
@@ -156,7 +156,7 @@
 const fn attempt_of(body: &Body) -> Option<&Attempt> {
     match body {
         Body::Accepted(frame) => frame.attempt.as_ref(),
-        Body::Passed(frame) => frame.attempt.as_ref(),
+        Body::Rerouted(frame) => frame.attempt.as_ref(),
         Body::Refused(frame) => frame.attempt.as_ref(),
         Body::Chunk(frame) => frame.attempt.as_ref(),
         Body::End(frame) => frame.attempt.as_ref(),
--- a/crates/daemon/src/home/reply.rs
+++ b/crates/daemon/src/home/reply.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, DaemonId, EndpointId};
 use medlarrill_core::reason::Reason;
-use medlarrill_core::wire::{Accepted, Body, Chunk, End, Header, Passed, Refused};
+use medlarrill_core::wire::{Accepted, Body, Chunk, End, Header, Refused, Rerouted};
 use medlarrill_net::link::Result;
 
 use crate::context::Context;
@@ -55,7 +55,7 @@
     ///
     /// When the entry can't be reached.
     pub async fn passed(&self, to: &DaemonId) -> Result<()> {
-        self.send(Body::Passed(Passed {
+        self.send(Body::Rerouted(Rerouted {
             attempt: Some(self.id.into()),
             to: to.to_string(),
         }))
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -93,7 +93,7 @@
             Body::RequestQuery(ask) => self.states.asked(from, ask),
             Body::RequestAnswer(answer) => self.states.answered(answer),
             answer @ (Body::Accepted(_)
-            | Body::Passed(_)
+            | Body::Rerouted(_)
             | Body::Refused(_)
             | Body::Chunk(_)
             | Body::End(_)) => self.answer(from, answer),
