--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -6,10 +6,10 @@
 
 mod claim;
 mod config;
+mod directory;
 mod gossip;
 mod limit;
 mod link;
-mod moved;
 mod request;
 mod request_state;
 mod state;
@@ -18,10 +18,10 @@
 
 pub use claim::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
 pub use config::{PartAnswer, PartRequest};
+pub use directory::{DirectoryTransfer, TransferredChat, TransferredPlace};
 pub use gossip::{Change, EndpointLoad, Gossip, PoolLoad, PoolSum, Record, name_hash};
 pub use limit::{Grant, Usage, Watch};
 pub use link::{Hello, Proof};
-pub use moved::{Moved, MovedChat, MovedPlace};
 pub use request::{
     Accepted, Attempt, Cancel, Chunk, Credit, End, Forward, Header, Placed, Refused, Rerouted,
 };
@@ -106,7 +106,7 @@
     Grant(Grant),
     /// Directory entries for their new keeper.
     #[prost(message, tag = "32")]
-    Moved(Moved),
+    DirectoryTransfer(DirectoryTransfer),
     /// Where a chat was served.
     #[prost(message, tag = "20")]
     Placed(Placed),
@@ -147,7 +147,7 @@
             Self::PartAnswer(_) => "part-answer",
             Self::Usage(_) => "usage",
             Self::Grant(_) => "grant",
-            Self::Moved(_) => "moved",
+            Self::DirectoryTransfer(_) => "moved",
             Self::Placed(_) => "placed",
             Self::RequestQuery(_) => "request-ask",
             Self::RequestAnswer(_) => "request-answer",
--- a/crates/daemon/src/home/handle.rs
+++ b/crates/daemon/src/home/handle.rs
@@ -5,7 +5,9 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::DaemonId;
-use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateQuery};
+use medlarrill_core::wire::{
+    Cancel, Credit, DirectoryTransfer, Forward, Placed, PoolLoad, StateQuery,
+};
 use medlarrill_net::link::PeerId;
 use tokio::sync::{mpsc, oneshot};
 
@@ -53,7 +55,7 @@
     }
 
     /// Hands over directory entries; false if the task has ended.
-    pub fn moved(&self, moved: Moved) -> bool {
+    pub fn moved(&self, moved: DirectoryTransfer) -> bool {
         self.send(Message::Moved(moved))
     }
 
--- a/crates/daemon/src/home/handover.rs
+++ b/crates/daemon/src/home/handover.rs
@@ -12,7 +12,9 @@
 use medlarrill_core::ids::{ChatHash, DaemonId};
 use medlarrill_core::placement::{ChatPlaces, Place};
 use medlarrill_core::units::Tokens;
-use medlarrill_core::wire::{Body, Moved, MovedChat, MovedPlace, name_hash};
+use medlarrill_core::wire::{
+    Body, DirectoryTransfer, TransferredChat, TransferredPlace, name_hash,
+};
 use medlarrill_net::now::now;
 
 use super::task::Task;
@@ -62,13 +64,17 @@
         for (keeper, chats) in self.take_moving(&step, now) {
             self.context.metrics.moved_chats.inc_by(chats.len() as u64);
             let context = Arc::clone(&self.context);
-            let moved = Body::Moved(Moved { chats });
+            let moved = Body::DirectoryTransfer(DirectoryTransfer { chats });
             tokio::spawn(async move { context.peers.try_send(&keeper, moved).await });
         }
     }
 
-    fn take_moving(&mut self, step: &Step, now: Millis) -> BTreeMap<DaemonId, Vec<MovedChat>> {
-        let mut batches: BTreeMap<DaemonId, Vec<MovedChat>> = BTreeMap::new();
+    fn take_moving(
+        &mut self,
+        step: &Step,
+        now: Millis,
+    ) -> BTreeMap<DaemonId, Vec<TransferredChat>> {
+        let mut batches: BTreeMap<DaemonId, Vec<TransferredChat>> = BTreeMap::new();
         let mut moved = 0;
         for _ in 0..step.looked {
             let Some(chat) = self.handover.plan.pop_front() else {
@@ -98,15 +104,15 @@
     }
 
     /// Takes entries from the daemon that kept them.
-    pub(super) fn moved(&mut self, moved: Moved) {
+    pub(super) fn moved(&mut self, moved: DirectoryTransfer) {
         let now = now();
         let chats = moved.chats.into_iter().map(|chat| self.unpack(chat, now));
         let chats: Vec<ChatPlaces> = chats.collect();
         self.directory.import(chats);
     }
 
-    fn unpack(&self, moved: MovedChat, now: Millis) -> ChatPlaces {
-        let place = |place: MovedPlace| {
+    fn unpack(&self, moved: TransferredChat, now: Millis) -> ChatPlaces {
+        let place = |place: TransferredPlace| {
             Some(Place {
                 endpoint: self.names.endpoint(place.endpoint)?.clone(),
                 prefix: Tokens(place.prefix),
@@ -121,13 +127,13 @@
     }
 }
 
-fn pack(chat: &ChatPlaces, now: Millis) -> MovedChat {
-    let place = |place: &Place| MovedPlace {
+fn pack(chat: &ChatPlaces, now: Millis) -> TransferredChat {
+    let place = |place: &Place| TransferredPlace {
         endpoint: name_hash(place.endpoint.as_str()),
         prefix: place.prefix.0,
         age: now.since(place.served).0,
     };
-    MovedChat {
+    TransferredChat {
         chat: chat.chat.0,
         places: chat.places.iter().map(place).collect(),
     }
--- a/crates/daemon/src/home/message.rs
+++ b/crates/daemon/src/home/message.rs
@@ -4,7 +4,9 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, DaemonId, EndpointId};
 use medlarrill_core::units::Tokens;
-use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateQuery};
+use medlarrill_core::wire::{
+    Cancel, Credit, DirectoryTransfer, Forward, Placed, PoolLoad, StateQuery,
+};
 use medlarrill_net::endpoint::{CallResult, Load};
 use medlarrill_net::link::PeerId;
 use tokio::sync::oneshot;
@@ -23,7 +25,7 @@
     /// Another home served a chat of this directory.
     Placed(Placed),
     /// Directory entries that this daemon keeps from now on.
-    Moved(Moved),
+    Moved(DirectoryTransfer),
     /// Load of the endpoints that a peer is home of, and when it was so.
     LoadHeard(DaemonId, Millis, Vec<PoolLoad>),
     /// A peer process is gone.
--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/switch.rs
@@ -78,7 +78,7 @@
                 .limits
                 .tell(limits::Message::Grant(from.daemon.clone(), grant)),
             Body::Gossip(gossip) => self.fleet.tell(fleet::Message::Heard(from.clone(), gossip)),
-            Body::Moved(moved) => self.home.moved(moved),
+            Body::DirectoryTransfer(moved) => self.home.moved(moved),
             Body::Placed(placed) => self.home.placed(placed),
             Body::StateQuery(ask) => self.home.state_asked(from.clone(), ask),
             Body::StateAnswer(answer) => self.questions.deliver(answer),
