--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -93,7 +93,7 @@
 /// How closely one account is watched.
 fn watch(column: &[i32], row: usize) -> Watch {
     let cell = column.get(row).copied().unwrap_or(0);
-    Watch::try_from(cell).unwrap_or(Watch::Usual)
+    Watch::try_from(cell).unwrap_or(Watch::Normal)
 }
 
 /// A column, left out if it holds only zeros.
--- a/crates/core/src/limits/book.rs
+++ b/crates/core/src/limits/book.rs
@@ -249,13 +249,17 @@
     fn watch(&self) -> Watch {
         let limit = u64::from(self.limits.concurrency);
         if self.ease.is_easy() {
-            return Watch::Easy;
+            return Watch::Sampled;
         }
         let close = match self.live > STRICT_LIVE {
             true => self.sums.want > limit,
             false => self.sums.held * 10 > limit * 7,
         };
-        if close { Watch::Close } else { Watch::Usual }
+        if close {
+            Watch::Immediate
+        } else {
+            Watch::Normal
+        }
     }
 
     fn target(&self, line: &Line, levels: Levels) -> Target {
--- a/crates/core/src/limits/ledger.rs
+++ b/crates/core/src/limits/ledger.rs
@@ -196,7 +196,7 @@
 
 /// The column that says how closely each account is watched, left out if all are as usual.
 fn watched(rows: &[Row]) -> Vec<i32> {
-    if rows.iter().all(|row| row.watch == Watch::Usual) {
+    if rows.iter().all(|row| row.watch == Watch::Normal) {
         return Vec::new();
     }
     rows.iter().map(|row| row.watch.into()).collect()
--- a/crates/core/src/limits/line.rs
+++ b/crates/core/src/limits/line.rs
@@ -150,7 +150,7 @@
         if self.need > 0 || row.watch != last.watch || now.since(last.at) >= self.renewed() {
             return true;
         }
-        if row.watch == Watch::Easy {
+        if row.watch == Watch::Sampled {
             return self.want() >= last.share || self.rate >= last.rate;
         }
         let near = |last: u32, new: u32| new >= last / 2 && new <= last + last / 4;
@@ -160,7 +160,7 @@
     /// Age from which its grant is renewed with any report.
     fn renewed(&self) -> Millis {
         match self.last.watch {
-            Watch::Easy => Millis(RENEWED.0 * EASY_TIMES),
+            Watch::Sampled => Millis(RENEWED.0 * EASY_TIMES),
             _ => RENEWED,
         }
     }
@@ -168,7 +168,7 @@
     /// Whether it hasn't reported for so long that its grant has run out.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
         let age = match self.last.watch {
-            Watch::Easy => Millis(EXPIRY.0 * EASY_TIMES),
+            Watch::Sampled => Millis(EXPIRY.0 * EASY_TIMES),
             _ => EXPIRY,
         };
         now.since(self.reported) >= age + EXPIRY_MARGIN
--- a/crates/core/src/limits/local.rs
+++ b/crates/core/src/limits/local.rs
@@ -107,7 +107,7 @@
             flights: 0,
             held: VecDeque::new(),
             dry: now,
-            watch: Watch::Usual,
+            watch: Watch::Normal,
             sample: None,
             samples: 0,
             used: now,
@@ -122,7 +122,7 @@
 
     /// Whether the end of each request is worth a report.
     pub(super) fn is_close(&self) -> bool {
-        self.watch == Watch::Close && self.share.concurrency < CLOSE_SHARE
+        self.watch == Watch::Immediate && self.share.concurrency < CLOSE_SHARE
     }
 
     /// Whether no more requests are held.
@@ -193,7 +193,7 @@
     /// A span, or a multiple of it while little of the account is used.
     pub(super) fn longer(&self, span: Millis) -> Millis {
         match self.watch {
-            Watch::Easy => Millis(span.0 * EASY_TIMES),
+            Watch::Sampled => Millis(span.0 * EASY_TIMES),
             _ => span,
         }
     }
@@ -206,7 +206,7 @@
         let present = self.found(self.held.len(), now);
         let sample = self.sample.take();
         // Where shares are strict, the owner has to know all that is in flight.
-        let sample = sample.filter(|_| self.watch == Watch::Easy);
+        let sample = sample.filter(|_| self.watch == Watch::Sampled);
         let used = sample.unwrap_or(present);
         self.sent = Some(Sent { at: now, used });
         Row {
--- a/crates/core/src/wire/limit.rs
+++ b/crates/core/src/wire/limit.rs
@@ -74,9 +74,9 @@
 #[repr(i32)]
 pub enum Watch {
     /// Changes are reported every second.
-    Usual = 0,
+    Normal = 0,
     /// The end of every request is reported at once, as others may wait for it.
-    Close = 1,
+    Immediate = 1,
     /// Little is used: the grant holds for long, and some requests are reported as samples.
-    Easy = 2,
+    Sampled = 2,
 }
