--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -6,7 +6,7 @@
 //! heads, so that a daemon needs only compare numbers to know what is newer.
 
 mod apply;
-pub mod changer;
+pub mod committer;
 mod digest;
 mod export;
 mod head;
@@ -15,7 +15,7 @@
 pub mod sweep;
 
 pub use apply::{Applied, Fault, Faults, apply};
-pub use changer::Changer;
+pub use committer::Committer;
 pub use digest::Digest;
 pub use export::export;
 pub use head::{ChangeRecord, Head, HeadError, MAX_RECORDS, MIN_RECORDS, PartRef, RECORD_AGE};
--- a/crates/core/src/change/changer.rs
+++ b/crates/core/src/change/committer.rs
@@ -39,7 +39,7 @@
 
 /// A change being made.
 #[derive(Clone, Debug)]
-pub struct Changer {
+pub struct Committer {
     task: Task,
     started: Millis,
     wall: Millis,
@@ -69,7 +69,7 @@
     Done,
 }
 
-impl Changer {
+impl Committer {
     /// A change that starts now, with the wall clock's time, and ends by the deadline.
     pub fn new(change: ChangeId, changes: Vec<Change>, now: Millis, wall: Millis) -> Self {
         Self {
--- a/crates/core/src/change/changer/event.rs
+++ b/crates/core/src/change/committer/event.rs
@@ -1,4 +1,4 @@
-//! What a changer is told, and what it asks for.
+//! What a committer is told, and what it asks for.
 
 use bytes::Bytes;
 use derive_more::{Debug, Display};
--- a/crates/core/src/change/sweep.rs
+++ b/crates/core/src/change/sweep.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::changer::Stored;
+use super::committer::Stored;
 use super::digest::Digest;
 use super::head::Head;
 use crate::clock::Millis;
--- a/crates/core/src/operator/answer.rs
+++ b/crates/core/src/operator/answer.rs
@@ -7,7 +7,7 @@
 use super::parse::{Sentence, SyntaxErrors};
 use super::span::Span;
 use crate::change::Faults;
-use crate::change::changer::Outcome;
+use crate::change::committer::Outcome;
 use crate::clock::Millis;
 use crate::ids::{ChangeId, DaemonId, Generation};
 
--- a/crates/core/tests/change_apply.rs
+++ b/crates/core/tests/change_apply.rs
@@ -1,7 +1,7 @@
 //! Changes applied to a configuration, and its checks.
 
 use googletest::prelude::*;
-use medlarrill_core::change::changer::Outcome;
+use medlarrill_core::change::committer::Outcome;
 use medlarrill_core::change::{Applied, Body, Faults, Part, PartName, apply, export, join, split};
 use medlarrill_core::config::Config;
 use medlarrill_core::ids::Generation;
--- a/crates/core/tests/change_race.rs
+++ b/crates/core/tests/change_race.rs
@@ -12,9 +12,9 @@
 use std::collections::BTreeMap;
 
 use googletest::prelude::*;
-use medlarrill_core::change::changer::{Action, Event, Outcome};
+use medlarrill_core::change::committer::{Action, Event, Outcome};
 use medlarrill_core::change::sweep::{self, Sweep};
-use medlarrill_core::change::{Changer, Head, Part, apply, join};
+use medlarrill_core::change::{Committer, Head, Part, apply, join};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::config::Config;
 use medlarrill_core::ids::{ChangeId, Generation};
@@ -29,9 +29,9 @@
 const TRIES: usize = 4;
 const DEADLINE: Millis = Millis(5000);
 
-/// A changer in one daemon, with the calls it has under way.
+/// A committer in one daemon, with the calls it has under way.
 struct Run {
-    changer: Changer,
+    committer: Committer,
     calls: Vec<Action>,
     timer: Option<Millis>,
     /// When the request comes to the daemon, until it has come.
@@ -96,16 +96,16 @@
 
 impl Run {
     fn new(session: &Session, begin: Millis, repeat: bool) -> Self {
-        let changer = Changer::new(session.change, session.changes.clone(), begin, begin)
+        let committer = Committer::new(session.change, session.changes.clone(), begin, begin)
             .with_deadline(begin + DEADLINE);
-        let changer = if repeat {
-            changer.with_repeat()
+        let committer = if repeat {
+            committer.with_repeat()
         } else {
-            changer
+            committer
         };
         Self {
-            timer: Some(changer.deadline()),
-            changer,
+            timer: Some(committer.deadline()),
+            committer,
             calls: Vec::new(),
             begin: Some(begin),
             outcome: None,
@@ -113,7 +113,7 @@
     }
 
     fn handle(&mut self, event: Event, now: Millis) {
-        for action in self.changer.handle(event, now) {
+        for action in self.committer.handle(event, now) {
             match action {
                 Action::Wait(until) => self.timer = Some(until),
                 Action::Finish(outcome) => self.outcome = Some(outcome),
@@ -128,7 +128,7 @@
             self.handle(Event::Start, now);
         }
         if self.timer.is_some_and(|timer| now >= timer) {
-            self.timer = Some(self.changer.deadline());
+            self.timer = Some(self.committer.deadline());
             self.handle(Event::Timer, now);
         }
         if !self.calls.is_empty() && rng.random_bool(0.5) {
--- a/crates/core/tests/change_race/platform.rs
+++ b/crates/core/tests/change_race/platform.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use medlarrill_core::change::changer::{Action, Event, Stored};
+use medlarrill_core::change::committer::{Action, Event, Stored};
 use medlarrill_core::change::sweep::StoredPart;
 use medlarrill_core::change::{Digest, Head};
 use rand::RngExt;
--- a/crates/core/tests/change_size.rs
+++ b/crates/core/tests/change_size.rs
@@ -3,8 +3,8 @@
 use std::time::Instant;
 
 use googletest::prelude::*;
-use medlarrill_core::change::changer::{Action, Event, Outcome};
-use medlarrill_core::change::{Changer, MAX_PART, apply};
+use medlarrill_core::change::committer::{Action, Event, Outcome};
+use medlarrill_core::change::{Committer, MAX_PART, apply};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::config::Config;
 use medlarrill_core::ids::ChangeId;
@@ -64,11 +64,11 @@
     let start = Instant::now();
     let applied = apply(&Config::default(), &changes).unwrap();
     let checked = start.elapsed();
-    let mut changer = Changer::new(ChangeId(1), changes, Millis(0), Millis(0));
-    changer.handle(Event::Start, Millis(0));
+    let mut committer = Committer::new(ChangeId(1), changes, Millis(0), Millis(0));
+    committer.handle(Event::Start, Millis(0));
     let mut parts = Vec::new();
     let mut head = None;
-    let mut actions = changer.handle(Event::Head(None), Millis(0));
+    let mut actions = committer.handle(Event::Head(None), Millis(0));
     while let Some(action) = actions.pop() {
         let event = match action {
             Action::CreatePart(digest, bytes) => {
@@ -84,7 +84,7 @@
                 break;
             }
         };
-        actions.extend(changer.handle(event, Millis(0)));
+        actions.extend(committer.handle(event, Millis(0)));
     }
     let (head, largest) = (head.unwrap(), *parts.iter().max().unwrap());
     println!(
--- a/crates/core/tests/changer.rs
+++ b/crates/core/tests/changer.rs
@@ -5,8 +5,8 @@
 mod platform;
 
 use googletest::prelude::*;
-use medlarrill_core::change::changer::{Accepted, Action, Conflict, Event, Outcome};
-use medlarrill_core::change::{ChangeRecord, Changer, Head, MAX_RECORDS, RECORD_AGE};
+use medlarrill_core::change::committer::{Accepted, Action, Conflict, Event, Outcome};
+use medlarrill_core::change::{ChangeRecord, Committer, Head, MAX_RECORDS, RECORD_AGE};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChangeId, Generation};
 use medlarrill_core::operator::{Change, parse};
@@ -25,8 +25,8 @@
     changes.cloned().collect()
 }
 
-fn changer(id: u128, text: &str) -> Changer {
-    Changer::new(ChangeId(id), changes(text), NOW, NOW)
+fn committer(id: u128, text: &str) -> Committer {
+    Committer::new(ChangeId(id), changes(text), NOW, NOW)
 }
 
 /// A platform without faults that holds the first configuration, as change 1.
@@ -40,22 +40,27 @@
 }
 
 /// Runs until the end, or until the head is about to be written.
-fn run(platform: &mut Platform, changer: &mut Changer, event: Event, stop: bool) -> Vec<Action> {
+fn run(
+    platform: &mut Platform,
+    committer: &mut Committer,
+    event: Event,
+    stop: bool,
+) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut actions = changer.handle(event, NOW);
+    let mut actions = committer.handle(event, NOW);
     while let Some(action) = actions.pop() {
         let writes = matches!(action, Action::WriteHead { .. });
         if matches!(action, Action::Finish(_) | Action::Wait(_)) || stop && writes {
             return vec![action];
         }
         let event = platform.call(action, &mut rng);
-        actions.extend(changer.handle(event, NOW));
+        actions.extend(committer.handle(event, NOW));
     }
     Vec::new()
 }
 
-fn finish(platform: &mut Platform, mut changer: Changer) -> Outcome {
-    outcome(run(platform, &mut changer, Event::Start, false))
+fn finish(platform: &mut Platform, mut committer: Committer) -> Outcome {
+    outcome(run(platform, &mut committer, Event::Start, false))
 }
 
 fn outcome(mut actions: Vec<Action>) -> Outcome {
@@ -66,7 +71,7 @@
 }
 
 fn accept(platform: &mut Platform, id: u128, text: &str) -> Accepted {
-    match finish(platform, changer(id, text)) {
+    match finish(platform, committer(id, text)) {
         Outcome::Accepted(accepted) => accepted,
         other => panic!("{other:?}"),
     }
@@ -79,7 +84,7 @@
 #[gtest]
 fn a_change_of_another_part_is_rebased() {
     let mut platform = platform();
-    let mut slow = changer(2, "alter pool a slots 3");
+    let mut slow = committer(2, "alter pool a slots 3");
     run(&mut platform, &mut slow, Event::Start, true);
     accept(&mut platform, 3, "alter pool b slots 4");
     let end = outcome(run(&mut platform, &mut slow, Event::Moved, false));
@@ -96,7 +101,7 @@
 #[gtest]
 fn a_change_of_the_same_part_is_a_conflict_that_names_both() {
     let mut platform = platform();
-    let mut slow = changer(2, "alter pool a slots 3");
+    let mut slow = committer(2, "alter pool a slots 3");
     run(&mut platform, &mut slow, Event::Start, true);
     accept(&mut platform, 3, "alter pool a queue 4");
     let end = outcome(run(&mut platform, &mut slow, Event::Moved, false));
@@ -114,12 +119,12 @@
 fn what_changed_since_the_operator_looked_is_a_conflict() {
     let mut platform = platform();
     accept(&mut platform, 2, "alter pool a slots 3");
-    let stale = changer(3, "alter pool a slots 4").with_base(Generation(1));
+    let stale = committer(3, "alter pool a slots 4").with_base(Generation(1));
     expect_that!(
         finish(&mut platform, stale),
         matches_pattern!(Outcome::Conflict(_))
     );
-    let other = changer(4, "alter pool b slots 4").with_base(Generation(1));
+    let other = committer(4, "alter pool b slots 4").with_base(Generation(1));
     expect_that!(
         finish(&mut platform, other),
         matches_pattern!(Outcome::Accepted(_))
@@ -131,7 +136,7 @@
     let mut platform = platform();
     accept(&mut platform, 2, "create pool c kind service");
     accept(&mut platform, 3, "alter pool c slots 9");
-    let repeat = changer(2, "create pool c kind service").with_repeat();
+    let repeat = committer(2, "create pool c kind service").with_repeat();
     expect_that!(
         finish(&mut platform, repeat),
         matches_pattern!(Outcome::Accepted(field!(
@@ -145,26 +150,26 @@
 #[gtest]
 fn a_refused_repeat_keeps_the_first_request_from_taking_effect() {
     let mut platform = platform();
-    let repeat = changer(2, "drop pool c").with_repeat();
+    let repeat = committer(2, "drop pool c").with_repeat();
     expect_that!(
         finish(&mut platform, repeat),
         matches_pattern!(Outcome::Refused(_))
     );
     accept(&mut platform, 3, "create pool c kind service");
-    let delayed = changer(2, "drop pool c");
+    let delayed = committer(2, "drop pool c");
     expect_that!(finish(&mut platform, delayed), eq(&Outcome::Withdrawn));
 }
 
 #[gtest]
 fn a_repeat_without_effect_is_remembered_all_the_same() {
     let mut platform = platform();
-    let repeat = changer(2, "alter pool a slots 16").with_repeat();
+    let repeat = committer(2, "alter pool a slots 16").with_repeat();
     expect_that!(
         finish(&mut platform, repeat),
         matches_pattern!(Outcome::Accepted(_))
     );
     accept(&mut platform, 3, "alter pool a slots 5");
-    let delayed = changer(2, "alter pool a slots 16");
+    let delayed = committer(2, "alter pool a slots 16");
     expect_that!(
         finish(&mut platform, delayed),
         matches_pattern!(Outcome::Accepted(field!(
@@ -178,7 +183,7 @@
 #[gtest]
 fn a_lost_write_is_sent_again_word_for_word_until_the_head_moves() {
     let mut platform = platform();
-    let mut slow = changer(2, "alter pool a slots 3");
+    let mut slow = committer(2, "alter pool a slots 3");
     let write = run(&mut platform, &mut slow, Event::Start, true);
     let wait = run(&mut platform, &mut slow, Event::WriteLost, true);
     let Action::Wait(until) = wait[0] else {
@@ -197,13 +202,13 @@
 #[gtest]
 fn a_change_that_may_have_been_forgotten_is_unknown() {
     let mut platform = platform();
-    let mut slow = changer(2, "alter pool a slots 3");
+    let mut slow = committer(2, "alter pool a slots 3");
     run(&mut platform, &mut slow, Event::Start, true);
     run(&mut platform, &mut slow, Event::WriteLost, true);
     for id in 3..200 {
         let text = format!("alter pool b slots {id}");
         let wall = NOW + Millis(RECORD_AGE.0 * id as u64);
-        let other = Changer::new(ChangeId(id), changes(&text), NOW, wall);
+        let other = Committer::new(ChangeId(id), changes(&text), NOW, wall);
         finish(&mut platform, other);
     }
     slow.handle(Event::Timer, NOW + Millis(5000));
@@ -222,7 +227,7 @@
     });
     full.recent.extend(more);
     platform.head.as_mut().unwrap().bytes = full.to_bytes().into();
-    let over = changer(1 << 20, "alter pool b slots 1");
+    let over = committer(1 << 20, "alter pool b slots 1");
     expect_that!(
         finish(&mut platform, over),
         matches_pattern!(Outcome::Unavailable(contains_substring("too many changes")))
@@ -233,7 +238,7 @@
 #[gtest]
 fn a_damaged_part_is_not_used() {
     let platform = platform();
-    let mut other = changer(2, "alter pool a slots 3");
+    let mut other = committer(2, "alter pool a slots 3");
     other.handle(Event::Start, NOW);
     let reads = other.handle(Event::Head(platform.head.clone()), NOW);
     let Action::ReadPart(digest) = reads[0] else {
--- a/crates/core/tests/spread.rs
+++ b/crates/core/tests/spread.rs
@@ -8,9 +8,9 @@
 
 use bytes::Bytes;
 use googletest::prelude::*;
-use medlarrill_core::change::changer::{self, Outcome};
+use medlarrill_core::change::committer::{self, Outcome};
 use medlarrill_core::change::spread::{Action, Event, JOIN_WINDOW, Rejected, Spread};
-use medlarrill_core::change::{Changer, Digest};
+use medlarrill_core::change::{Committer, Digest};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChangeId, Generation, Incarnation};
 use medlarrill_core::operator::parse;
@@ -44,15 +44,15 @@
         };
         let changes = parse(&text).unwrap();
         let changes = changes.iter().filter_map(|s| s.change().cloned()).collect();
-        let mut changer = Changer::new(ChangeId(n.into()), changes, NOW, NOW);
-        let mut actions = changer.handle(changer::Event::Start, NOW);
+        let mut committer = Committer::new(ChangeId(n.into()), changes, NOW, NOW);
+        let mut actions = committer.handle(committer::Event::Start, NOW);
         while let Some(action) = actions.pop() {
-            if let changer::Action::Finish(outcome) = action {
+            if let committer::Action::Finish(outcome) = action {
                 assert!(matches!(outcome, Outcome::Accepted(_)));
                 break;
             }
             let event = platform.call(action, &mut rng);
-            actions.extend(changer.handle(event, NOW));
+            actions.extend(committer.handle(event, NOW));
         }
     }
     let heads = platform.history.iter().map(|head| head.to_bytes().into());
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use medlarrill_core::change::Digest;
-use medlarrill_core::change::changer::Stored;
+use medlarrill_core::change::committer::Stored;
 use medlarrill_core::wire::{PartAnswer, PartRequest};
 use medlarrill_net::link::PeerId;
 use medlarrill_net::platform;
--- a/crates/daemon/src/configuration/source.rs
+++ b/crates/daemon/src/configuration/source.rs
@@ -1,7 +1,7 @@
 //! Reads the stored configuration from the platform.
 
 use bytes::Bytes;
-use medlarrill_core::change::changer::Stored;
+use medlarrill_core::change::committer::Stored;
 use medlarrill_core::change::{Digest, HEAD_KEY};
 use medlarrill_core::clock::Millis;
 use medlarrill_net::platform::{Client, Error, Object, Read, Result, Role};
--- a/crates/daemon/src/configuration/sweep.rs
+++ b/crates/daemon/src/configuration/sweep.rs
@@ -1,6 +1,6 @@
 //! Deletes stored parts that no head names any more, while this daemon watches.
 
-use medlarrill_core::change::changer::Stored;
+use medlarrill_core::change::committer::Stored;
 use medlarrill_core::change::sweep::{Action, Event, StoredPart};
 use medlarrill_core::change::{Digest, PART_PREFIX, Sweep};
 use medlarrill_core::clock::Millis;
--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use medlarrill_core::change::changer::Stored;
+use medlarrill_core::change::committer::Stored;
 use medlarrill_core::change::spread::{Action, Event};
 use medlarrill_core::change::{HEAD_KEY, Spread};
 use medlarrill_core::clock::Millis;
--- a/crates/daemon/src/operators/change.rs
+++ b/crates/daemon/src/operators/change.rs
@@ -1,10 +1,10 @@
-//! Makes changes of the configuration: drives the core's `Changer`.
+//! Makes changes of the configuration: drives the core's `Committer`.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
-use medlarrill_core::change::changer::{Action, Event, Outcome};
-use medlarrill_core::change::{Changer, Digest, HEAD_KEY};
+use medlarrill_core::change::committer::{Action, Event, Outcome};
+use medlarrill_core::change::{Committer, Digest, HEAD_KEY};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::operator::Change;
 use medlarrill_core::operator::answer::Request;
@@ -22,21 +22,21 @@
     deadline: Millis,
 ) -> Outcome {
     let held = context.configuration.parts().await;
-    let mut changer = Changer::new(request.change, changes, now(), wall())
+    let mut committer = Committer::new(request.change, changes, now(), wall())
         .with_deadline(deadline)
         .with_parts(held);
     if let Some(base) = request.base {
-        changer = changer.with_base(base);
+        committer = committer.with_base(base);
     }
     if request.repeat {
-        changer = changer.with_repeat();
+        committer = committer.with_repeat();
     }
     let mut drive = Drive {
         platform: &context.platform,
         deadline,
         parts: BTreeMap::new(),
     };
-    let outcome = drive.run(changer).await;
+    let outcome = drive.run(committer).await;
     if let Outcome::Accepted(accepted) = &outcome
         && !accepted.head.is_empty()
     {
@@ -56,8 +56,8 @@
 }
 
 impl Drive<'_> {
-    async fn run(&mut self, mut changer: Changer) -> Outcome {
-        let mut actions = VecDeque::from(changer.handle(Event::Start, now()));
+    async fn run(&mut self, mut committer: Committer) -> Outcome {
+        let mut actions = VecDeque::from(committer.handle(Event::Start, now()));
         while let Some(action) = actions.pop_front() {
             let event = match action {
                 Action::Finish(outcome) => return outcome,
@@ -70,7 +70,7 @@
                     Event::Timer
                 }
             };
-            actions.extend(changer.handle(event, now()));
+            actions.extend(committer.handle(event, now()));
         }
         // The machine ends by saying how; if it doesn't, nothing is known.
         Outcome::Unknown
--- a/crates/daemon/src/operators/run.rs
+++ b/crates/daemon/src/operators/run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use medlarrill_core::change::changer::Outcome;
+use medlarrill_core::change::committer::Outcome;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Generation;
 use medlarrill_core::operator::answer::{self, Answer, Finding, Request, StatementResult, Verdict};
