--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -11,8 +11,8 @@
 mod export;
 mod head;
 mod part;
-pub mod spread;
 pub mod sweep;
+pub mod sync;
 
 pub use apply::{Applied, Fault, Faults, apply};
 pub use committer::Committer;
@@ -20,8 +20,8 @@
 pub use export::export;
 pub use head::{ChangeRecord, Head, HeadError, MAX_RECORDS, MIN_RECORDS, PartRef, RECORD_AGE};
 pub use part::{Body, MAX_PART, Part, PartError, PartName, PartNameError, join, split};
-pub use spread::Spread;
 pub use sweep::Sweep;
+pub use sync::ConfigSync;
 
 /// Key of the head in the platform's object API.
 pub const HEAD_KEY: &str = "config/head";
--- a/crates/core/src/change/spread.rs
+++ b/crates/core/src/change/sync.rs
@@ -32,13 +32,13 @@
 /// How long a starting daemon listens to its peers.
 pub const JOIN_WINDOW: Millis = Millis(2000);
 /// How long an answer may take.
-pub const ASK_TIMEOUT: Millis = Millis(1000);
+pub const REQUEST_TIMEOUT: Millis = Millis(1000);
 /// How long a peer or the platform isn't asked again after a failure.
 const PAUSE: Millis = Millis(1000);
 
 /// The configuration that a daemon has and the one it is after.
 #[derive(Clone, Debug)]
-pub struct Spread {
+pub struct ConfigSync {
     peers: BTreeMap<Incarnation, Peer>,
     watching: bool,
     /// When the platform's head is to be read again after a failure.
@@ -77,7 +77,7 @@
     Platform,
 }
 
-impl Spread {
+impl ConfigSync {
     /// A daemon without a configuration; the seed is for its choice among peers.
     pub fn new(seed: u64) -> Self {
         Self {
--- a/crates/core/src/change/spread/fetch.rs
+++ b/crates/core/src/change/sync/fetch.rs
@@ -6,7 +6,7 @@
 use rand::seq::IndexedRandom;
 
 use super::goal::Goal;
-use super::{ASK_TIMEOUT, Action, Asked, Peer, Source, Spread};
+use super::{Action, Asked, ConfigSync, Peer, REQUEST_TIMEOUT, Source};
 use crate::change::digest::Digest;
 use crate::clock::Millis;
 use crate::ids::{Generation, Incarnation};
@@ -19,7 +19,7 @@
 /// Parts read from the platform at once.
 const MAX_READ: usize = 16;
 
-impl Spread {
+impl ConfigSync {
     /// Answers a peer with what is in force.
     pub fn serve(&self, ask: &PartRequest) -> PartAnswer {
         let mut answer = PartAnswer::default();
@@ -118,7 +118,7 @@
         self.asked = Some(Asked {
             source,
             digests,
-            until: now + ASK_TIMEOUT,
+            until: now + REQUEST_TIMEOUT,
         });
     }
 
--- a/crates/core/tests/spread.rs
+++ b/crates/core/tests/spread.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::change::committer::{self, Outcome};
-use medlarrill_core::change::spread::{Action, Event, JOIN_WINDOW, Rejected, Spread};
+use medlarrill_core::change::sync::{Action, ConfigSync, Event, JOIN_WINDOW, Rejected};
 use medlarrill_core::change::{Committer, Digest};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChangeId, Generation, Incarnation};
@@ -108,7 +108,7 @@
 
 /// Lets a peer answer what it is asked, until nothing more is asked of it.
 fn answer_all(
-    spread: &mut Spread,
+    sync: &mut ConfigSync,
     library: &Library,
     mut actions: Vec<Action>,
     at: usize,
@@ -117,7 +117,7 @@
     while let Some((peer, ask)) = asks(&actions).pop() {
         let answer = library.served(&ask, at);
         all.append(&mut actions);
-        actions = spread.handle(Event::Answer { peer, answer }, NOW);
+        actions = sync.handle(Event::Answer { peer, answer }, NOW);
     }
     all.append(&mut actions);
     all
@@ -126,34 +126,34 @@
 #[gtest]
 fn a_starting_daemon_listens_before_it_takes_the_highest() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let actions = spread.handle(announced(1, true, 3), NOW);
-    let actions = answer_all(&mut spread, &library, actions, 3);
+    let mut sync = ConfigSync::new(1);
+    let actions = sync.handle(announced(1, true, 3), NOW);
+    let actions = answer_all(&mut sync, &library, actions, 3);
     expect_that!(applied(&actions), none());
     let late = NOW + JOIN_WINDOW;
-    let actions = spread.handle(announced(2, false, 5), late - Millis(10));
+    let actions = sync.handle(announced(2, false, 5), late - Millis(10));
     // The higher one is on its way, so the lower one isn't taken in its stead.
-    expect_that!(applied(&spread.handle(Event::Timer, late)), none());
-    let actions = answer_all(&mut spread, &library, actions, 5);
+    expect_that!(applied(&sync.handle(Event::Timer, late)), none());
+    let actions = answer_all(&mut sync, &library, actions, 5);
     expect_that!(applied(&actions), none());
-    expect_that!(spread.is_ready(), eq(false));
+    expect_that!(sync.is_ready(), eq(false));
     expect_that!(
-        applied(&spread.handle(Event::Timer, late)),
+        applied(&sync.handle(Event::Timer, late)),
         some(eq(Generation(5)))
     );
-    expect_that!(spread.is_ready(), eq(true));
+    expect_that!(sync.is_ready(), eq(true));
 }
 
 #[gtest]
 fn a_peer_that_is_gone_does_not_hold_a_start_up() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let actions = spread.handle(announced(1, true, 3), NOW);
-    answer_all(&mut spread, &library, actions, 3);
-    spread.handle(announced(2, true, 5), NOW);
-    spread.handle(Event::Gone(Incarnation(2)), NOW);
+    let mut sync = ConfigSync::new(1);
+    let actions = sync.handle(announced(1, true, 3), NOW);
+    answer_all(&mut sync, &library, actions, 3);
+    sync.handle(announced(2, true, 5), NOW);
+    sync.handle(Event::Gone(Incarnation(2)), NOW);
     expect_that!(
-        applied(&spread.handle(Event::Timer, NOW + JOIN_WINDOW)),
+        applied(&sync.handle(Event::Timer, NOW + JOIN_WINDOW)),
         some(eq(Generation(3)))
     );
 }
@@ -161,47 +161,44 @@
 #[gtest]
 fn the_platforms_own_head_needs_no_listening() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let reads = spread.handle(Event::Watching(true), NOW);
+    let mut sync = ConfigSync::new(1);
+    let reads = sync.handle(Event::Watching(true), NOW);
     expect_that!(reads, contains(eq(&Action::ReadHead)));
     let head = library.head(4);
     let parts = vec![];
-    for action in spread.handle(Event::Head { head, parts }, NOW) {
+    for action in sync.handle(Event::Head { head, parts }, NOW) {
         if let Action::ReadPart(digest) = action {
             let bytes = library.parts.get(&digest).cloned();
-            spread.handle(Event::Part(digest, bytes), NOW);
+            sync.handle(Event::Part(digest, bytes), NOW);
         }
     }
-    expect_that!(spread.generation(), eq(Generation(4)));
+    expect_that!(sync.generation(), eq(Generation(4)));
 }
 
 #[gtest]
 fn a_late_head_takes_nothing_back() {
     let library = library();
-    let mut spread = Spread::new(1);
+    let mut sync = ConfigSync::new(1);
     let parts: Vec<_> = library.parts.values().cloned().collect();
     let head = |generation| Event::Head {
         head: library.head(generation),
         parts: parts.clone(),
     };
-    expect_that!(
-        applied(&spread.handle(head(5), NOW)),
-        some(eq(Generation(5)))
-    );
-    expect_that!(applied(&spread.handle(head(4), NOW)), none());
-    expect_that!(applied(&spread.handle(head(5), NOW)), none());
-    expect_that!(spread.generation(), eq(Generation(5)));
+    expect_that!(applied(&sync.handle(head(5), NOW)), some(eq(Generation(5))));
+    expect_that!(applied(&sync.handle(head(4), NOW)), none());
+    expect_that!(applied(&sync.handle(head(5), NOW)), none());
+    expect_that!(sync.generation(), eq(Generation(5)));
 }
 
 #[gtest]
 fn parts_that_were_not_asked_for_are_rejected() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let actions = spread.handle(announced(1, true, 2), NOW);
+    let mut sync = ConfigSync::new(1);
+    let actions = sync.handle(announced(1, true, 2), NOW);
     let (peer, ask) = asks(&actions).remove(0);
     let mut answer = library.served(&ask, 2);
     answer.parts = vec![Bytes::from_static(b"{}")];
-    let actions = spread.handle(Event::Answer { peer, answer }, NOW);
+    let actions = sync.handle(Event::Answer { peer, answer }, NOW);
     expect_that!(
         actions,
         contains(eq(&Action::Reject(Rejected::Digest(Digest::of(b"{}")))))
@@ -211,7 +208,7 @@
         parts: vec![],
     };
     expect_that!(
-        spread.handle(Event::Answer { peer, answer }, NOW),
+        sync.handle(Event::Answer { peer, answer }, NOW),
         contains(matches_pattern!(Action::Reject(matches_pattern!(
             Rejected::Head(_)
         ))))
@@ -221,11 +218,11 @@
 #[gtest]
 fn near_peers_are_asked_first_and_the_platform_before_far_ones() {
     let library = library();
-    let mut spread = Spread::new(1);
-    spread.handle(Event::Watching(true), NOW);
-    spread.handle(announced(1, false, 4), NOW);
+    let mut sync = ConfigSync::new(1);
+    sync.handle(Event::Watching(true), NOW);
+    sync.handle(announced(1, false, 4), NOW);
     let head = library.head(4);
-    let actions = spread.handle(
+    let actions = sync.handle(
         Event::Head {
             head,
             parts: vec![],
@@ -233,13 +230,9 @@
         NOW + JOIN_WINDOW,
     );
     // The far peer is being asked for its head; it doesn't answer.
-    let actions = [
-        actions,
-        spread.handle(Event::Unanswered(Incarnation(1)), NOW),
-    ]
-    .concat();
+    let actions = [actions, sync.handle(Event::Unanswered(Incarnation(1)), NOW)].concat();
     expect_that!(actions, contains(matches_pattern!(Action::ReadPart(_))));
-    let mut near = Spread::new(1);
+    let mut near = ConfigSync::new(1);
     near.handle(announced(1, false, 4), NOW);
     let actions = near.handle(Event::Unanswered(Incarnation(1)), NOW);
     expect_that!(asks(&actions), is_empty());
@@ -267,7 +260,7 @@
     published: usize,
     down: bool,
     calm: bool,
-    daemons: Vec<Spread>,
+    daemons: Vec<ConfigSync>,
     timers: BTreeSet<(Millis, usize)>,
     messages: Vec<Message>,
 }
@@ -404,7 +397,7 @@
         }
         if self.rng.random_bool(0.01) {
             let index = self.rng.random_range(0..DAEMONS);
-            self.daemons[index] = Spread::new(self.now.0);
+            self.daemons[index] = ConfigSync::new(self.now.0);
             self.handle(index, Event::Watching(Self::watches(index)));
         }
     }
@@ -422,7 +415,7 @@
             down: false,
             calm: false,
             daemons: (0..DAEMONS)
-                .map(|index| Spread::new(index as u64))
+                .map(|index| ConfigSync::new(index as u64))
                 .collect(),
             timers: BTreeSet::new(),
             messages: Vec::new(),
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration in force: how it comes here, and the view of it.
 //!
-//! `task` drives the core's `Spread`: it hears from the fleet task which
+//! `task` drives the core's `ConfigSync`: it hears from the fleet task which
 //! generations peers have, asks them for parts, and reads the platform where
 //! this daemon watches for its data centre. `follow` waits for changes of the
 //! platform's head, `sweep` deletes parts that no head names any more.
--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -1,11 +1,11 @@
-//! The configuration task: drives the core's `Spread`.
+//! The configuration task: drives the core's `ConfigSync`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use medlarrill_core::change::committer::Stored;
-use medlarrill_core::change::spread::{Action, Event};
-use medlarrill_core::change::{HEAD_KEY, Spread};
+use medlarrill_core::change::sync::{Action, Event};
+use medlarrill_core::change::{ConfigSync, HEAD_KEY};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::config::Config;
 use medlarrill_core::ids::{DaemonId, Generation, Incarnation};
@@ -35,7 +35,7 @@
     context: Arc<Context>,
     handle: Handle,
     view: watch::Sender<Arc<ConfigView>>,
-    spread: Spread,
+    sync: ConfigSync,
     fleet: Arc<FleetView>,
     /// Peers by process, to find those that are gone.
     known: BTreeMap<Incarnation, DaemonId>,
@@ -56,7 +56,7 @@
         Self {
             handle: context.configuration.clone(),
             view,
-            spread: Spread::new(rand::random()),
+            sync: ConfigSync::new(rand::random()),
             fleet: Arc::default(),
             known: BTreeMap::new(),
             watch: None,
@@ -96,7 +96,7 @@
     /// When the machine, or the wait for others, is due.
     fn next_wake(&self) -> Option<Millis> {
         let alone = self.started + ALONE;
-        let waiting = !self.spread.is_ready() && now() < alone;
+        let waiting = !self.sync.is_ready() && now() < alone;
         let alone = waiting.then_some(alone);
         [alone, self.wake].into_iter().flatten().min()
     }
@@ -119,7 +119,7 @@
             Message::Written(head, parts) => self.drive(Event::Head { head, parts }),
             Message::Held(reply) => {
                 // Who asked may have gone away.
-                let _ = reply.send(self.spread.parts().cloned().collect());
+                let _ = reply.send(self.sync.parts().cloned().collect());
             }
         }
     }
@@ -144,7 +144,7 @@
     }
 
     fn serve(&self, from: PeerId, ask: &PartRequest) {
-        let answer = self.spread.serve(ask);
+        let answer = self.sync.serve(ask);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
             // Who doesn't get an answer asks another peer.
@@ -193,7 +193,7 @@
         let key = key_of(HEAD_KEY);
         let owners = self.fleet.placement.owners_in(centre, key, WATCHERS);
         let chosen = owners.contains(&&self.context.me.daemon);
-        let alone = !self.spread.is_ready() && now() >= self.started + ALONE;
+        let alone = !self.sync.is_ready() && now() >= self.started + ALONE;
         let watching = chosen || alone;
         if watching == self.watch.is_some() {
             return;
@@ -208,7 +208,7 @@
 
     fn drive(&mut self, event: Event) {
         self.wake = None;
-        for action in self.spread.handle(event, now()) {
+        for action in self.sync.handle(event, now()) {
             self.act(action);
         }
     }
