--- a/crates/core/src/change/committer.rs
+++ b/crates/core/src/change/committer.rs
@@ -108,7 +108,7 @@
     }
 
     /// Says that the change was asked for before.
-    pub const fn with_repeat(mut self) -> Self {
+    pub const fn with_retry(mut self) -> Self {
         self.task.repeat = true;
         self
     }
@@ -143,12 +143,12 @@
             Event::Part(digest, bytes) => self.part(digest, bytes, now),
             Event::Created(digest) => self.part_created(digest),
             Event::Written => self.written(),
-            Event::Moved => self.read(),
-            Event::WriteLost => {
+            Event::VersionMismatch => self.read(),
+            Event::WriteUnknown => {
                 self.unsettled = true;
                 self.pause(now)
             }
-            Event::HeadLost | Event::PartLost | Event::CreateLost | Event::WriteFailed => {
+            Event::HeadFailed | Event::PartFailed | Event::CreateUnknown | Event::WriteFailed => {
                 self.pause(now)
             }
         }
@@ -172,7 +172,7 @@
     }
 
     fn give_up(&mut self, event: &Event) -> Vec<Action> {
-        let surely_not = matches!(event, Event::Moved | Event::WriteFailed);
+        let surely_not = matches!(event, Event::VersionMismatch | Event::WriteFailed);
         let sent = self.step == Step::Writing && !surely_not;
         if sent || self.unsettled || self.task.repeat {
             return self.finish(Outcome::Unknown);
--- a/crates/core/src/change/committer/event.rs
+++ b/crates/core/src/change/committer/event.rs
@@ -31,21 +31,21 @@
     /// The head was read; `None` if there is none.
     Head(Option<Stored>),
     /// The head couldn't be read.
-    HeadLost,
+    HeadFailed,
     /// A part was read; `None` if there is none.
     Part(Digest, Option<Bytes>),
     /// A part couldn't be read.
-    PartLost,
+    PartFailed,
     /// A part is stored, now or before.
     Created(Digest),
     /// It isn't known whether a part is stored.
-    CreateLost,
+    CreateUnknown,
     /// The head is written.
     Written,
     /// The head has another version than the one to be replaced.
-    Moved,
+    VersionMismatch,
     /// The head's write may have taken effect, or may yet.
-    WriteLost,
+    WriteUnknown,
     /// The head's write surely had no effect, such as with 429.
     WriteFailed,
 }
--- a/crates/core/tests/change_race.rs
+++ b/crates/core/tests/change_race.rs
@@ -99,7 +99,7 @@
         let committer = Committer::new(session.change, session.changes.clone(), begin, begin)
             .with_deadline(begin + DEADLINE);
         let committer = if repeat {
-            committer.with_repeat()
+            committer.with_retry()
         } else {
             committer
         };
--- a/crates/core/tests/change_race/platform.rs
+++ b/crates/core/tests/change_race/platform.rs
@@ -52,10 +52,10 @@
     /// Carries a call out, or not, and says what its caller sees.
     pub fn call(&mut self, call: Action, rng: &mut Pcg64Mcg) -> Event {
         let lost = match &call {
-            Action::ReadHead => Event::HeadLost,
-            Action::ReadPart(_) => Event::PartLost,
-            Action::CreatePart(..) => Event::CreateLost,
-            _ => Event::WriteLost,
+            Action::ReadHead => Event::HeadFailed,
+            Action::ReadPart(_) => Event::PartFailed,
+            Action::CreatePart(..) => Event::CreateUnknown,
+            _ => Event::WriteUnknown,
         };
         match self.fate(rng) {
             Fate::Answered => self.effect(&call),
@@ -68,7 +68,7 @@
                 self.late.push(call);
                 lost
             }
-            Fate::Refused if lost == Event::WriteLost => Event::WriteFailed,
+            Fate::Refused if lost == Event::WriteUnknown => Event::WriteFailed,
             Fate::Refused => lost,
         }
     }
@@ -106,7 +106,7 @@
 
     fn write(&mut self, version: Option<u64>, bytes: &Bytes) -> Event {
         if self.head.as_ref().map(|head| head.version) != version {
-            return Event::Moved;
+            return Event::VersionMismatch;
         }
         let head = Head::read(bytes).expect("heads can be read");
         for part in head.parts.values() {
--- a/crates/core/tests/changer.rs
+++ b/crates/core/tests/changer.rs
@@ -87,7 +87,7 @@
     let mut slow = committer(2, "alter pool a slots 3");
     run(&mut platform, &mut slow, Event::Start, true);
     accept(&mut platform, 3, "alter pool b slots 4");
-    let end = outcome(run(&mut platform, &mut slow, Event::Moved, false));
+    let end = outcome(run(&mut platform, &mut slow, Event::VersionMismatch, false));
     expect_that!(
         end,
         matches_pattern!(Outcome::Accepted(field!(
@@ -104,7 +104,7 @@
     let mut slow = committer(2, "alter pool a slots 3");
     run(&mut platform, &mut slow, Event::Start, true);
     accept(&mut platform, 3, "alter pool a queue 4");
-    let end = outcome(run(&mut platform, &mut slow, Event::Moved, false));
+    let end = outcome(run(&mut platform, &mut slow, Event::VersionMismatch, false));
     let wanted = Conflict {
         change: ChangeId(2),
         with: Some(ChangeId(3)),
@@ -136,7 +136,7 @@
     let mut platform = platform();
     accept(&mut platform, 2, "create pool c kind service");
     accept(&mut platform, 3, "alter pool c slots 9");
-    let repeat = committer(2, "create pool c kind service").with_repeat();
+    let repeat = committer(2, "create pool c kind service").with_retry();
     expect_that!(
         finish(&mut platform, repeat),
         matches_pattern!(Outcome::Accepted(field!(
@@ -150,7 +150,7 @@
 #[gtest]
 fn a_refused_repeat_keeps_the_first_request_from_taking_effect() {
     let mut platform = platform();
-    let repeat = committer(2, "drop pool c").with_repeat();
+    let repeat = committer(2, "drop pool c").with_retry();
     expect_that!(
         finish(&mut platform, repeat),
         matches_pattern!(Outcome::Refused(_))
@@ -163,7 +163,7 @@
 #[gtest]
 fn a_repeat_without_effect_is_remembered_all_the_same() {
     let mut platform = platform();
-    let repeat = committer(2, "alter pool a slots 16").with_repeat();
+    let repeat = committer(2, "alter pool a slots 16").with_retry();
     expect_that!(
         finish(&mut platform, repeat),
         matches_pattern!(Outcome::Accepted(_))
@@ -185,7 +185,7 @@
     let mut platform = platform();
     let mut slow = committer(2, "alter pool a slots 3");
     let write = run(&mut platform, &mut slow, Event::Start, true);
-    let wait = run(&mut platform, &mut slow, Event::WriteLost, true);
+    let wait = run(&mut platform, &mut slow, Event::WriteUnknown, true);
     let Action::Wait(until) = wait[0] else {
         panic!("{wait:?}");
     };
@@ -204,7 +204,7 @@
     let mut platform = platform();
     let mut slow = committer(2, "alter pool a slots 3");
     run(&mut platform, &mut slow, Event::Start, true);
-    run(&mut platform, &mut slow, Event::WriteLost, true);
+    run(&mut platform, &mut slow, Event::WriteUnknown, true);
     for id in 3..200 {
         let text = format!("alter pool b slots {id}");
         let wall = NOW + Millis(RECORD_AGE.0 * id as u64);
--- a/crates/daemon/src/operators/change.rs
+++ b/crates/daemon/src/operators/change.rs
@@ -29,7 +29,7 @@
         committer = committer.with_base(base);
     }
     if request.repeat {
-        committer = committer.with_repeat();
+        committer = committer.with_retry();
     }
     let mut drive = Drive {
         platform: &context.platform,
@@ -84,7 +84,7 @@
     async fn read_head(&self) -> Event {
         match read_head(self.platform, self.timeout()).await {
             Ok(stored) => Event::Head(stored),
-            Err(error) => lost(&error, Event::HeadLost),
+            Err(error) => lost(&error, Event::HeadFailed),
         }
     }
 
@@ -95,7 +95,7 @@
                     .extend(bytes.clone().map(|bytes| (digest, bytes)));
                 Event::Part(digest, bytes)
             }
-            Err(error) => lost(&error, Event::PartLost),
+            Err(error) => lost(&error, Event::PartFailed),
         }
     }
 
@@ -107,18 +107,18 @@
         match created.await {
             // A part is named by its digest, so one that exists is the same.
             Ok(_) | Err(Error::Precondition { .. }) => Event::Created(digest),
-            Err(error) => lost(&error, Event::CreateLost),
+            Err(error) => lost(&error, Event::CreateUnknown),
         }
     }
 
     async fn write_head(&self, version: Option<u64>, bytes: Bytes) -> Event {
         match self.put_head(version, bytes).await {
             Ok(_) => Event::Written,
-            Err(Error::Precondition { .. }) => Event::Moved,
+            Err(Error::Precondition { .. }) => Event::VersionMismatch,
             Err(error @ (Error::NotDone { .. } | Error::TooLarge { .. })) => {
                 lost(&error, Event::WriteFailed)
             }
-            Err(error) => lost(&error, Event::WriteLost),
+            Err(error) => lost(&error, Event::WriteUnknown),
         }
     }
 
