--- a/crates/core/src/change/sync.rs
+++ b/crates/core/src/change/sync.rs
@@ -58,7 +58,7 @@
 /// What is known of a peer.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    near: bool,
+    local: bool,
     generation: Generation,
     retry: Millis,
 }
@@ -117,10 +117,10 @@
             Event::Timer => self.expire(now),
             Event::Announced {
                 peer,
-                near,
+                local,
                 generation,
-            } => self.announced(peer, near, generation, now),
-            Event::Gone(peer) => {
+            } => self.announced(peer, local, generation, now),
+            Event::PeerLost(peer) => {
                 self.peers.remove(&peer);
                 self.answered(Source::Peer(peer));
             }
@@ -131,11 +131,11 @@
                 self.watching = watching;
                 self.reread = begins.then_some(now);
             }
-            Event::Changed => self.reread = Some(now),
+            Event::HeadChanged => self.reread = Some(now),
             Event::Head { head, parts } => self.platform(head, parts, &mut actions),
-            Event::HeadLost => self.reread = Some(now + PAUSE),
+            Event::HeadFailed => self.reread = Some(now + PAUSE),
             Event::Part(digest, bytes) => self.part(digest, bytes, now, &mut actions),
-            Event::PartLost(digest) => {
+            Event::PartFailed(digest) => {
                 self.paused = now + PAUSE;
                 self.was_read(digest);
             }
@@ -145,16 +145,16 @@
         actions
     }
 
-    fn announced(&mut self, peer: Incarnation, near: bool, generation: Generation, now: Millis) {
+    fn announced(&mut self, peer: Incarnation, local: bool, generation: Generation, now: Millis) {
         let entry = self.peers.entry(peer).or_insert(Peer {
-            near,
+            local,
             generation,
             retry: Millis::ZERO,
         });
         if entry.generation != generation {
             entry.retry = Millis::ZERO;
         }
-        entry.near = near;
+        entry.local = local;
         entry.generation = generation;
         if generation > Generation(0) {
             self.joined.get_or_insert(now + JOIN_WINDOW);
--- a/crates/core/src/change/sync/event.rs
+++ b/crates/core/src/change/sync/event.rs
@@ -18,12 +18,12 @@
         /// The peer.
         peer: Incarnation,
         /// Whether it stands in the same data centre.
-        near: bool,
+        local: bool,
         /// The generation that it has; zero for none.
         generation: Generation,
     },
     /// A peer is gone.
-    Gone(Incarnation),
+    PeerLost(Incarnation),
     /// A peer answered.
     Answer {
         /// The peer.
@@ -36,7 +36,7 @@
     /// Whether this daemon reads the platform for its data centre.
     Watching(bool),
     /// The platform's head has changed.
-    Changed,
+    HeadChanged,
     /// The platform's head, or the one that this daemon has written.
     Head {
         /// Its bytes.
@@ -45,22 +45,22 @@
         parts: Vec<Bytes>,
     },
     /// The platform's head couldn't be read.
-    HeadLost,
+    HeadFailed,
     /// A part was read from the platform; `None` if there is none.
     Part(Digest, Option<Bytes>),
     /// A part couldn't be read from the platform.
-    PartLost(Digest),
+    PartFailed(Digest),
 }
 
 /// What to do.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
     /// Ask a peer.
-    Ask {
+    Request {
         /// The peer.
         peer: Incarnation,
         /// What to ask.
-        ask: PartRequest,
+        request: PartRequest,
     },
     /// Read the head from the platform.
     ReadHead,
--- a/crates/core/src/change/sync/fetch.rs
+++ b/crates/core/src/change/sync/fetch.rs
@@ -61,12 +61,12 @@
     fn choose(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let target = self.target();
         let newer = |peer: &Peer| peer.generation > target;
-        if let Some(peer) = self.pick(now, |peer| peer.near && newer(peer)) {
+        if let Some(peer) = self.pick(now, |peer| peer.local && newer(peer)) {
             return self.ask(peer, BTreeSet::new(), now, actions);
         }
         let missing = self.goal.as_ref().map(Goal::missing).unwrap_or_default();
         let has = |peer: &Peer| !missing.is_empty() && peer.generation == target;
-        if let Some(peer) = self.pick(now, |peer| peer.near && has(peer)) {
+        if let Some(peer) = self.pick(now, |peer| peer.local && has(peer)) {
             return self.ask(peer, missing, now, actions);
         }
         if self.watching && now >= self.paused && !missing.is_empty() {
@@ -101,10 +101,10 @@
     ) {
         let digests: BTreeSet<_> = digests.into_iter().take(MAX_ASKED).collect();
         let wanted = digests.iter().map(|d| Bytes::copy_from_slice(&d.0));
-        let ask = PartRequest {
+        let request = PartRequest {
             digests: wanted.collect(),
         };
-        actions.push(Action::Ask { peer, ask });
+        actions.push(Action::Request { peer, request });
         self.await_answer(Source::Peer(peer), digests, now);
     }
 
--- a/crates/core/tests/spread.rs
+++ b/crates/core/tests/spread.rs
@@ -83,20 +83,20 @@
     }
 }
 
-fn announced(peer: u64, near: bool, generation: u64) -> Event {
+fn announced(peer: u64, local: bool, generation: u64) -> Event {
     Event::Announced {
         peer: Incarnation(peer),
-        near,
+        local,
         generation: Generation(generation),
     }
 }
 
 fn asks(actions: &[Action]) -> Vec<(Incarnation, PartRequest)> {
-    let ask = |action: &Action| match action {
-        Action::Ask { peer, ask } => Some((*peer, ask.clone())),
+    let request = |action: &Action| match action {
+        Action::Request { peer, request } => Some((*peer, request.clone())),
         _ => None,
     };
-    actions.iter().filter_map(ask).collect()
+    actions.iter().filter_map(request).collect()
 }
 
 fn applied(actions: &[Action]) -> Option<Generation> {
@@ -151,7 +151,7 @@
     let actions = sync.handle(announced(1, true, 3), NOW);
     answer_all(&mut sync, &library, actions, 3);
     sync.handle(announced(2, true, 5), NOW);
-    sync.handle(Event::Gone(Incarnation(2)), NOW);
+    sync.handle(Event::PeerLost(Incarnation(2)), NOW);
     expect_that!(
         applied(&sync.handle(Event::Timer, NOW + JOIN_WINDOW)),
         some(eq(Generation(3)))
@@ -285,10 +285,10 @@
                     let pool = &config.pools[&"a".parse().unwrap()];
                     assert_eq!(u64::from(pool.slots), config.generation.0);
                 }
-                Action::Ask { peer, ask } => self.messages.push(Message {
+                Action::Request { peer, request } => self.messages.push(Message {
                     to: peer.0 as usize - 1,
                     from: to,
-                    body: Body::Ask(ask),
+                    body: Body::Ask(request),
                 }),
                 Action::Wait(until) => {
                     self.timers.insert((until, to));
@@ -344,11 +344,11 @@
     fn read(&mut self, read: &Action, lost: bool) -> Event {
         let lost = lost || self.down;
         match read {
-            Action::ReadPart(digest) if lost => Event::PartLost(*digest),
+            Action::ReadPart(digest) if lost => Event::PartFailed(*digest),
             Action::ReadPart(digest) => {
                 Event::Part(*digest, self.library.parts.get(digest).cloned())
             }
-            _ if lost => Event::HeadLost,
+            _ if lost => Event::HeadFailed,
             _ => Event::Head {
                 head: self.library.head(self.published),
                 parts: Vec::new(),
@@ -364,7 +364,7 @@
         }
         let event = Event::Announced {
             peer: Self::peer(from),
-            near: from % 2 == to % 2,
+            local: from % 2 == to % 2,
             generation: self.daemons[from].generation(),
         };
         let body = Body::Event(event);
@@ -392,7 +392,7 @@
         if self.rng.random_bool(0.02) && self.published < GENERATIONS as usize {
             self.published += 1;
             for index in (0..DAEMONS).filter(|index| Self::watches(*index)) {
-                self.handle(index, Event::Changed);
+                self.handle(index, Event::HeadChanged);
             }
         }
         if self.rng.random_bool(0.01) {
--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -109,12 +109,12 @@
                 answer,
             }),
             Message::Lost(peer) => self.drive(Event::Unanswered(peer.incarnation)),
-            Message::Changed => self.drive(Event::Changed),
+            Message::Changed => self.drive(Event::HeadChanged),
             Message::Head(read) => self.head(read),
             Message::Part(digest, Ok(bytes)) => self.drive(Event::Part(digest, bytes)),
             Message::Part(digest, Err(error)) => {
                 log::info!(target: "config", "config: no part from the platform: {error}");
-                self.drive(Event::PartLost(digest));
+                self.drive(Event::PartFailed(digest));
             }
             Message::Written(head, parts) => self.drive(Event::Head { head, parts }),
             Message::Held(reply) => {
@@ -138,7 +138,7 @@
             Ok(None) => {}
             Err(error) => {
                 log::info!(target: "config", "config: no head from the platform: {error}");
-                self.drive(Event::HeadLost);
+                self.drive(Event::HeadFailed);
             }
         }
     }
@@ -160,7 +160,7 @@
         };
         let event = Event::Announced {
             peer: known.incarnation,
-            near: known.data_centre == self.context.settings.data_centre,
+            local: known.data_centre == self.context.settings.data_centre,
             generation,
         };
         self.drive(event);
@@ -177,7 +177,7 @@
             .collect();
         let gone: BTreeSet<_> = self.known.keys().copied().collect();
         for peer in gone.into_iter().filter(|peer| !present.contains_key(peer)) {
-            self.drive(Event::Gone(peer));
+            self.drive(Event::PeerLost(peer));
         }
         self.known = present;
         for name in self.known.clone().values() {
@@ -215,7 +215,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Ask { peer, ask } => self.ask(peer, ask),
+            Action::Request { peer, request } => self.ask(peer, request),
             Action::ReadHead => self.read_head(),
             Action::ReadPart(digest) => {
                 let (platform, handle) = (self.context.platform.clone(), self.handle.clone());
