--- a/crates/client/src/check.rs
+++ b/crates/client/src/check.rs
@@ -5,7 +5,7 @@
 use medlarrill_core::change::apply;
 use medlarrill_core::config::Config;
 use medlarrill_core::operator::answer::{self, Finding};
-use medlarrill_core::operator::{Change, Sentence, parse};
+use medlarrill_core::operator::{Change, ParsedStatement, parse};
 
 use crate::exit::Exit;
 use crate::render::write_findings;
@@ -34,19 +34,19 @@
 }
 
 fn run(config: &Config, text: &str) -> std::result::Result<Config, Vec<Finding>> {
-    let sentences = parse(text).map_err(|errors| {
+    let statements = parse(text).map_err(|errors| {
         let results = answer::unreadable(text, &errors).into_iter();
         results
             .flat_map(|result| result.findings)
             .collect::<Vec<_>>()
     })?;
-    let applied = apply(config, &changes(&sentences));
+    let applied = apply(config, &changes(&statements));
     applied
         .map(|applied| applied.config)
-        .map_err(|faults| answer::locate(&sentences, &faults).concat())
+        .map_err(|faults| answer::locate(&statements, &faults).concat())
 }
 
-fn changes(sentences: &[Sentence]) -> Vec<Change> {
-    let changes = sentences.iter().filter_map(Sentence::change);
+fn changes(statements: &[ParsedStatement]) -> Vec<Change> {
+    let changes = statements.iter().filter_map(ParsedStatement::change);
     changes.cloned().collect()
 }
--- a/crates/core/src/operator.rs
+++ b/crates/core/src/operator.rs
@@ -15,7 +15,7 @@
 mod terms;
 mod token;
 
-pub use parse::{MAX_TEXT, Sentence, SyntaxError, SyntaxErrors, WordPlace, parse};
+pub use parse::{MAX_TEXT, ParsedStatement, SyntaxError, SyntaxErrors, WordPosition, parse};
 pub use quote::{Quoted, Text, TextError};
 pub use span::Span;
 pub use statement::{
--- a/crates/core/src/operator/answer.rs
+++ b/crates/core/src/operator/answer.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{FromInto, serde_as};
 
-use super::parse::{Sentence, SyntaxErrors};
+use super::parse::{ParsedStatement, SyntaxErrors};
 use super::span::Span;
 use crate::change::Faults;
 use crate::change::committer::Outcome;
@@ -205,7 +205,11 @@
 /// All changes of a text are made together or not at all, so they have one
 /// verdict; findings go to the sentences that they are about. What isn't a
 /// change is `Done`, and its table has yet to be added.
-pub fn results(text: &str, sentences: &[Sentence], outcome: &Outcome) -> Vec<StatementResult> {
+pub fn results(
+    text: &str,
+    sentences: &[ParsedStatement],
+    outcome: &Outcome,
+) -> Vec<StatementResult> {
     let verdict = verdict(outcome);
     let mut findings = match outcome {
         Outcome::Refused(faults) => locate(sentences, faults),
@@ -258,7 +262,7 @@
 ///
 /// The faults count the changes alone; a fault that no change is to blame for
 /// goes to the first change.
-pub fn locate(sentences: &[Sentence], faults: &Faults) -> Vec<Vec<Finding>> {
+pub fn locate(sentences: &[ParsedStatement], faults: &Faults) -> Vec<Vec<Finding>> {
     let mut findings = vec![Vec::new(); sentences.len()];
     let changes = sentences.iter().enumerate();
     let changes: Vec<_> = changes
@@ -274,7 +278,7 @@
     findings
 }
 
-fn place(index: usize, sentence: &Sentence, fault: &crate::change::Fault) -> Finding {
+fn place(index: usize, sentence: &ParsedStatement, fault: &crate::change::Fault) -> Finding {
     let cause = &fault.finding;
     let own = sentence.change().map(|c| c.item()) == Some(cause.item.clone());
     if fault.change.is_none() {
--- a/crates/core/src/operator/parse.rs
+++ b/crates/core/src/operator/parse.rs
@@ -19,7 +19,7 @@
 
 /// A statement with the places of its words.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Sentence {
+pub struct ParsedStatement {
     /// What it says.
     pub statement: Statement,
     /// Where it stands.
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// All statements that can't be read, each with the word in question.
-pub fn parse(text: &str) -> Result<Vec<Sentence>> {
+pub fn parse(text: &str) -> Result<Vec<ParsedStatement>> {
     if text.len() > MAX_TEXT {
         return Err(SyntaxError::too_long(text.len()).into());
     }
@@ -57,10 +57,10 @@
     Err(SyntaxErrors(errors))
 }
 
-fn sentence(text: &str, line: &Line) -> std::result::Result<Sentence, error::Syntax> {
+fn sentence(text: &str, line: &Line) -> std::result::Result<ParsedStatement, error::Syntax> {
     let statement = word::statement(&line.tokens)?;
     let words = line.tokens.iter().map(|token| Word::new(text, token));
-    Ok(Sentence {
+    Ok(ParsedStatement {
         statement,
         span: line.span(),
         words: words.collect(),
@@ -82,14 +82,14 @@
 
 /// One word of a sentence, counted from 1.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct WordPlace {
+pub struct WordPosition {
     /// Which word it is.
     pub number: usize,
     /// Where it stands.
     pub span: Span,
 }
 
-impl Sentence {
+impl ParsedStatement {
     /// The change it asks for, if it is one.
     pub fn change(&self) -> Option<&Change> {
         match &self.statement {
@@ -99,13 +99,13 @@
     }
 
     /// The value given for a field; else the name of the thing.
-    pub fn place(&self, field: Option<&str>) -> WordPlace {
+    pub fn place(&self, field: Option<&str>) -> WordPosition {
         // After the verb, words come in pairs of key and value.
         let keys = (1..self.words.len()).step_by(2);
         let named = |index: &usize| Some(self.words[*index].text.as_str()) == field;
         let key = keys.into_iter().find(named).unwrap_or(1);
         let index = (key + 1).min(self.words.len() - 1);
-        WordPlace {
+        WordPosition {
             number: index + 1,
             span: self.words[index].span,
         }
--- a/crates/core/tests/operator.rs
+++ b/crates/core/tests/operator.rs
@@ -1,7 +1,9 @@
 //! The operators' language: reading, writing, and errors with their place.
 
 use googletest::prelude::*;
-use medlarrill_core::operator::{Change, Show, Span, Statement, SyntaxError, parse};
+use medlarrill_core::operator::{
+    Change, ParsedStatement, Show, Span, Statement, SyntaxError, parse,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -252,7 +254,7 @@
         let shown: Vec<_> = first.iter().map(|s| s.statement.to_string()).collect();
         let second = parse(&shown.join("\n")).unwrap();
         prop_assert_eq!(first.len(), texts.len());
-        let statements = |sentences: Vec<medlarrill_core::operator::Sentence>| -> Vec<Statement> {
+        let statements = |sentences: Vec<ParsedStatement>| -> Vec<Statement> {
             sentences.into_iter().map(|s| s.statement).collect()
         };
         prop_assert_eq!(statements(first), statements(second));
--- a/crates/daemon/src/operators/run.rs
+++ b/crates/daemon/src/operators/run.rs
@@ -6,7 +6,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Generation;
 use medlarrill_core::operator::answer::{self, Answer, Finding, Request, StatementResult, Verdict};
-use medlarrill_core::operator::{Sentence, Statement, parse};
+use medlarrill_core::operator::{ParsedStatement, Statement, parse};
 use medlarrill_net::now::now;
 
 use super::change::make;
@@ -65,10 +65,10 @@
 async fn change(
     context: &Context,
     request: &Request,
-    sentences: &[Sentence],
+    sentences: &[ParsedStatement],
     deadline: Millis,
 ) -> Outcome {
-    let changes = sentences.iter().filter_map(Sentence::change);
+    let changes = sentences.iter().filter_map(ParsedStatement::change);
     let changes: Vec<_> = changes.cloned().collect();
     if changes.is_empty() {
         return Outcome::Unknown;
@@ -89,7 +89,7 @@
 async fn fill(
     context: &Arc<Context>,
     index: usize,
-    sentence: &Sentence,
+    sentence: &ParsedStatement,
     result: &mut StatementResult,
 ) {
     let message = match &sentence.statement {
