--- a/crates/core/src/change/sweep.rs
+++ b/crates/core/src/change/sweep.rs
@@ -34,7 +34,7 @@
     /// The head as it was read at any other time.
     Seen(Stored),
     /// A call failed.
-    Lost,
+    Failed,
 }
 
 /// A part as the platform lists it.
@@ -104,7 +104,7 @@
                 actions.extend(self.rest(now));
                 actions
             }
-            (Step::Listing | Step::Reading(_), Event::Lost) => self.rest(now),
+            (Step::Listing | Step::Reading(_), Event::Failed) => self.rest(now),
             (step, _) => {
                 self.step = step;
                 Vec::new()
--- a/crates/core/tests/change_race.rs
+++ b/crates/core/tests/change_race.rs
@@ -232,7 +232,7 @@
             1 => sweep::Event::Listed(self.platform.list()),
             2 => match self.platform.head.clone() {
                 Some(head) => sweep::Event::Head(head),
-                None => sweep::Event::Lost,
+                None => sweep::Event::Failed,
             },
             _ => return,
         };
--- a/crates/daemon/src/configuration/sweep.rs
+++ b/crates/daemon/src/configuration/sweep.rs
@@ -82,10 +82,10 @@
                 self.wake = until;
                 None
             }
-            Action::List => Some(self.list().await.map_or(Event::Lost, Event::Listed)),
+            Action::List => Some(self.list().await.map_or(Event::Failed, Event::Listed)),
             Action::ReadHead => match read_head(&self.platform, CALL_TIMEOUT).await {
                 Ok(Some(stored)) => Some(Event::Head(stored)),
-                Ok(None) | Err(_) => Some(Event::Lost),
+                Ok(None) | Err(_) => Some(Event::Failed),
             },
             Action::Delete(part) => {
                 self.delete(part).await;
