--- a/crates/client/src/check.rs
+++ b/crates/client/src/check.rs
@@ -35,7 +35,7 @@
 
 fn run(config: &Config, text: &str) -> std::result::Result<Config, Vec<Finding>> {
     let statements = parse(text).map_err(|errors| {
-        let results = answer::unreadable(text, &errors).into_iter();
+        let results = answer::syntax_results(text, &errors).into_iter();
         results
             .flat_map(|result| result.findings)
             .collect::<Vec<_>>()
--- a/crates/core/src/change/apply.rs
+++ b/crates/core/src/change/apply.rs
@@ -20,7 +20,7 @@
     /// The configuration; its generation is still the old one.
     pub config: Config,
     /// The parts that differ.
-    pub touched: BTreeSet<PartName>,
+    pub changed: BTreeSet<PartName>,
 }
 
 /// Something wrong with a change.
@@ -65,10 +65,10 @@
     if !faults.is_empty() {
         return Err(Faults(faults));
     }
-    let touched = differing(config, &after);
+    let changed = differing(config, &after);
     Ok(Applied {
         config: after,
-        touched,
+        changed,
     })
 }
 
--- a/crates/core/src/change/committer/plan.rs
+++ b/crates/core/src/change/committer/plan.rs
@@ -70,10 +70,10 @@
     let outcome = match config(&seen.head, parts) {
         Err(message) => return Next::Finish(Outcome::Unavailable(message)),
         Ok(config) => match apply(&config, &task.changes) {
-            Ok(applied) if applied.touched.is_empty() && !task.repeat => {
+            Ok(applied) if applied.changed.is_empty() && !task.repeat => {
                 return Next::Finish(Outcome::Accepted(Accepted::unchanged(&seen.head)));
             }
-            Ok(applied) => match clash(task, &seen.head, applied.touched.iter()) {
+            Ok(applied) => match clash(task, &seen.head, applied.changed.iter()) {
                 None => return accept(task, seen, &applied, wall),
                 Some(conflict) => Outcome::Conflict(conflict),
             },
@@ -111,7 +111,7 @@
     let generation = head.parts[&part].generation;
     Some(Conflict {
         change: task.change,
-        with: head.maker(generation),
+        with: head.change_of(generation),
         generation,
         part,
     })
@@ -149,7 +149,7 @@
     head.generation.0 += 1;
     let mut bodies = split(&applied.config);
     let mut parts = BTreeMap::new();
-    for name in &applied.touched {
+    for name in &applied.changed {
         let Some(body) = bodies.remove(name) else {
             head.parts.remove(name);
             continue;
--- a/crates/core/src/change/head.rs
+++ b/crates/core/src/change/head.rs
@@ -88,7 +88,7 @@
     }
 
     /// The change that made a generation, if it is remembered.
-    pub fn maker(&self, generation: Generation) -> Option<ChangeId> {
+    pub fn change_of(&self, generation: Generation) -> Option<ChangeId> {
         let made = |record: &&ChangeRecord| record.generation == generation;
         self.accepted().find(made).map(|record| record.change)
     }
--- a/crates/core/src/operator/answer.rs
+++ b/crates/core/src/operator/answer.rs
@@ -191,7 +191,7 @@
 }
 
 /// Results for a text of which some statements can't be read.
-pub fn unreadable(text: &str, errors: &SyntaxErrors) -> Vec<StatementResult> {
+pub fn syntax_results(text: &str, errors: &SyntaxErrors) -> Vec<StatementResult> {
     let result = |error: &super::SyntaxError| {
         let place = format!("statement {}, word {}", error.statement, error.word);
         let finding = Finding::new(place, &error.message).with_span(error.span);
--- a/crates/core/tests/change_apply.rs
+++ b/crates/core/tests/change_apply.rs
@@ -48,17 +48,17 @@
 
 #[gtest]
 fn touched_parts_are_those_that_differ() {
-    let touched = |text| -> Vec<String> {
+    let changed = |text| -> Vec<String> {
         let applied = run(text).unwrap();
-        applied.touched.iter().map(PartName::to_string).collect()
+        applied.changed.iter().map(PartName::to_string).collect()
     };
     expect_that!(
-        touched("drain endpoint e1"),
+        changed("drain endpoint e1"),
         elements_are![eq("endpoints/chat/dc1")]
     );
-    expect_that!(touched("drain endpoint e2"), is_empty());
+    expect_that!(changed("drain endpoint e2"), is_empty());
     expect_that!(
-        touched("alter endpoint e1 data-centre dc3; alter pool chat slots 8"),
+        changed("alter endpoint e1 data-centre dc3; alter pool chat slots 8"),
         elements_are![
             eq("pool/chat"),
             eq("endpoints/chat/dc1"),
@@ -66,7 +66,7 @@
         ]
     );
     expect_that!(
-        touched("drop account padkos.leaders"),
+        changed("drop account padkos.leaders"),
         elements_are![eq("institution/padkos")]
     );
 }
--- a/crates/core/tests/change_size.rs
+++ b/crates/core/tests/change_size.rs
@@ -92,7 +92,7 @@
         parts.len(),
         parts.iter().sum::<usize>()
     );
-    expect_that!(parts, len(eq(applied.touched.len())));
+    expect_that!(parts, len(eq(applied.changed.len())));
     expect_that!(largest, lt(MAX_PART / 8));
     expect_that!(head, lt(MAX_PART / 8));
 }
--- a/crates/daemon/src/operators/run.rs
+++ b/crates/daemon/src/operators/run.rs
@@ -34,7 +34,7 @@
         Ok(sentences) => sentences,
         Err(errors) => {
             return Answer {
-                results: answer::unreadable(&request.statements, &errors),
+                results: answer::syntax_results(&request.statements, &errors),
                 generation: generation(context),
                 ..Answer::default()
             };
