--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -172,8 +172,8 @@
             daemon: self.me.daemon.to_string(),
             lifetime: entry.start.lifetime.0,
             request: entry.start.request.to_bytes().to_vec().into(),
-            given_claimant: given_up.claimant.0,
-            given_ask: given_up.ask,
+            abandoned_claimant: given_up.claimant.0,
+            abandoned_ask: given_up.ask,
         }));
     }
 
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -80,8 +80,8 @@
     /// The claim that its claimant says will never be run, by the claimant's own word.
     const fn given_up(&self) -> ClaimId {
         ClaimId {
-            claimant: Incarnation(self.ask.given_claimant),
-            ask: self.ask.given_ask,
+            claimant: Incarnation(self.ask.abandoned_claimant),
+            ask: self.ask.abandoned_ask,
         }
     }
 
--- a/crates/core/src/wire/claim.rs
+++ b/crates/core/src/wire/claim.rs
@@ -30,10 +30,10 @@
     pub request: Bytes,
     /// Claimant of an earlier claim of this key that, by its claimant's own word, never runs; zero if there is none.
     #[prost(fixed64, tag = "8")]
-    pub given_claimant: u64,
+    pub abandoned_claimant: u64,
     /// That claimant's number for the earlier claim.
     #[prost(uint64, tag = "9")]
-    pub given_ask: u64,
+    pub abandoned_ask: u64,
 }
 
 /// Answers `ClaimRequest`.
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -205,8 +205,8 @@
         ..answer(&second, Verdict::Held)
     };
     let third = asked(&claimant.handle(ClaimantEvent::Answer(held), NOW));
-    expect_that!(third.given_ask, eq(first.ask));
-    expect_that!(third.given_claimant, eq(first.claimant));
+    expect_that!(third.abandoned_ask, eq(first.ask));
+    expect_that!(third.abandoned_claimant, eq(first.claimant));
     expect_that!(third.ask, gt(second.ask));
 }
 
@@ -280,7 +280,7 @@
     let mut claimant = claimant();
     let ask = inquire(&mut claimant);
     let again = asked(&claimant.handle(key_answer(&ask, KeyState::NotRun), NOW));
-    expect_that!((again.given_claimant, again.given_ask), eq((9, 5)));
+    expect_that!((again.abandoned_claimant, again.abandoned_ask), eq((9, 5)));
 }
 
 #[gtest]
@@ -313,7 +313,7 @@
         let actions = claimant.handle(event, NOW);
         match reason {
             Some(reason) => expect_that!(actions, eq(&refused(1, reason))),
-            None => expect_that!(asked(&actions).given_ask, eq(5)),
+            None => expect_that!(asked(&actions).abandoned_ask, eq(5)),
         }
     }
 }
--- a/crates/core/tests/claims/deletion.rs
+++ b/crates/core/tests/claims/deletion.rs
@@ -94,8 +94,8 @@
     grant(&mut bench, 0, 1, 16);
     // Key 1 stands in a kept checkpoint; the claim that replaces it is refused, and voided.
     let mut second = ask(1, 100);
-    second.given_claimant = 500;
-    second.given_ask = 1;
+    second.abandoned_claimant = 500;
+    second.abandoned_ask = 1;
     bench.faults.push_back(Fault::Pause);
     bench.ask(0, &second);
     bench.pass(Millis::from_secs(2));
--- a/crates/core/tests/claims/log.rs
+++ b/crates/core/tests/claims/log.rs
@@ -143,8 +143,8 @@
     bench.ask(0, &ask(7, 1));
     bench.pass(Millis(300));
     let mut second = ask(7, 2);
-    second.given_claimant = 500;
-    second.given_ask = 1;
+    second.abandoned_claimant = 500;
+    second.abandoned_ask = 1;
     bench.ask(0, &second);
     bench.pass(Millis(300));
     // The same word does not free the key a second time.
--- a/crates/core/tests/claims/oracle.rs
+++ b/crates/core/tests/claims/oracle.rs
@@ -59,8 +59,8 @@
         self.asked.insert(id, request);
         self.latest.insert(request, id);
         self.given_up.insert(ClaimId {
-            claimant: Incarnation(ask.given_claimant),
-            ask: ask.given_ask,
+            claimant: Incarnation(ask.abandoned_claimant),
+            ask: ask.abandoned_ask,
         });
     }
 
