--- a/crates/core/src/limits/accounts.rs
+++ b/crates/core/src/limits/accounts.rs
@@ -193,8 +193,8 @@
             local.watch = watch(&grant.watch, row);
             let until = now + local.longer(Millis(grant.expiry.into()));
             local.share.grant(concurrency, rate, tokens, until);
-            local.dry = now + Millis(cell(&grant.dry, row).into());
-            self.settle(account, grant.answers, now, actions);
+            local.dry = now + Millis(cell(&grant.exhausted, row).into());
+            self.settle(account, grant.acknowledged, now, actions);
         }
     }
 
@@ -314,12 +314,12 @@
         }
         Usage {
             number,
-            seen,
+            acknowledged: seen,
             accounts: accounts.iter().map(|account| account.0).collect(),
-            flights: column(rows.iter().map(|row| row.flights)),
+            in_flight: column(rows.iter().map(|row| row.flights)),
             rates: column(rows.iter().map(|row| row.rate)),
             shares: column(rows.iter().map(|row| row.share)),
-            needs: column(rows.iter().map(|row| row.need)),
+            waiting: column(rows.iter().map(|row| row.need)),
             samples: column(rows.iter().map(|row| row.samples)),
         }
     }
--- a/crates/core/src/limits/ledger.rs
+++ b/crates/core/src/limits/ledger.rs
@@ -137,10 +137,10 @@
                 .or_insert_with(|| Book::new(limits, learning, now));
             book.set_limits(limits, self.live, now);
             let report = Report {
-                seen: usage.seen,
+                seen: usage.acknowledged,
                 share: cell(&usage.shares, index),
-                flights: cell(&usage.flights, index),
-                need: cell(&usage.needs, index),
+                flights: cell(&usage.in_flight, index),
+                need: cell(&usage.waiting, index),
                 rate: cell(&usage.rates, index),
                 samples: cell(&usage.samples, index),
             };
@@ -166,13 +166,13 @@
         }
         let grant = Grant {
             number: peer.number,
-            answers: peer.answers,
+            acknowledged: peer.answers,
             expiry: u32::try_from(EXPIRY.0).unwrap_or(u32::MAX),
             accounts: rows.iter().map(|row| row.account.0).collect(),
             shares: column(rows.iter().map(|row| row.share)),
             rates: column(rows.iter().map(|row| row.rate)),
             tokens: column(rows.iter().map(|row| row.tokens)),
-            dry: column(rows.iter().map(|row| row.dry)),
+            exhausted: column(rows.iter().map(|row| row.dry)),
             watch: watched(rows),
         };
         LedgerAction { to, grant }
--- a/crates/core/src/wire/limit.rs
+++ b/crates/core/src/wire/limit.rs
@@ -14,13 +14,13 @@
     pub number: u64,
     /// Highest number of a grant that was taken in.
     #[prost(uint64, tag = "2")]
-    pub seen: u64,
+    pub acknowledged: u64,
     /// Hashes of the accounts.
     #[prost(fixed64, repeated, tag = "3")]
     pub accounts: Vec<u64>,
     /// Requests in flight.
     #[prost(uint32, repeated, tag = "4")]
-    pub flights: Vec<u32>,
+    pub in_flight: Vec<u32>,
     /// Requests offered, in hundredths a second.
     #[prost(uint32, repeated, tag = "5")]
     pub rates: Vec<u32>,
@@ -29,7 +29,7 @@
     pub shares: Vec<u32>,
     /// Requests held until the next grant.
     #[prost(uint32, repeated, tag = "7")]
-    pub needs: Vec<u32>,
+    pub waiting: Vec<u32>,
     /// Requests admitted without asking that the reported ones stand for.
     #[prost(uint32, repeated, tag = "8")]
     pub samples: Vec<u32>,
@@ -44,7 +44,7 @@
     pub number: u64,
     /// Highest number of a usage that was taken in.
     #[prost(uint64, tag = "2")]
-    pub answers: u64,
+    pub acknowledged: u64,
     /// How long it holds, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub expiry: u32,
@@ -62,7 +62,7 @@
     pub tokens: Vec<u32>,
     /// For how long there is no more to be had, in milliseconds.
     #[prost(uint32, repeated, tag = "8")]
-    pub dry: Vec<u32>,
+    pub exhausted: Vec<u32>,
     /// How closely each account is watched, as [`Watch`].
     #[prost(enumeration = "Watch", repeated, tag = "9")]
     pub watch: Vec<i32>,
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -197,12 +197,12 @@
     let [flights, share, need] = row;
     let usage = Usage {
         number,
-        seen,
+        acknowledged: seen,
         accounts: vec![42],
-        flights: vec![flights],
+        in_flight: vec![flights],
         rates: vec![100],
         shares: vec![share],
-        needs: vec![need],
+        waiting: vec![need],
         samples: Vec::new(),
     };
     let limits = Limits {
