--- a/crates/core/src/wire/request.rs
+++ b/crates/core/src/wire/request.rs
@@ -95,7 +95,7 @@
     pub idempotent: bool,
     /// Longest wait before it runs, in milliseconds.
     #[prost(uint64, tag = "13")]
-    pub patience: u64,
+    pub max_wait: u64,
     /// Bytes of answer that may be sent before the first `Credit`.
     #[prost(uint64, tag = "14")]
     pub credit: u64,
@@ -164,7 +164,7 @@
     pub sent: bool,
     /// When to come back, in milliseconds; zero if never.
     #[prost(uint64, tag = "4")]
-    pub after: u64,
+    pub retry_after: u64,
     /// The endpoint that was tried, if any.
     #[prost(string, tag = "5")]
     pub endpoint: String,
@@ -242,5 +242,5 @@
     pub attempt: Option<Attempt>,
     /// Whether the endpoint isn't told, as another try may have taken the stream up.
     #[prost(bool, tag = "2")]
-    pub leave: bool,
+    pub detach: bool,
 }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -272,7 +272,7 @@
             reason,
             outcome,
             own: None,
-            after: (refused.after > 0).then_some(Millis(refused.after)),
+            after: (refused.retry_after > 0).then_some(Millis(refused.retry_after)),
             endpoint: refused.endpoint.parse().ok(),
             lost: None,
         }
@@ -309,7 +309,7 @@
                     &daemon,
                     Body::Cancel(Cancel {
                         attempt,
-                        leave: false,
+                        detach: false,
                     }),
                 )
                 .await;
--- a/crates/daemon/src/entry/job.rs
+++ b/crates/daemon/src/entry/job.rs
@@ -108,7 +108,7 @@
             prompt: self.prompt.0,
             output: self.output.0,
             idempotent: self.idempotent,
-            patience: self.patience.0,
+            max_wait: self.patience.0,
             credit,
             method: self.method.clone(),
             path: self.path.clone(),
--- a/crates/daemon/src/entry/strays.rs
+++ b/crates/daemon/src/entry/strays.rs
@@ -52,7 +52,7 @@
             log::info!(target: "entry", "entry: {from} answers what nobody waits for");
             let cancel = Cancel {
                 attempt: Some(attempt),
-                leave: true,
+                detach: true,
             };
             let sent = context.peers.try_send(&from.daemon, Body::Cancel(cancel));
             if let Err(error) = sent.await {
--- a/crates/daemon/src/home/reply.rs
+++ b/crates/daemon/src/home/reply.rs
@@ -78,7 +78,7 @@
             attempt: Some(self.id.into()),
             reason: refusal.reason.code().into(),
             sent: refusal.sent,
-            after: refusal.after.0,
+            retry_after: refusal.after.0,
             endpoint: refusal
                 .endpoint
                 .map(|id| id.to_string())
--- a/crates/daemon/src/home/task.rs
+++ b/crates/daemon/src/home/task.rs
@@ -97,7 +97,7 @@
             }
             Message::Cancel(_, cancel) => {
                 let id = cancel.attempt.as_ref().and_then(|attempt| attempt.id());
-                let control = match cancel.leave {
+                let control = match cancel.detach {
                     true => Control::Drop,
                     false => Control::Cancel,
                 };
@@ -178,7 +178,7 @@
             account: forward.account.parse().unwrap_or_else(|_| unnamed()),
             prompt: Tokens(forward.prompt.saturating_sub(forward.cached)),
             output: Tokens(forward.output),
-            patience: Millis(forward.patience).since(waited),
+            patience: Millis(forward.max_wait).since(waited),
             movable: forward.hops < HOP_LIMIT && forward.tried.len() < MAX_TRIED,
             keep_local: false,
         }
--- a/crates/daemon/tests/streams.rs
+++ b/crates/daemon/tests/streams.rs
@@ -370,7 +370,7 @@
     let told = tokio::time::timeout(bench::GUARD.as_duration(), told);
     let told = told.await.unwrap();
     expect_that!(told.attempt.and_then(|attempt| attempt.id()), some(eq(id)));
-    expect_that!(told.leave, eq(true));
+    expect_that!(told.detach, eq(true));
     let stray = "medlarrill_stray_frames_total{kind=\"chunk\"}";
     expect_that!(metric(daemon.callers, stray).await, some(eq(1.0)));
 }
