--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -1,9 +1,9 @@
-//! Changes of the configuration: applied, checked, accepted, spread.
+//! Configuration changes: applied, validated, committed and distributed.
 //!
 //! The configuration is stored as immutable part objects and one head that
-//! names them by digest. A change is accepted when the head is written by
-//! conditional update, and at no other moment. Generations count accepted
-//! heads, so that a daemon needs only compare numbers to know what is newer.
+//! names them by digest. A change is accepted only by a conditional update of
+//! the head. Generations count accepted heads, so daemons find the newer
+//! configuration by comparing generation numbers.
 
 mod apply;
 pub mod committer;
--- a/crates/core/src/change/apply.rs
+++ b/crates/core/src/change/apply.rs
@@ -1,4 +1,4 @@
-//! Applies statements to a configuration, and checks the outcome whole.
+//! Applies statements to a configuration and validates the resulting configuration.
 
 mod edit;
 
@@ -13,39 +13,39 @@
 /// Result of applying changes.
 pub type Result<T> = std::result::Result<T, Faults>;
 
-/// A configuration after some changes.
+/// Result of applying changes to a configuration.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Applied {
-    /// The configuration; its generation is still the old one.
+    /// The new configuration; its generation is not incremented yet.
     pub config: Config,
-    /// The parts that differ.
+    /// Parts that differ from the previous configuration.
     pub changed: BTreeSet<PartName>,
 }
 
-/// Something wrong with a change.
+/// One reason why changes can't be applied.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display)]
 #[display("{finding}")]
 pub struct Fault {
-    /// Which of the changes is at fault, from 0, if one of them is.
+    /// Index of the change that caused it, from 0, if one did.
     pub change: Option<usize>,
     /// What is wrong.
     pub finding: Finding,
 }
 
-/// All that is wrong with some changes.
+/// All reasons why changes can't be applied.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 #[display("{}", _0.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct Faults(#[error(not(source))] pub Vec<Fault>);
 
-/// Applies all changes in their order, or none.
+/// Applies all changes in order, or none of them.
 ///
 /// # Errors
 ///
-/// Every change that can't be applied, and everything wrong with the
-/// configuration that would come of them.
+/// Every change that can't be applied, and every finding of the validation of
+/// the resulting configuration.
 pub fn apply(config: &Config, changes: &[Change]) -> Result<Applied> {
     let mut after = config.clone();
     let mut faults = Vec::new();
@@ -59,26 +59,26 @@
     }
     let findings = after.findings().into_iter();
     faults.extend(findings.map(|finding| Fault {
-        change: blame(&finding, changes),
+        change: responsible_change(&finding, changes),
         finding,
     }));
     if !faults.is_empty() {
         return Err(Faults(faults));
     }
-    let changed = differing(config, &after);
+    let changed = changed_parts(config, &after);
     Ok(Applied {
         config: after,
         changed,
     })
 }
 
-/// The last change of the thing itself, else of the thing it clashes with.
-fn blame(finding: &Finding, changes: &[Change]) -> Option<usize> {
+/// The last change of the finding's item, else of the item it conflicts with.
+fn responsible_change(finding: &Finding, changes: &[Change]) -> Option<usize> {
     let last = |item| changes.iter().rposition(|change| change.item() == item);
     last(finding.item.clone()).or_else(|| finding.other.clone().and_then(last))
 }
 
-fn differing(before: &Config, after: &Config) -> BTreeSet<PartName> {
+fn changed_parts(before: &Config, after: &Config) -> BTreeSet<PartName> {
     let (before, after) = (split(before), split(after));
     let names = before.keys().chain(after.keys());
     names
--- a/crates/core/src/change/apply/edit.rs
+++ b/crates/core/src/change/apply/edit.rs
@@ -1,4 +1,4 @@
-//! One change to one thing.
+//! Applies one change to one item of the configuration.
 
 use crate::config::{
     Account, AccountPath, Config, Endpoint, Finding, Institution, ItemId, Pool, Rule, RulePath,
@@ -11,7 +11,7 @@
 /// Result of one edit.
 type Result<T> = std::result::Result<T, Box<Finding>>;
 
-/// Applies one change.
+/// Applies one change in place.
 pub(super) fn edit(config: &mut Config, change: &Change) -> Result<()> {
     match change {
         Change::Create(item) => create(config, item),
@@ -82,7 +82,7 @@
         idempotent: needed(terms.idempotent, &item, "idempotent")?,
     };
     let owner = institution(config, &terms.path.institution, &item)?;
-    // Kept in order, so that equal rules make equal parts.
+    // Sorted, so that equal sets of rules serialise to equal parts.
     let key = |rule: &Rule| (rule.route.clone(), rule.model.clone());
     let index = owner.rules.partition_point(|r| key(r) < key(&rule));
     owner.rules.insert(index, rule);
--- a/crates/core/src/change/committer.rs
+++ b/crates/core/src/change/committer.rs
@@ -1,18 +1,19 @@
-//! One change on its way to being accepted.
+//! Commits one change to the configuration with optimistic concurrency control.
 //!
-//! The change is worked out on the head as it is, new parts are stored, and the
-//! head is written on condition that it hasn't changed. If it has, the change
-//! is worked out again on the new head, unless both concern the same part.
+//! The change is applied to the current head, new parts are stored, and the
+//! head is written on condition that its version is unchanged. If another change
+//! was accepted meanwhile, this one is applied again to the new head, unless both
+//! concern the same part, which is a conflict.
 //!
-//! A write of the head whose answer is lost may take effect at any later time.
-//! Until the head is seen at another version, the very same write is sent
-//! again; after that it can have no effect any more. So what the machine says
-//! at the end is true: that nothing was changed, only if nothing can be any
-//! more; otherwise that it is not known.
+//! A write of the head whose response is lost may still take effect later. The
+//! identical write is retried until the head is read at another version, after
+//! which it can't take effect any more. The outcome therefore says that nothing
+//! was changed only if nothing can be changed later either, and is unknown
+//! otherwise.
 //!
-//! A change that was asked for before may be under way at another daemon. It is
-//! refused only together with a record in the head that keeps the other from
-//! bringing it about.
+//! A retried change may be in progress at another daemon. It is refused only
+//! together with a record in the head that prevents the other daemon from
+//! committing it.
 
 mod event;
 mod plan;
@@ -23,7 +24,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use self::plan::{Next, Plan, Seen, Task};
+use self::plan::{HeadSnapshot, Next, Plan, Task};
 use super::digest::Digest;
 use super::head::Head;
 use crate::clock::Millis;
@@ -32,32 +33,32 @@
 
 pub use event::{Accepted, Action, Conflict, Event, Outcome, Stored};
 
-/// First pause after a failed call.
-const FIRST_PAUSE: Millis = Millis(50);
-/// Longest pause after failed calls.
-const LAST_PAUSE: Millis = Millis(2000);
+/// Pause after the first failed call; doubled with each further failure.
+const INITIAL_PAUSE: Millis = Millis(50);
+/// Upper bound of the pause after a failed call.
+const MAX_PAUSE: Millis = Millis(2000);
 
-/// A change being made.
+/// State machine that commits one change.
 #[derive(Clone, Debug)]
 pub struct Committer {
     task: Task,
     started: Millis,
     wall: Millis,
     deadline: Millis,
-    /// Whether the operator's base or the first head read has been taken.
-    based: bool,
+    /// Whether the base generation is set: by the operator, or from the first head read.
+    has_base: bool,
     step: Step,
-    seen: Option<Seen>,
+    snapshot: Option<HeadSnapshot>,
     parts: BTreeMap<Digest, Bytes>,
     created: BTreeSet<Digest>,
     plan: Option<Plan>,
-    /// Whether the plan was sent and may still take effect.
-    unsettled: bool,
+    /// Whether a head write with unknown result may still take effect.
+    write_pending: bool,
     failures: u32,
     rng: Pcg64Mcg,
 }
 
-/// What the machine waits for.
+/// What the committer waits for.
 #[derive(Clone, PartialEq, Eq, Debug)]
 enum Step {
     Start,
@@ -70,82 +71,82 @@
 }
 
 impl Committer {
-    /// A change that starts now, with the wall clock's time, and ends by the deadline.
+    /// A change that starts at `now`, wall-clock time `wall`, with the default deadline.
     pub fn new(change: ChangeId, changes: Vec<Change>, now: Millis, wall: Millis) -> Self {
         Self {
             task: Task {
                 change,
                 changes,
                 base: Generation(0),
-                repeat: false,
+                is_retry: false,
             },
             started: now,
             wall,
             deadline: now + crate::operator::answer::DEFAULT_TIMEOUT,
-            based: false,
+            has_base: false,
             step: Step::Start,
-            seen: None,
+            snapshot: None,
             parts: BTreeMap::new(),
             created: BTreeSet::new(),
             plan: None,
-            unsettled: false,
+            write_pending: false,
             failures: 0,
             rng: Pcg64Mcg::seed_from_u64(change.0 as u64),
         }
     }
 
-    /// Sets when it has to end.
+    /// Sets the deadline.
     pub const fn with_deadline(mut self, deadline: Millis) -> Self {
         self.deadline = deadline;
         self
     }
 
-    /// Sets the generation that the operator has seen.
+    /// Sets the generation that the operator based the change on.
     pub const fn with_base(mut self, base: Generation) -> Self {
         self.task.base = base;
-        self.based = true;
+        self.has_base = true;
         self
     }
 
-    /// Says that the change was asked for before.
+    /// Marks the change as requested before.
     pub const fn with_retry(mut self) -> Self {
-        self.task.repeat = true;
+        self.task.is_retry = true;
         self
     }
 
-    /// Gives parts that are held already.
+    /// Supplies parts that the daemon already has, so that they aren't read.
     pub fn with_parts(mut self, parts: impl IntoIterator<Item = Bytes>) -> Self {
         let parts = parts.into_iter();
         self.parts = parts.map(|bytes| (Digest::of(&bytes), bytes)).collect();
         self
     }
 
-    /// When it has to end; a `Timer` is due then.
+    /// The deadline; a `Timer` event is due then.
     pub const fn deadline(&self) -> Millis {
         self.deadline
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns what to do next.
     ///
-    /// At most one step is under way: an answer that comes after its call was
-    /// reported lost must be dropped.
+    /// At most one step is in progress: a response that arrives after its call
+    /// was reported as failed must be dropped.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         if self.step == Step::Done {
             return Vec::new();
         }
         if now >= self.deadline && !self.is_conclusive(&event) {
-            return self.give_up(&event);
+            return self.time_out(&event);
         }
         match event {
-            Event::Start => self.read(),
+            Event::Start => self.read_head(),
             Event::Timer => self.resume(now),
-            Event::Head(stored) => self.head(stored, now),
-            Event::Part(digest, bytes) => self.part(digest, bytes, now),
+            Event::Head(stored) => self.head_read(stored, now),
+            Event::Part(digest, bytes) => self.part_read(digest, bytes, now),
             Event::Created(digest) => self.part_created(digest),
-            Event::Written => self.written(),
-            Event::VersionMismatch => self.read(),
+            Event::Written => self.head_written(),
+            Event::VersionMismatch => self.read_head(),
             Event::WriteUnknown => {
-                self.unsettled = true;
+                self.write_pending = true;
                 self.pause(now)
             }
             Event::HeadFailed | Event::PartFailed | Event::CreateUnknown | Event::WriteFailed => {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Whether an event settles the change whatever the time.
+    /// Whether an event decides the outcome even after the deadline.
     fn is_conclusive(&self, event: &Event) -> bool {
         match event {
             Event::Written => true,
@@ -171,10 +172,10 @@
         vec![Action::Finish(outcome)]
     }
 
-    fn give_up(&mut self, event: &Event) -> Vec<Action> {
-        let surely_not = matches!(event, Event::VersionMismatch | Event::WriteFailed);
-        let sent = self.step == Step::Writing && !surely_not;
-        if sent || self.unsettled || self.task.repeat {
+    fn time_out(&mut self, event: &Event) -> Vec<Action> {
+        let not_applied = matches!(event, Event::VersionMismatch | Event::WriteFailed);
+        let in_flight = self.step == Step::Writing && !not_applied;
+        if in_flight || self.write_pending || self.task.is_retry {
             return self.finish(Outcome::Unknown);
         }
         let message = "the platform's object API didn't answer in time";
@@ -182,9 +183,9 @@
     }
 
     fn pause(&mut self, now: Millis) -> Vec<Action> {
-        let doubled = FIRST_PAUSE.0 << self.failures.min(10);
+        let doubled = INITIAL_PAUSE.0 << self.failures.min(10);
         self.failures += 1;
-        let longest = doubled.min(LAST_PAUSE.0);
+        let longest = doubled.min(MAX_PAUSE.0);
         let pause = self.rng.random_range(longest / 2..=longest);
         let until = (now + Millis(pause)).min(self.deadline);
         self.step = Step::Pausing(until);
@@ -194,17 +195,17 @@
     fn resume(&mut self, now: Millis) -> Vec<Action> {
         match self.step {
             Step::Pausing(until) if now < until => vec![Action::Wait(until)],
-            Step::Pausing(_) => self.read(),
+            Step::Pausing(_) => self.read_head(),
             _ => Vec::new(),
         }
     }
 
-    fn read(&mut self) -> Vec<Action> {
+    fn read_head(&mut self) -> Vec<Action> {
         self.step = Step::Reading;
         vec![Action::ReadHead]
     }
 
-    fn head(&mut self, stored: Option<Stored>, now: Millis) -> Vec<Action> {
+    fn head_read(&mut self, stored: Option<Stored>, now: Millis) -> Vec<Action> {
         if self.step != Step::Reading {
             return Vec::new();
         }
@@ -213,31 +214,31 @@
         let head = match bytes.as_ref().map(|bytes| Head::read(bytes)) {
             None => Head::default(),
             Some(Ok(head)) => head,
-            Some(Err(error)) => return self.fail(error.to_string()),
+            Some(Err(error)) => return self.finish_unavailable(error.to_string()),
         };
         if let Some(record) = head.record(self.task.change).copied() {
             let accepted = Accepted::read(record.generation, bytes.unwrap_or_default());
-            return self.recorded(record.void, accepted);
+            return self.finish_recorded(record.void, accepted);
         }
-        if self.unsettled && self.plan.as_ref().is_some_and(|p| p.version == version) {
-            return self.write();
+        if self.write_pending && self.plan.as_ref().is_some_and(|p| p.version == version) {
+            return self.write_head();
         }
-        let before = self.plan.as_ref().map_or(head.generation, |p| p.before);
-        if self.unsettled && !head.remembers_since(before) {
+        let previous = self.plan.as_ref().map_or(head.generation, |p| p.previous);
+        if self.write_pending && !head.has_records_since(previous) {
             return self.finish(Outcome::Unknown);
         }
-        // The head has moved on without the change: what was sent can't take effect.
-        self.unsettled = false;
-        if !self.based {
-            self.based = true;
+        // The head changed without this change, so an earlier write can't take effect any more.
+        self.write_pending = false;
+        if !self.has_base {
+            self.has_base = true;
             self.task.base = head.generation;
         }
-        self.seen = Some(Seen { version, head });
-        self.fetch(now)
+        self.snapshot = Some(HeadSnapshot { version, head });
+        self.fetch_parts(now)
     }
 
-    /// Ends with what the head says of the change.
-    fn recorded(&mut self, void: bool, accepted: Accepted) -> Vec<Action> {
+    /// Finishes with the outcome that the head records for the change.
+    fn finish_recorded(&mut self, void: bool, accepted: Accepted) -> Vec<Action> {
         if !void {
             return self.finish(Outcome::Accepted(accepted));
         }
@@ -247,23 +248,26 @@
         }
     }
 
-    /// Ends without a change, if that is certain.
-    fn fail(&mut self, message: String) -> Vec<Action> {
-        if self.unsettled || self.task.repeat {
+    /// Finishes as unavailable if the change can't take effect any more, else as unknown.
+    fn finish_unavailable(&mut self, message: String) -> Vec<Action> {
+        if self.write_pending || self.task.is_retry {
             return self.finish(Outcome::Unknown);
         }
         self.finish(Outcome::Unavailable(message))
     }
 
     fn missing(&self) -> BTreeSet<Digest> {
-        let head = self.seen.iter().flat_map(|seen| seen.head.parts.values());
+        let head = self
+            .snapshot
+            .iter()
+            .flat_map(|snapshot| snapshot.head.parts.values());
         let digests = head.map(|part| part.digest);
         digests
             .filter(|digest| !self.parts.contains_key(digest))
             .collect()
     }
 
-    fn fetch(&mut self, now: Millis) -> Vec<Action> {
+    fn fetch_parts(&mut self, now: Millis) -> Vec<Action> {
         let missing = self.missing();
         if missing.is_empty() {
             return self.plan(now);
@@ -272,14 +276,14 @@
         missing.into_iter().map(Action::ReadPart).collect()
     }
 
-    fn part(&mut self, digest: Digest, bytes: Option<Bytes>, now: Millis) -> Vec<Action> {
-        let whole = bytes.filter(|bytes| Digest::of(bytes) == digest);
-        let found = whole.map(|bytes| self.parts.insert(digest, bytes));
+    fn part_read(&mut self, digest: Digest, bytes: Option<Bytes>, now: Millis) -> Vec<Action> {
+        let intact = bytes.filter(|bytes| Digest::of(bytes) == digest);
+        let found = intact.map(|bytes| self.parts.insert(digest, bytes));
         if self.step != Step::Fetching {
             return Vec::new();
         }
         if found.is_none() {
-            // It was swept since the head was read, or is damaged.
+            // The part was swept since the head was read, or is damaged.
             return self.pause(now);
         }
         if self.missing().is_empty() {
@@ -289,28 +293,28 @@
     }
 
     fn plan(&mut self, now: Millis) -> Vec<Action> {
-        let Some(seen) = self.seen.as_ref() else {
-            return self.read();
+        let Some(snapshot) = self.snapshot.as_ref() else {
+            return self.read_head();
         };
         let wall = self.wall + now.since(self.started);
-        match plan::plan(&self.task, seen, &self.parts, wall) {
-            Next::Finish(Outcome::Unavailable(message)) => self.fail(message),
+        match plan::plan(&self.task, snapshot, &self.parts, wall) {
+            Next::Finish(Outcome::Unavailable(message)) => self.finish_unavailable(message),
             Next::Finish(outcome) => self.finish(outcome),
             Next::Write(plan) => {
                 self.plan = Some(plan);
-                self.create()
+                self.create_parts()
             }
         }
     }
 
-    fn create(&mut self) -> Vec<Action> {
+    fn create_parts(&mut self) -> Vec<Action> {
         let parts = self.plan.iter().flat_map(|plan| &plan.parts);
         let wanted = parts.filter(|(digest, _)| !self.created.contains(digest));
         let actions: Vec<_> = wanted
             .map(|(digest, bytes)| Action::CreatePart(*digest, bytes.clone()))
             .collect();
         if actions.is_empty() {
-            return self.write();
+            return self.write_head();
         }
         self.step = Step::Creating;
         actions
@@ -321,14 +325,14 @@
         let parts = self.plan.iter().flat_map(|plan| plan.parts.keys());
         let mut parts = parts.filter(|part| !self.created.contains(part));
         if self.step == Step::Creating && parts.next().is_none() {
-            return self.write();
+            return self.write_head();
         }
         Vec::new()
     }
 
-    fn write(&mut self) -> Vec<Action> {
+    fn write_head(&mut self) -> Vec<Action> {
         let Some(plan) = &self.plan else {
-            return self.read();
+            return self.read_head();
         };
         self.step = Step::Writing;
         vec![Action::WriteHead {
@@ -337,7 +341,7 @@
         }]
     }
 
-    fn written(&mut self) -> Vec<Action> {
+    fn head_written(&mut self) -> Vec<Action> {
         match self.plan.take() {
             Some(plan) => self.finish(plan.outcome),
             None => self.finish(Outcome::Unknown),
--- a/crates/core/src/change/committer/event.rs
+++ b/crates/core/src/change/committer/event.rs
@@ -1,4 +1,4 @@
-//! What a committer is told, and what it asks for.
+//! Events and actions of the committer, and the outcomes of a change.
 
 use bytes::Bytes;
 use derive_more::{Debug, Display};
@@ -10,23 +10,23 @@
 use crate::clock::Millis;
 use crate::ids::{ChangeId, Generation};
 
-/// An object as it was read.
+/// A stored object as read from the platform.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Stored {
-    /// Its version.
+    /// Version, for conditional writes.
     pub version: u64,
-    /// Its bytes.
+    /// Contents.
     pub bytes: Bytes,
 }
 
-/// What happened.
+/// Input of the committer.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Event {
-    /// Begin.
+    /// Starts the change.
     Start,
-    /// The time asked for, or the deadline, has come.
+    /// The time of the last `Wait`, or the deadline, has been reached.
     Timer,
     /// The head was read; `None` if there is none.
     Head(Option<Stored>),
@@ -36,21 +36,21 @@
     Part(Digest, Option<Bytes>),
     /// A part couldn't be read.
     PartFailed,
-    /// A part is stored, now or before.
+    /// A part is stored, by this call or an earlier one.
     Created(Digest),
     /// It isn't known whether a part is stored.
     CreateUnknown,
-    /// The head is written.
+    /// The head was written.
     Written,
-    /// The head has another version than the one to be replaced.
+    /// The head's version is not the one to be replaced.
     VersionMismatch,
-    /// The head's write may have taken effect, or may yet.
+    /// The head's write may have taken effect, or may do so later.
     WriteUnknown,
-    /// The head's write surely had no effect, such as with 429.
+    /// The head's write had no effect, such as after status 429.
     WriteFailed,
 }
 
-/// What to do.
+/// Call or timer that the committer requests.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Action {
@@ -58,9 +58,9 @@
     ReadHead,
     /// Read a part.
     ReadPart(Digest),
-    /// Store a part; that it exists is as good.
+    /// Store a part; if it exists already, that is a success too.
     CreatePart(Digest, Bytes),
-    /// Write the head on condition of its version; create it if `None`.
+    /// Write the head if its version still matches; create it if `None`.
     WriteHead {
         /// The version to be replaced.
         version: Option<u64>,
@@ -69,7 +69,7 @@
     },
     /// Send a `Timer` at this time.
     Wait(Millis),
-    /// The change has come to its end.
+    /// The change has ended with this outcome.
     Finish(Outcome),
 }
 
@@ -77,17 +77,17 @@
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Outcome {
-    /// It is in force and won't be lost.
+    /// It is in force, durably.
     Accepted(Accepted),
-    /// It is wrong; nothing was changed.
+    /// It is invalid; nothing was changed.
     Refused(Faults),
-    /// Another change came first; nothing was changed.
+    /// It conflicts with an earlier change; nothing was changed.
     Conflict(Conflict),
-    /// It was given up before; nothing was changed, nor will be.
+    /// An earlier request for it was withdrawn; nothing was changed, nor will be.
     Withdrawn,
-    /// It couldn't be made; nothing was changed.
+    /// It couldn't be committed, for this reason; nothing was changed.
     Unavailable(String),
-    /// It may be in force or come into force yet.
+    /// It may be in force, or may still come into force.
     Unknown,
 }
 
@@ -95,21 +95,21 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Accepted {
-    /// The first generation that has it.
+    /// The first generation that contains it.
     pub generation: Generation,
-    /// A head that has it, as stored; empty if it was in force before.
+    /// A head that contains it, as stored; empty if it changed nothing.
     pub head: Bytes,
-    /// Parts that are new with it, as stored.
+    /// Parts that it added, as stored.
     pub parts: Vec<Bytes>,
 }
 
 impl Accepted {
-    /// A change that was in force before.
+    /// A change that makes no difference to the configuration.
     pub(super) const fn unchanged(head: &Head) -> Self {
         Self::read(head.generation, Bytes::new())
     }
 
-    /// A change found in a head.
+    /// A change that is recorded in a head.
     pub(super) const fn read(generation: Generation, head: Bytes) -> Self {
         Self {
             generation,
@@ -124,11 +124,11 @@
 #[derive(Debug, Display)]
 #[display("change {change} conflicts with {} of generation {generation}: both concern part {part}", self.other())]
 pub struct Conflict {
-    /// The change that was not made.
+    /// The change that was not accepted.
     pub change: ChangeId,
-    /// The change that came first, if it is remembered.
+    /// The change that was accepted first, if it is still recorded.
     pub with: Option<ChangeId>,
-    /// The generation that the other made.
+    /// The generation of the other change.
     pub generation: Generation,
     /// The part that both concern.
     pub part: PartName,
--- a/crates/core/src/change/committer/plan.rs
+++ b/crates/core/src/change/committer/plan.rs
@@ -1,5 +1,5 @@
-//! What a change would write: new parts and a new head, worked out anew for
-//! each version of the head that it is tried on.
+//! Computes what a change writes: new parts and a new head. The plan is computed
+//! again for each version of the head that the change is applied to.
 
 use std::collections::BTreeMap;
 
@@ -17,77 +17,77 @@
 
 /// The head as it was read.
 #[derive(Clone, Debug)]
-pub(super) struct Seen {
-    /// Its version; absent if there is none yet.
+pub(super) struct HeadSnapshot {
+    /// Version; absent if there is no head yet.
     pub(super) version: Option<u64>,
-    /// What it says.
+    /// Contents.
     pub(super) head: Head,
 }
 
-/// A head to be written, and what it stands for.
+/// A head to be written, and the outcome of writing it.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     /// The version it replaces.
     pub(super) version: Option<u64>,
     /// The generation it replaces.
-    pub(super) before: Generation,
+    pub(super) previous: Generation,
     /// Parts that must be stored first.
     pub(super) parts: BTreeMap<Digest, Bytes>,
-    /// The head's bytes.
+    /// The new head, encoded.
     pub(super) bytes: Bytes,
-    /// What is true once it is written.
+    /// Outcome once the head is written.
     pub(super) outcome: Outcome,
 }
 
-/// What is to be changed, and what the operator had seen.
+/// The requested changes, and the generation they are based on.
 #[derive(Clone, Debug)]
 pub(super) struct Task {
-    /// Names the change.
+    /// Identifier of the change.
     pub(super) change: ChangeId,
-    /// What is to be done.
+    /// Changes to apply, in order.
     pub(super) changes: Vec<Change>,
-    /// What changed after this generation conflicts.
+    /// Parts changed after this generation conflict.
     pub(super) base: Generation,
-    /// Whether the change was asked for before, and so may be under way elsewhere.
-    pub(super) repeat: bool,
+    /// Whether the change was requested before and may be in progress at another daemon.
+    pub(super) is_retry: bool,
 }
 
-/// What to do about a change.
+/// Next step of the committer.
 pub(super) enum Next {
-    /// Nothing needs to be written.
+    /// Finish without a write.
     Finish(Outcome),
-    /// This is to be written.
+    /// Store the parts and write the head.
     Write(Plan),
 }
 
-/// Works out what a change means on one version of the head.
+/// Applies the changes to one version of the head.
 pub(super) fn plan(
     task: &Task,
-    seen: &Seen,
+    snapshot: &HeadSnapshot,
     parts: &BTreeMap<Digest, Bytes>,
     wall: Millis,
 ) -> Next {
-    let outcome = match config(&seen.head, parts) {
+    let outcome = match assemble(&snapshot.head, parts) {
         Err(message) => return Next::Finish(Outcome::Unavailable(message)),
         Ok(config) => match apply(&config, &task.changes) {
-            Ok(applied) if applied.changed.is_empty() && !task.repeat => {
-                return Next::Finish(Outcome::Accepted(Accepted::unchanged(&seen.head)));
+            Ok(applied) if applied.changed.is_empty() && !task.is_retry => {
+                return Next::Finish(Outcome::Accepted(Accepted::unchanged(&snapshot.head)));
             }
-            Ok(applied) => match clash(task, &seen.head, applied.changed.iter()) {
-                None => return accept(task, seen, &applied, wall),
+            Ok(applied) => match find_conflict(task, &snapshot.head, applied.changed.iter()) {
+                None => return accept(task, snapshot, &applied, wall),
                 Some(conflict) => Outcome::Conflict(conflict),
             },
-            Err(faults) => refusal(task, seen, &config, faults),
+            Err(faults) => refuse(task, snapshot, &config, faults),
         },
     };
-    if !task.repeat {
+    if !task.is_retry {
         return Next::Finish(outcome);
     }
-    withdraw(task, seen, outcome, wall)
+    withdraw(task, snapshot, outcome, wall)
 }
 
-/// Puts the parts that a head names together.
-fn config(head: &Head, parts: &BTreeMap<Digest, Bytes>) -> Result<Config, String> {
+/// Assembles the configuration from the parts that a head names.
+fn assemble(head: &Head, parts: &BTreeMap<Digest, Bytes>) -> Result<Config, String> {
     let mut bodies = BTreeMap::new();
     for (name, part) in &head.parts {
         let bytes = parts.get(&part.digest).cloned().unwrap_or_default();
@@ -97,8 +97,8 @@
     Ok(join(head.generation, bodies))
 }
 
-/// The first of some parts that another change has brought since the base.
-fn clash<'a>(
+/// The first of the named parts that another change modified since the base.
+fn find_conflict<'a>(
     task: &Task,
     head: &Head,
     mut names: impl Iterator<Item = &'a PartName>,
@@ -117,21 +117,21 @@
     })
 }
 
-/// A conflict if another change since the base is behind the faults, else a refusal.
-fn refusal(task: &Task, seen: &Seen, config: &Config, faults: Faults) -> Outcome {
+/// A conflict if another change since the base modified a part that the faults concern, else a refusal.
+fn refuse(task: &Task, snapshot: &HeadSnapshot, config: &Config, faults: Faults) -> Outcome {
     let items = faults.0.iter().map(|fault| &fault.finding);
     let items = items.flat_map(|finding| [Some(&finding.item), finding.other.as_ref()]);
     let names: Vec<_> = items
         .flatten()
-        .filter_map(|item| part_of(config, item))
+        .filter_map(|item| containing_part(config, item))
         .collect();
-    match clash(task, &seen.head, names.iter()) {
+    match find_conflict(task, &snapshot.head, names.iter()) {
         Some(conflict) => Outcome::Conflict(conflict),
         None => Outcome::Refused(faults),
     }
 }
 
-fn part_of(config: &Config, item: &ItemId) -> Option<PartName> {
+fn containing_part(config: &Config, item: &ItemId) -> Option<PartName> {
     Some(match item {
         ItemId::Institution(id) => PartName::Institution(id.clone()),
         ItemId::Account(path) => PartName::Institution(path.institution.clone()),
@@ -144,8 +144,8 @@
     })
 }
 
-fn accept(task: &Task, seen: &Seen, applied: &Applied, wall: Millis) -> Next {
-    let mut head = seen.head.clone();
+fn accept(task: &Task, snapshot: &HeadSnapshot, applied: &Applied, wall: Millis) -> Next {
+    let mut head = snapshot.head.clone();
     head.generation.0 += 1;
     let mut bodies = split(&applied.config);
     let mut parts = BTreeMap::new();
@@ -154,7 +154,7 @@
             head.parts.remove(name);
             continue;
         };
-        let base = seen.version.unwrap_or_default();
+        let base = snapshot.version.unwrap_or_default();
         let bytes = Bytes::from(Part { base, body }.to_bytes());
         if bytes.len() > MAX_PART {
             return Next::Finish(too_large(name));
@@ -165,26 +165,26 @@
             .insert(name.clone(), PartRef { digest, generation });
         parts.insert(digest, bytes);
     }
-    write(task, seen, head, parts, None, wall)
+    plan_write(task, snapshot, head, parts, None, wall)
 }
 
-/// Records that the change is given up, so that an earlier request for it can't
-/// bring it about any more.
-fn withdraw(task: &Task, seen: &Seen, outcome: Outcome, wall: Millis) -> Next {
-    let head = seen.head.clone();
-    write(task, seen, head, BTreeMap::new(), Some(outcome), wall)
+/// Records the change as withdrawn, so that an earlier request for it can't
+/// commit it any more.
+fn withdraw(task: &Task, snapshot: &HeadSnapshot, outcome: Outcome, wall: Millis) -> Next {
+    let head = snapshot.head.clone();
+    plan_write(task, snapshot, head, BTreeMap::new(), Some(outcome), wall)
 }
 
-fn write(
+fn plan_write(
     task: &Task,
-    seen: &Seen,
+    snapshot: &HeadSnapshot,
     mut head: Head,
     parts: BTreeMap<Digest, Bytes>,
     refusal: Option<Outcome>,
     wall: Millis,
 ) -> Next {
-    if !head.remember(task.change, wall, refusal.is_some()) {
-        let message = "too many changes were accepted lately; try again in some minutes";
+    if !head.add_record(task.change, wall, refusal.is_some()) {
+        let message = "too many changes were accepted recently; try again in some minutes";
         return Next::Finish(Outcome::Unavailable(message.into()));
     }
     let bytes = Bytes::from(head.to_bytes());
@@ -198,8 +198,8 @@
         parts: parts.values().cloned().collect(),
     };
     Next::Write(Plan {
-        version: seen.version,
-        before: seen.head.generation,
+        version: snapshot.version,
+        previous: snapshot.head.generation,
         outcome: refusal.unwrap_or_else(|| Outcome::Accepted(accepted())),
         parts,
         bytes,
--- a/crates/core/src/change/digest.rs
+++ b/crates/core/src/change/digest.rs
@@ -1,4 +1,4 @@
-//! Names of immutable objects: digests of their bytes.
+//! Content digests, which name immutable objects.
 
 use std::str::FromStr;
 
@@ -15,17 +15,17 @@
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// Digests an object's bytes.
+    /// Computes the digest of an object's bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// The part's key in the platform's object API.
+    /// Key of the part with this digest in the platform's object API.
     pub fn key(&self) -> String {
         format!("{PART_PREFIX}{self}")
     }
 
-    /// Reads a digest from a message; `None` unless 32 bytes are given.
+    /// Decodes a digest from a message; `None` unless there are exactly 32 bytes.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
--- a/crates/core/src/change/export.rs
+++ b/crates/core/src/change/export.rs
@@ -1,4 +1,4 @@
-//! A configuration as the statements that make it.
+//! Exports a configuration as the statements that create it.
 
 use crate::config::{Account, AccountPath, Config, Contract, Endpoint, Institution, Pool, Rule};
 use crate::ids::{EndpointId, InstitutionId, PoolId};
@@ -6,7 +6,7 @@
     AccountTerms, Change, EndpointTerms, InstitutionTerms, Item, PoolTerms, RuleTerms,
 };
 
-/// The changes that make this configuration out of an empty one.
+/// Changes that turn an empty configuration into this one.
 pub fn export(config: &Config) -> Vec<Change> {
     let mut items = Vec::new();
     for (id, pool) in &config.pools {
@@ -17,7 +17,7 @@
     }
     for (id, institution) in &config.institutions {
         items.push(contract_terms(id, &institution.contract).into());
-        items.extend(members(id, institution));
+        items.extend(institution_items(id, institution));
     }
     let drained = config.endpoints.iter().filter(|(_, e)| e.drained);
     let drains = drained.map(|(id, _)| Change::Drain(id.clone()));
@@ -28,7 +28,7 @@
         .collect()
 }
 
-fn members(id: &InstitutionId, institution: &Institution) -> Vec<Item> {
+fn institution_items(id: &InstitutionId, institution: &Institution) -> Vec<Item> {
     let accounts = institution.accounts.iter().map(|(account, terms)| {
         let path = AccountPath {
             institution: id.clone(),
--- a/crates/core/src/change/part.rs
+++ b/crates/core/src/change/part.rs
@@ -1,4 +1,4 @@
-//! Parts of a configuration, each one immutable object.
+//! Parts of a configuration, each stored as one immutable object.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -13,7 +13,7 @@
 /// Largest part, in bytes: the platform's limit for one object.
 pub const MAX_PART: usize = 1 << 20;
 
-/// A part's name in the head.
+/// Name of a part in the head.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display, SerializeDisplay, DeserializeFromStr)]
 pub enum PartName {
@@ -28,14 +28,14 @@
     Endpoints(PoolId, DataCentreId),
 }
 
-/// A text that names no part.
+/// A text that isn't a part's name.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 pub enum PartNameError {
-    /// No such kind of part.
+    /// Unknown kind of part.
     #[display("`{_0}` names no part")]
     Kind(#[error(not(source))] String),
-    /// A name that can't be used.
+    /// An invalid identifier.
     #[display("{_0}")]
     Name(IdError),
 }
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a part holds.
+/// Contents of a part.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -75,45 +75,45 @@
 /// A part as it is stored.
 ///
 /// The version of the head that it was written for makes its bytes, and so its
-/// digest, unlike those of every part that an earlier head may have named.
-/// So a part that a sweep has found unused is never taken up again.
+/// digest, differ from those of every part that an earlier head may have named.
+/// A part that a sweep has found unreferenced is therefore never referenced again.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
     /// Version of the head that it was written for; zero for the first.
     pub base: u64,
-    /// What it holds.
+    /// Contents.
     pub body: Body,
 }
 
-/// Parts that make up no configuration.
+/// A part that can't be decoded.
 #[derive(Debug, Display, Error)]
 pub enum PartError {
-    /// Bytes that can't be read.
+    /// Invalid JSON, or JSON that isn't a part.
     #[display("part {name} can't be read: {source}")]
     Json {
         /// The part's name in the head.
         name: PartName,
-        /// What is wrong.
+        /// The decoder's error.
         source: serde_json::Error,
     },
-    /// A part of another kind than its name says.
+    /// A part whose kind doesn't match its name.
     #[display("part {_0} is of another kind")]
     Kind(#[error(not(source))] PartName),
 }
 
 impl Part {
-    /// The bytes as stored.
+    /// Encodes the part as stored.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("maps with text keys can always be written")
     }
 
-    /// Reads the bytes as stored.
+    /// Decodes a stored part.
     ///
     /// # Errors
     ///
-    /// Bytes that are no part, or one of another kind.
+    /// Bytes that don't decode to a part, or a part of another kind.
     pub fn read(name: &PartName, bytes: &[u8]) -> Result<Self, PartError> {
         let json = |source| PartError::Json {
             name: name.clone(),
@@ -154,7 +154,7 @@
     parts
 }
 
-/// Puts parts together into a configuration.
+/// Assembles a configuration from its parts.
 pub fn join(generation: Generation, parts: BTreeMap<PartName, Body>) -> Config {
     let mut config = Config {
         generation,
@@ -169,7 +169,7 @@
                 config.pools.insert(id, body);
             }
             (_, Body::Endpoints(group)) => config.endpoints.extend(group),
-            // `Part::read` lets no part pass under another kind's name.
+            // `Part::read` rejects a part whose kind doesn't match its name.
             _ => {}
         }
     }
--- a/crates/core/src/change/sweep.rs
+++ b/crates/core/src/change/sweep.rs
@@ -1,11 +1,11 @@
-//! Deletes parts that no head names any more.
+//! Garbage collection of parts that the head doesn't reference any more.
 //!
-//! A part may only go if no change under way can still come to name it. A
-//! change writes its parts for one version of the head and names them only by
-//! replacing that version. So a part that was there before the head was read at
-//! one version, and that isn't named by the head at a later version, can never
-//! be named again. No clock is needed for this, only two readings of the head
-//! with a change between them.
+//! A part may be deleted only if no change in progress can still reference it. A
+//! change writes its parts for one version of the head and references them only
+//! by replacing that version. So a part that existed before the head was read at
+//! one version, and that the head at a later version doesn't reference, can never
+//! be referenced again. This needs no clock, only two reads of the head with a
+//! change between them.
 
 use std::collections::BTreeSet;
 
@@ -17,21 +17,21 @@
 use super::head::Head;
 use crate::clock::Millis;
 
-/// Between two sweeps, or after a failed call.
+/// Minimum pause between two sweeps or after a failed call; up to twice that with jitter.
 pub const SWEEP_INTERVAL: Millis = Millis::from_secs(600);
-/// Parts deleted in one sweep at most.
+/// Maximum number of parts deleted in one sweep.
 pub const MAX_DELETED: usize = 256;
 
-/// What happened.
+/// Input of the sweep.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Event {
-    /// Begin, or the time asked for has come.
+    /// Start, or the time of the last `Wait` has been reached.
     Timer,
     /// All stored parts.
     Listed(Vec<StoredPart>),
-    /// The head that `ReadHead` asked for.
+    /// The head that `ReadHead` requested.
     Head(Stored),
-    /// The head as it was read at any other time.
+    /// The head as read at any other time.
     Seen(Stored),
     /// A call failed.
     Failed,
@@ -46,20 +46,20 @@
     pub version: u64,
 }
 
-/// What to do.
+/// Call that the sweep requests.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Action {
     /// List all stored parts.
     List,
     /// Read the head.
     ReadHead,
-    /// Delete a part on condition of its version; a failure does no harm.
+    /// Delete a part if its version still matches; a failure is harmless.
     Delete(StoredPart),
     /// Send a `Timer` at this time.
     Wait(Millis),
 }
 
-/// A watcher's sweep.
+/// State machine of the sweep, run by a watcher.
 #[derive(Clone, Debug)]
 pub struct Sweep {
     step: Step,
@@ -72,12 +72,12 @@
     Listing,
     /// Parts were listed; the head is being read.
     Reading(Vec<StoredPart>),
-    /// Parts that the head of this version didn't name.
-    Settling(u64, Vec<StoredPart>),
+    /// Waits for a head newer than this version, with the parts that this version didn't reference.
+    AwaitingChange(u64, Vec<StoredPart>),
 }
 
 impl Sweep {
-    /// A sweep that begins after its first interval.
+    /// A sweep that starts after its first interval; the seed is for the jitter.
     pub fn new(seed: u64) -> Self {
         Self {
             step: Step::Idle(Millis::MAX),
@@ -85,26 +85,26 @@
         }
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns what to do.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         let step = std::mem::replace(&mut self.step, Step::Listing);
         match (step, event) {
-            (Step::Idle(Millis::MAX), Event::Timer) => self.rest(now),
+            (Step::Idle(Millis::MAX), Event::Timer) => self.schedule_next(now),
             (Step::Idle(until), Event::Timer) if now >= until => vec![Action::List],
             (Step::Listing, Event::Listed(parts)) => {
                 self.step = Step::Reading(parts);
                 vec![Action::ReadHead]
             }
-            // Only this reading is known to be later than the list.
-            (Step::Reading(parts), Event::Head(stored)) => self.settle(&stored, parts, now),
-            (Step::Settling(before, parts), Event::Head(stored) | Event::Seen(stored))
+            // Only this read of the head is known to be later than the list.
+            (Step::Reading(parts), Event::Head(stored)) => self.await_change(&stored, parts, now),
+            (Step::AwaitingChange(before, parts), Event::Head(stored) | Event::Seen(stored))
                 if stored.version > before =>
             {
                 let mut actions = delete(&stored, parts);
-                actions.extend(self.rest(now));
+                actions.extend(self.schedule_next(now));
                 actions
             }
-            (Step::Listing | Step::Reading(_), Event::Failed) => self.rest(now),
+            (Step::Listing | Step::Reading(_), Event::Failed) => self.schedule_next(now),
             (step, _) => {
                 self.step = step;
                 Vec::new()
@@ -112,34 +112,41 @@
         }
     }
 
-    fn rest(&mut self, now: Millis) -> Vec<Action> {
-        let spread = self.rng.random_range(0..SWEEP_INTERVAL.0);
-        let until = now + SWEEP_INTERVAL + Millis(spread);
+    fn schedule_next(&mut self, now: Millis) -> Vec<Action> {
+        let jitter = self.rng.random_range(0..SWEEP_INTERVAL.0);
+        let until = now + SWEEP_INTERVAL + Millis(jitter);
         self.step = Step::Idle(until);
         vec![Action::Wait(until)]
     }
 
-    fn settle(&mut self, stored: &Stored, parts: Vec<StoredPart>, now: Millis) -> Vec<Action> {
-        let parts = unnamed(stored, parts);
+    fn await_change(
+        &mut self,
+        stored: &Stored,
+        parts: Vec<StoredPart>,
+        now: Millis,
+    ) -> Vec<Action> {
+        let parts = unreferenced(stored, parts);
         if parts.is_empty() {
-            return self.rest(now);
+            return self.schedule_next(now);
         }
-        self.step = Step::Settling(stored.version, parts);
+        self.step = Step::AwaitingChange(stored.version, parts);
         Vec::new()
     }
 }
 
-/// Those of some parts that a head doesn't name; none if it can't be read.
-fn unnamed(stored: &Stored, parts: Vec<StoredPart>) -> Vec<StoredPart> {
+/// Those of the given parts that a head doesn't reference; none if it can't be decoded.
+fn unreferenced(stored: &Stored, parts: Vec<StoredPart>) -> Vec<StoredPart> {
     let Ok(head) = Head::read(&stored.bytes) else {
         return Vec::new();
     };
-    let named: BTreeSet<_> = head.parts.values().map(|part| part.digest).collect();
+    let referenced: BTreeSet<_> = head.parts.values().map(|part| part.digest).collect();
     let parts = parts.into_iter();
-    parts.filter(|part| !named.contains(&part.digest)).collect()
+    parts
+        .filter(|part| !referenced.contains(&part.digest))
+        .collect()
 }
 
 fn delete(stored: &Stored, parts: Vec<StoredPart>) -> Vec<Action> {
-    let parts = unnamed(stored, parts).into_iter().take(MAX_DELETED);
+    let parts = unreferenced(stored, parts).into_iter().take(MAX_DELETED);
     parts.map(Action::Delete).collect()
 }
--- a/crates/core/src/change/sync.rs
+++ b/crates/core/src/change/sync.rs
@@ -1,18 +1,18 @@
-//! How a daemon comes to the newest configuration.
+//! Synchronises a daemon's configuration with its peers and the platform.
 //!
-//! Peers say in their heartbeats which generation they have. A daemon that
-//! hears of a newer one asks for its head and for the parts that it lacks: a
-//! peer in the same data centre first, then, if it watches, the platform, then
-//! any peer. A generation is put in force only when it is whole and higher than
-//! every one before, so that a late or old head can't take anything back.
+//! Peers announce their generation in their heartbeats. A daemon that receives a
+//! newer one requests its head and the missing parts: from a peer in the same
+//! data centre first, then, if it is a watcher, from the platform, then from any
+//! peer. A generation is put in force only when it is complete and higher than
+//! every previous one, so that a late or old head can't revert a change.
 //!
-//! A daemon that has just started waits for a short time and takes the highest
-//! generation among the peers that it reaches, unless it has the head from the
-//! platform itself.
+//! A daemon that has just started waits for a short time and applies the highest
+//! generation among the peers that it can reach, unless it received the head from
+//! the platform itself.
 
+mod candidate;
 mod event;
 mod fetch;
-mod goal;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use self::goal::Goal;
+use self::candidate::Candidate;
 use super::digest::Digest;
 use super::head::Head;
 use crate::clock::Millis;
@@ -29,29 +29,29 @@
 
 pub use event::{Action, Event, Rejected};
 
-/// How long a starting daemon listens to its peers.
+/// How long a starting daemon collects its peers' generations before it applies one.
 pub const JOIN_WINDOW: Millis = Millis(2000);
-/// How long an answer may take.
+/// Timeout of a request to a peer or the platform.
 pub const REQUEST_TIMEOUT: Millis = Millis(1000);
-/// How long a peer or the platform isn't asked again after a failure.
-const PAUSE: Millis = Millis(1000);
+/// Pause after a failure before the same peer or the platform is requested again.
+const RETRY_PAUSE: Millis = Millis(1000);
 
-/// The configuration that a daemon has and the one it is after.
+/// State machine that keeps the configuration in force and fetches newer ones.
 #[derive(Clone, Debug)]
 pub struct ConfigSync {
     peers: BTreeMap<Incarnation, Peer>,
     watching: bool,
-    /// When the platform's head is to be read again after a failure.
-    reread: Option<Millis>,
-    /// Until when parts aren't read from the platform.
-    paused: Millis,
-    /// When a starting daemon has listened for long enough.
-    joined: Option<Millis>,
-    held: Option<Goal>,
-    goal: Option<Goal>,
-    /// The highest generation that can't be put together.
-    spoiled: Generation,
-    asked: Option<Asked>,
+    /// When the platform's head is due to be read.
+    head_due: Option<Millis>,
+    /// Earliest time to read parts from the platform again.
+    platform_retry: Millis,
+    /// End of the join window; set by the first peer that has a configuration.
+    join_end: Option<Millis>,
+    current: Option<Candidate>,
+    candidate: Option<Candidate>,
+    /// The highest generation that couldn't be assembled.
+    invalid: Generation,
+    pending: Option<PendingRequest>,
     rng: Pcg64Mcg,
 }
 
@@ -63,9 +63,9 @@
     retry: Millis,
 }
 
-/// Who was asked last, for what, and until when to wait.
+/// The request in progress, and when it times out.
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRequest {
     source: Source,
     digests: BTreeSet<Digest>,
     until: Millis,
@@ -78,39 +78,41 @@
 }
 
 impl ConfigSync {
-    /// A daemon without a configuration; the seed is for its choice among peers.
+    /// A daemon without a configuration; the seed is for the random choice among peers.
     pub fn new(seed: u64) -> Self {
         Self {
             peers: BTreeMap::new(),
             watching: false,
-            reread: None,
-            paused: Millis::ZERO,
-            joined: None,
-            held: None,
-            goal: None,
-            spoiled: Generation(0),
-            asked: None,
+            head_due: None,
+            platform_retry: Millis::ZERO,
+            join_end: None,
+            current: None,
+            candidate: None,
+            invalid: Generation(0),
+            pending: None,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
     /// The generation in force; zero for none.
     pub fn generation(&self) -> Generation {
-        let held = self.held.as_ref().map(|held| held.head.generation);
-        held.unwrap_or_default()
+        let current = self.current.as_ref().map(|current| current.head.generation);
+        current.unwrap_or_default()
     }
 
     /// Whether a configuration is in force.
     pub const fn is_ready(&self) -> bool {
-        self.held.is_some()
+        self.current.is_some()
     }
 
     /// Parts of the configuration in force, as stored.
     pub fn parts(&self) -> impl Iterator<Item = &Bytes> {
-        self.held.iter().flat_map(|held| held.parts.values())
+        self.current
+            .iter()
+            .flat_map(|current| current.parts.values())
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns what to do.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -122,26 +124,26 @@
             } => self.announced(peer, local, generation, now),
             Event::PeerLost(peer) => {
                 self.peers.remove(&peer);
-                self.answered(Source::Peer(peer));
+                self.clear_pending(Source::Peer(peer));
             }
-            Event::Answer { peer, answer } => self.answer(peer, answer, now, &mut actions),
-            Event::Unanswered(peer) => self.failed(peer, now),
+            Event::Answer { peer, answer } => self.peer_answer(peer, answer, now, &mut actions),
+            Event::Unanswered(peer) => self.peer_failed(peer, now),
             Event::Watching(watching) => {
-                let begins = watching && !self.watching;
+                let started = watching && !self.watching;
                 self.watching = watching;
-                self.reread = begins.then_some(now);
+                self.head_due = started.then_some(now);
             }
-            Event::HeadChanged => self.reread = Some(now),
-            Event::Head { head, parts } => self.platform(head, parts, &mut actions),
-            Event::HeadFailed => self.reread = Some(now + PAUSE),
-            Event::Part(digest, bytes) => self.part(digest, bytes, now, &mut actions),
+            Event::HeadChanged => self.head_due = Some(now),
+            Event::Head { head, parts } => self.platform_head(head, parts, &mut actions),
+            Event::HeadFailed => self.head_due = Some(now + RETRY_PAUSE),
+            Event::Part(digest, bytes) => self.part_read(digest, bytes, now, &mut actions),
             Event::PartFailed(digest) => {
-                self.paused = now + PAUSE;
-                self.was_read(digest);
+                self.platform_retry = now + RETRY_PAUSE;
+                self.part_done(digest);
             }
         }
-        self.apply(now, &mut actions);
-        self.proceed(now, &mut actions);
+        self.try_apply(now, &mut actions);
+        self.request_next(now, &mut actions);
         actions
     }
 
@@ -157,76 +159,78 @@
         entry.local = local;
         entry.generation = generation;
         if generation > Generation(0) {
-            self.joined.get_or_insert(now + JOIN_WINDOW);
+            self.join_end.get_or_insert(now + JOIN_WINDOW);
         }
     }
 
     fn expire(&mut self, now: Millis) {
-        let late = self.asked.as_ref().filter(|asked| now >= asked.until);
-        match late.map(|asked| asked.source) {
-            Some(Source::Peer(peer)) => self.failed(peer, now),
-            Some(Source::Platform) => self.asked = None,
+        let overdue = self.pending.as_ref().filter(|pending| now >= pending.until);
+        match overdue.map(|pending| pending.source) {
+            Some(Source::Peer(peer)) => self.peer_failed(peer, now),
+            Some(Source::Platform) => self.pending = None,
             None => {}
         }
     }
 
-    fn failed(&mut self, peer: Incarnation, now: Millis) {
+    fn peer_failed(&mut self, peer: Incarnation, now: Millis) {
         if let Some(peer) = self.peers.get_mut(&peer) {
-            peer.retry = now + PAUSE;
+            peer.retry = now + RETRY_PAUSE;
         }
-        self.answered(Source::Peer(peer));
+        self.clear_pending(Source::Peer(peer));
     }
 
-    fn answered(&mut self, source: Source) {
-        self.asked.take_if(|asked| asked.source == source);
+    fn clear_pending(&mut self, source: Source) {
+        self.pending.take_if(|pending| pending.source == source);
     }
 
-    fn was_read(&mut self, digest: Digest) {
-        if let Some(asked) = &mut self.asked {
-            asked.digests.remove(&digest);
-            self.asked
-                .take_if(|asked| asked.source == Source::Platform && asked.digests.is_empty());
+    fn part_done(&mut self, digest: Digest) {
+        if let Some(pending) = &mut self.pending {
+            pending.digests.remove(&digest);
+            self.pending.take_if(|pending| {
+                pending.source == Source::Platform && pending.digests.is_empty()
+            });
         }
     }
 
-    fn answer(
+    fn peer_answer(
         &mut self,
         peer: Incarnation,
         answer: PartAnswer,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        self.answered(Source::Peer(peer));
+        self.clear_pending(Source::Peer(peer));
         let before = self.progress();
         if !answer.head.is_empty() {
-            self.consider(answer.head, actions);
+            self.consider_head(answer.head, actions);
         }
-        self.take(answer.parts, actions);
+        self.add_parts(answer.parts, actions);
         if before == self.progress() {
-            self.failed(peer, now);
+            self.peer_failed(peer, now);
         }
     }
 
-    /// The generation aimed at, and how many of its parts are here.
+    /// The candidate's generation, else the one in force, and how many of its parts are present.
     fn progress(&self) -> (Generation, usize) {
-        let goal = self.goal.as_ref().or(self.held.as_ref());
-        goal.map(|goal| (goal.head.generation, goal.parts.len()))
+        let candidate = self.candidate.as_ref().or(self.current.as_ref());
+        candidate
+            .map(|candidate| (candidate.head.generation, candidate.parts.len()))
             .unwrap_or_default()
     }
 
-    fn platform(&mut self, head: Bytes, parts: Vec<Bytes>, actions: &mut Vec<Action>) {
-        let Some(generation) = self.consider(head, actions) else {
+    fn platform_head(&mut self, head: Bytes, parts: Vec<Bytes>, actions: &mut Vec<Action>) {
+        let Some(generation) = self.consider_head(head, actions) else {
             return;
         };
-        if let Some(goal) = &mut self.goal {
-            goal.certain |= goal.head.generation == generation;
-            // What comes with a head may be of an older one than the goal.
-            goal.parts.extend(goal.wanted(parts));
+        if let Some(candidate) = &mut self.candidate {
+            candidate.authoritative |= candidate.head.generation == generation;
+            // The parts may belong to an older head than the candidate's.
+            candidate.parts.extend(candidate.select_missing(parts));
         }
     }
 
-    /// Aims at a head if it is newer than what is in force and aimed at.
-    fn consider(&mut self, bytes: Bytes, actions: &mut Vec<Action>) -> Option<Generation> {
+    /// Makes a head the candidate if it is newer than the one in force and the current candidate.
+    fn consider_head(&mut self, bytes: Bytes, actions: &mut Vec<Action>) -> Option<Generation> {
         let head = match Head::read(&bytes) {
             Ok(head) => head,
             Err(error) => {
@@ -235,83 +239,91 @@
             }
         };
         let generation = head.generation;
-        if generation > self.target() {
-            let mut parts = self.goal.take().map(|goal| goal.parts).unwrap_or_default();
-            if let Some(held) = &self.held {
-                parts.extend(held.parts.clone());
+        if generation > self.highest_known() {
+            let mut parts = self
+                .candidate
+                .take()
+                .map(|candidate| candidate.parts)
+                .unwrap_or_default();
+            if let Some(current) = &self.current {
+                parts.extend(current.parts.clone());
             }
-            self.goal = Some(Goal::new(head, bytes, &parts));
+            self.candidate = Some(Candidate::new(head, bytes, &parts));
         }
         Some(generation)
     }
 
-    /// The generation in force, aimed at or given up: only a higher one is of use.
-    fn target(&self) -> Generation {
-        let goal = self.goal.as_ref().map(|goal| goal.head.generation);
-        let goal = goal.unwrap_or_default();
-        goal.max(self.generation()).max(self.spoiled)
+    /// Highest of the generations in force, being fetched or invalid; only a higher one is useful.
+    fn highest_known(&self) -> Generation {
+        let candidate = self
+            .candidate
+            .as_ref()
+            .map(|candidate| candidate.head.generation);
+        let candidate = candidate.unwrap_or_default();
+        candidate.max(self.generation()).max(self.invalid)
     }
 
-    fn part(
+    fn part_read(
         &mut self,
         digest: Digest,
         bytes: Option<Bytes>,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        self.was_read(digest);
+        self.part_done(digest);
         if let Some(bytes) = bytes {
-            return self.take(vec![bytes], actions);
+            return self.add_parts(vec![bytes], actions);
         }
-        let wanted = |goal: &mut Goal| goal.missing().contains(&digest);
-        if self.goal.take_if(wanted).is_some() {
-            // It was swept, so there is a newer head.
-            self.asked = None;
-            self.reread = Some(now);
+        let wanted = |candidate: &mut Candidate| candidate.missing().contains(&digest);
+        if self.candidate.take_if(wanted).is_some() {
+            // The part was swept, so there is a newer head.
+            self.pending = None;
+            self.head_due = Some(now);
         }
     }
 
-    fn take(&mut self, parts: Vec<Bytes>, actions: &mut Vec<Action>) {
+    fn add_parts(&mut self, parts: Vec<Bytes>, actions: &mut Vec<Action>) {
         for bytes in parts {
             let digest = Digest::of(&bytes);
-            let missing = |goal: &&mut Goal| goal.missing().contains(&digest);
-            match self.goal.as_mut().filter(missing) {
-                Some(goal) => {
-                    goal.parts.insert(digest, bytes);
+            let missing = |candidate: &&mut Candidate| candidate.missing().contains(&digest);
+            match self.candidate.as_mut().filter(missing) {
+                Some(candidate) => {
+                    candidate.parts.insert(digest, bytes);
                 }
                 None => actions.push(Action::Reject(Rejected::Digest(digest))),
             }
         }
     }
 
-    /// Puts the goal in force if it is whole and may be.
-    fn apply(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let whole = |goal: &&Goal| goal.missing().is_empty();
-        let Some(goal) = self.goal.as_ref().filter(whole) else {
+    /// Puts the candidate in force if it is complete and permitted.
+    fn try_apply(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let complete = |candidate: &&Candidate| candidate.missing().is_empty();
+        let Some(candidate) = self.candidate.as_ref().filter(complete) else {
             return;
         };
-        if !goal.certain && !self.has_listened(goal.head.generation, now) {
+        if !candidate.authoritative && !self.may_apply(candidate.head.generation, now) {
             return;
         }
-        match goal.config() {
+        match candidate.assemble() {
             Ok(config) => {
-                self.held = self.goal.take();
+                self.current = self.candidate.take();
                 actions.push(Action::Apply(Box::new(config)));
             }
             Err(error) => {
-                let generation = goal.head.generation;
+                let generation = candidate.head.generation;
                 let rejected = Rejected::Whole(generation, error.to_string());
                 actions.push(Action::Reject(rejected));
-                self.spoiled = generation;
-                self.goal = None;
+                self.invalid = generation;
+                self.candidate = None;
             }
         }
     }
 
-    /// Whether a starting daemon may take a generation: no peer that it reaches has a higher one.
-    fn has_listened(&self, generation: Generation, now: Millis) -> bool {
+    /// Whether a generation may be put in force: a starting daemon waits for the join window,
+    /// and for reachable peers that have a higher one.
+    fn may_apply(&self, generation: Generation, now: Millis) -> bool {
         let higher = |peer: &Peer| peer.generation > generation && now >= peer.retry;
-        let over = self.joined.is_some_and(|joined| now >= joined);
-        self.held.is_some() || over && !self.peers.values().any(higher)
+        let waited = self.join_end.is_some_and(|join_end| now >= join_end);
+        self.current.is_some() || waited && !self.peers.values().any(higher)
     }
 }
--- a/crates/core/src/change/sync/goal.rs
+++ b/crates/core/src/change/sync/candidate.rs
@@ -9,40 +9,40 @@
 use crate::change::part::{Part, PartError, join};
 use crate::config::Config;
 
-/// A head with the parts of it that are here.
+/// A head with those of its parts that have been fetched.
 #[derive(Clone, Debug)]
-pub(super) struct Goal {
+pub(super) struct Candidate {
     /// The head.
     pub(super) head: Head,
-    /// The head as stored.
+    /// The head, encoded as stored.
     pub(super) bytes: Bytes,
-    /// Parts as stored.
+    /// Parts, encoded as stored.
     pub(super) parts: BTreeMap<Digest, Bytes>,
-    /// Whether it came from the platform itself.
-    pub(super) certain: bool,
+    /// Whether the head came from the platform itself.
+    pub(super) authoritative: bool,
 }
 
-impl Goal {
-    /// Begins with those of some parts that the head names.
+impl Candidate {
+    /// Creates a candidate, with those of the given parts that the head names.
     pub(super) fn new(head: Head, bytes: Bytes, parts: &BTreeMap<Digest, Bytes>) -> Self {
         let digests = head.parts.values().map(|part| part.digest);
-        let held = digests.filter_map(|d| parts.get_key_value(&d));
+        let found = digests.filter_map(|d| parts.get_key_value(&d));
         Self {
-            parts: held.map(|(d, bytes)| (*d, bytes.clone())).collect(),
+            parts: found.map(|(d, bytes)| (*d, bytes.clone())).collect(),
             head,
             bytes,
-            certain: false,
+            authoritative: false,
         }
     }
 
-    /// Parts that are named and not here.
+    /// Digests of parts that are not fetched yet.
     pub(super) fn missing(&self) -> BTreeSet<Digest> {
         let digests = self.head.parts.values().map(|part| part.digest);
         digests.filter(|d| !self.parts.contains_key(d)).collect()
     }
 
-    /// Those of some parts that are missing.
-    pub(super) fn wanted(&self, parts: Vec<Bytes>) -> BTreeMap<Digest, Bytes> {
+    /// Those of the given parts that are missing.
+    pub(super) fn select_missing(&self, parts: Vec<Bytes>) -> BTreeMap<Digest, Bytes> {
         let missing = self.missing();
         let named = parts.into_iter().map(|bytes| (Digest::of(&bytes), bytes));
         named
@@ -50,8 +50,8 @@
             .collect()
     }
 
-    /// Puts the parts together.
-    pub(super) fn config(&self) -> Result<Config, PartError> {
+    /// Assembles the configuration from the parts.
+    pub(super) fn assemble(&self) -> Result<Config, PartError> {
         let mut bodies = BTreeMap::new();
         for (name, part) in &self.head.parts {
             let bytes = self.parts.get(&part.digest).cloned().unwrap_or_default();
--- a/crates/core/src/change/sync/event.rs
+++ b/crates/core/src/change/sync/event.rs
@@ -1,4 +1,4 @@
-//! What the spread is told, and what it asks for.
+//! Events and actions of the configuration's synchronisation.
 
 use bytes::Bytes;
 
@@ -8,38 +8,38 @@
 use crate::ids::{Generation, Incarnation};
 use crate::wire::{PartAnswer, PartRequest};
 
-/// What happened.
+/// Input of `ConfigSync`.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Event {
-    /// The time asked for has come.
+    /// The time of the last `Wait` has been reached.
     Timer,
-    /// A peer said which generation it has.
+    /// A peer announced its generation.
     Announced {
         /// The peer.
         peer: Incarnation,
-        /// Whether it stands in the same data centre.
+        /// Whether it is in the same data centre.
         local: bool,
-        /// The generation that it has; zero for none.
+        /// Its generation in force; zero for none.
         generation: Generation,
     },
-    /// A peer is gone.
+    /// A peer was removed from the membership.
     PeerLost(Incarnation),
     /// A peer answered.
     Answer {
         /// The peer.
         peer: Incarnation,
-        /// What it answered.
+        /// Its answer.
         answer: PartAnswer,
     },
-    /// A peer can't be asked or didn't answer.
+    /// A peer can't be reached or didn't answer.
     Unanswered(Incarnation),
-    /// Whether this daemon reads the platform for its data centre.
+    /// Whether this daemon is a watcher, which reads the platform.
     Watching(bool),
     /// The platform's head has changed.
     HeadChanged,
-    /// The platform's head, or the one that this daemon has written.
+    /// The head as read from the platform, or as written by this daemon.
     Head {
-        /// Its bytes.
+        /// The encoded head.
         head: Bytes,
         /// Parts that came with it.
         parts: Vec<Bytes>,
@@ -52,39 +52,39 @@
     PartFailed(Digest),
 }
 
-/// What to do.
+/// Call or change that `ConfigSync` requests.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    /// Ask a peer.
+    /// Send a request to a peer.
     Request {
         /// The peer.
         peer: Incarnation,
-        /// What to ask.
+        /// The request.
         request: PartRequest,
     },
     /// Read the head from the platform.
     ReadHead,
     /// Read a part from the platform.
     ReadPart(Digest),
-    /// Put a configuration in force; it is newer than every one before.
+    /// Put a configuration in force; it is newer than every previous one.
     Apply(Box<Config>),
-    /// Something came that can't be used; for counters and logs.
+    /// Received data was rejected; for counters and logs.
     Reject(Rejected),
     /// Send a `Timer` at this time.
     Wait(Millis),
 }
 
-/// Why something that came can't be used.
+/// Why received data was rejected.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(derive_more::Debug, derive_more::Display)]
 pub enum Rejected {
-    /// A head that can't be read.
+    /// A head that can't be decoded.
     #[display("a head can't be read: {_0}")]
     Head(String),
-    /// A part whose digest nobody asked for.
+    /// A part whose digest was not requested.
     #[display("a part has digest {_0}, which was not asked for")]
     Digest(Digest),
-    /// Parts that make up no configuration.
+    /// Parts that can't be assembled to a configuration.
     #[display("generation {_0} can't be put together: {_1}")]
     Whole(Generation, String),
 }
--- a/crates/core/src/change/sync/fetch.rs
+++ b/crates/core/src/change/sync/fetch.rs
@@ -1,38 +1,38 @@
-//! Whom to ask for what.
+//! Serves configuration to peers, and chooses from whom to fetch heads and parts.
 
 use std::collections::BTreeSet;
 
 use bytes::Bytes;
 use rand::seq::IndexedRandom;
 
-use super::goal::Goal;
-use super::{Action, Asked, ConfigSync, Peer, REQUEST_TIMEOUT, Source};
+use super::candidate::Candidate;
+use super::{Action, ConfigSync, Peer, PendingRequest, REQUEST_TIMEOUT, Source};
 use crate::change::digest::Digest;
 use crate::clock::Millis;
 use crate::ids::{Generation, Incarnation};
 use crate::wire::{PartAnswer, PartRequest};
 
-/// Largest answer, in bytes, unless one part alone is larger.
+/// Maximum size of an answer, in bytes, unless a single part is larger.
 const MAX_ANSWER: usize = 1 << 20;
-/// Parts asked of a peer at once.
-const MAX_ASKED: usize = 1024;
-/// Parts read from the platform at once.
+/// Maximum number of parts in one request to a peer.
+const MAX_REQUESTED: usize = 1024;
+/// Maximum number of concurrent part reads from the platform.
 const MAX_READ: usize = 16;
 
 impl ConfigSync {
-    /// Answers a peer with what is in force.
-    pub fn serve(&self, ask: &PartRequest) -> PartAnswer {
+    /// Answers a peer's request from the configuration in force.
+    pub fn serve(&self, request: &PartRequest) -> PartAnswer {
         let mut answer = PartAnswer::default();
-        let Some(held) = &self.held else {
+        let Some(current) = &self.current else {
             return answer;
         };
-        if ask.digests.is_empty() {
-            answer.head = held.bytes.clone();
+        if request.digests.is_empty() {
+            answer.head = current.bytes.clone();
         }
-        let digests = ask.digests.iter().take(MAX_ASKED);
+        let digests = request.digests.iter().take(MAX_REQUESTED);
         let digests = digests.filter_map(|digest| Digest::from_bytes(digest));
         let mut size = 0;
-        for part in digests.filter_map(|digest| held.parts.get(&digest)) {
+        for part in digests.filter_map(|digest| current.parts.get(&digest)) {
             size += part.len();
             if size > MAX_ANSWER && !answer.parts.is_empty() {
                 break;
@@ -42,46 +42,50 @@
         answer
     }
 
-    /// Asks for what is wanted next, or says when to look again.
-    pub(super) fn proceed(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.reread.is_some_and(|time| now >= time) {
-            self.reread = None;
+    /// Starts the next request, and sets the timer.
+    pub(super) fn request_next(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if self.head_due.is_some_and(|time| now >= time) {
+            self.head_due = None;
             actions.push(Action::ReadHead);
         }
-        if self.asked.is_none() {
-            self.choose(now, actions);
+        if self.pending.is_none() {
+            self.choose_source(now, actions);
         }
-        actions.extend(self.next(now).map(Action::Wait));
+        actions.extend(self.next_timer(now).map(Action::Wait));
     }
 
-    /// Asks for the newest head or for missing parts, near before far.
+    /// Requests the newest head or missing parts, from the same data centre first.
     ///
-    /// A peer keeps the parts of its own generation only, so parts are asked of
-    /// peers that have just the goal's.
-    fn choose(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let target = self.target();
+    /// A peer keeps only the parts of its own generation, so parts are requested
+    /// from peers that are at the candidate's generation.
+    fn choose_source(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let target = self.highest_known();
         let newer = |peer: &Peer| peer.generation > target;
-        if let Some(peer) = self.pick(now, |peer| peer.local && newer(peer)) {
-            return self.ask(peer, BTreeSet::new(), now, actions);
+        if let Some(peer) = self.pick_peer(now, |peer| peer.local && newer(peer)) {
+            return self.request(peer, BTreeSet::new(), now, actions);
         }
-        let missing = self.goal.as_ref().map(Goal::missing).unwrap_or_default();
+        let missing = self
+            .candidate
+            .as_ref()
+            .map(Candidate::missing)
+            .unwrap_or_default();
         let has = |peer: &Peer| !missing.is_empty() && peer.generation == target;
-        if let Some(peer) = self.pick(now, |peer| peer.local && has(peer)) {
-            return self.ask(peer, missing, now, actions);
+        if let Some(peer) = self.pick_peer(now, |peer| peer.local && has(peer)) {
+            return self.request(peer, missing, now, actions);
         }
-        if self.watching && now >= self.paused && !missing.is_empty() {
-            return self.read(missing, now, actions);
+        if self.watching && now >= self.platform_retry && !missing.is_empty() {
+            return self.read_parts(missing, now, actions);
         }
-        if let Some(peer) = self.pick(now, newer) {
-            return self.ask(peer, BTreeSet::new(), now, actions);
+        if let Some(peer) = self.pick_peer(now, newer) {
+            return self.request(peer, BTreeSet::new(), now, actions);
         }
-        if let Some(peer) = self.pick(now, has) {
-            self.ask(peer, missing, now, actions);
+        if let Some(peer) = self.pick_peer(now, has) {
+            self.request(peer, missing, now, actions);
         }
     }
 
-    /// A peer that may be asked, at random among those with the highest generation.
-    fn pick(&mut self, now: Millis, wanted: impl Fn(&Peer) -> bool) -> Option<Incarnation> {
+    /// A random suitable peer among those with the highest generation.
+    fn pick_peer(&mut self, now: Millis, wanted: impl Fn(&Peer) -> bool) -> Option<Incarnation> {
         let ready = |peer: &Peer| now >= peer.retry && wanted(peer);
         let peers = self.peers.iter().filter(|(_, peer)| ready(peer));
         let best = peers.clone().map(|(_, peer)| peer.generation).max()?;
@@ -92,14 +96,14 @@
         best.choose(&mut self.rng).copied()
     }
 
-    fn ask(
+    fn request(
         &mut self,
         peer: Incarnation,
         digests: BTreeSet<Digest>,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        let digests: BTreeSet<_> = digests.into_iter().take(MAX_ASKED).collect();
+        let digests: BTreeSet<_> = digests.into_iter().take(MAX_REQUESTED).collect();
         let wanted = digests.iter().map(|d| Bytes::copy_from_slice(&d.0));
         let request = PartRequest {
             digests: wanted.collect(),
@@ -108,31 +112,36 @@
         self.await_answer(Source::Peer(peer), digests, now);
     }
 
-    fn read(&mut self, missing: BTreeSet<Digest>, now: Millis, actions: &mut Vec<Action>) {
+    fn read_parts(&mut self, missing: BTreeSet<Digest>, now: Millis, actions: &mut Vec<Action>) {
         let digests: BTreeSet<_> = missing.into_iter().take(MAX_READ).collect();
         actions.extend(digests.iter().copied().map(Action::ReadPart));
         self.await_answer(Source::Platform, digests, now);
     }
 
     fn await_answer(&mut self, source: Source, digests: BTreeSet<Digest>, now: Millis) {
-        self.asked = Some(Asked {
+        self.pending = Some(PendingRequest {
             source,
             digests,
             until: now + REQUEST_TIMEOUT,
         });
     }
 
-    /// When to look again.
-    fn next(&self, now: Millis) -> Option<Millis> {
-        let goal = self.goal.as_ref().map(|goal| goal.head.generation);
-        let useful = |peer: &&Peer| peer.generation >= goal.unwrap_or(Generation(1));
-        let wanting = goal.is_some();
+    /// When the next timer is due.
+    fn next_timer(&self, now: Millis) -> Option<Millis> {
+        let candidate = self
+            .candidate
+            .as_ref()
+            .map(|candidate| candidate.head.generation);
+        let useful = |peer: &&Peer| peer.generation >= candidate.unwrap_or(Generation(1));
+        let wanting = candidate.is_some();
         let retries = self.peers.values().filter(useful).map(|peer| peer.retry);
-        let retries = retries.filter(|_| wanting || self.held.is_none());
-        let paused = Some(self.paused).filter(|_| wanting && self.watching);
-        let joined = self.joined.filter(|_| self.held.is_none());
-        let asked = self.asked.as_ref().map(|asked| asked.until);
-        let times = [self.reread, joined, asked, paused].into_iter().flatten();
+        let retries = retries.filter(|_| wanting || self.current.is_none());
+        let platform_retry = Some(self.platform_retry).filter(|_| wanting && self.watching);
+        let join_end = self.join_end.filter(|_| self.current.is_none());
+        let pending = self.pending.as_ref().map(|pending| pending.until);
+        let times = [self.head_due, join_end, pending, platform_retry]
+            .into_iter()
+            .flatten();
         times.chain(retries).filter(|time| *time > now).min()
     }
 }
