--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -1,8 +1,8 @@
-//! Messages between daemons, framed by length and coded by `prost`.
+//! Messages between daemons: length-delimited frames, encoded with `prost`.
 //!
-//! Every message travels in one `Frame`. Frames that carry requests and
-//! answers are data; all others are control and count against the control
-//! budget.
+//! Every message is sent in one `Frame`. Frames that carry requests and
+//! responses are data; all others are control traffic and count against the
+//! control budget.
 
 mod claim;
 mod config;
@@ -31,11 +31,11 @@
 /// Largest frame, in bytes.
 pub const MAX_FRAME: usize = 8 << 20;
 
-/// One message on a peer link.
+/// One message on a link between two daemons.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Frame {
-    /// What it carries; absent if the sender is newer than the receiver.
+    /// Payload; absent if the receiver doesn't know its type, as when the sender is newer.
     #[prost(
         oneof = "Body",
         tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 30, 31, 32"
@@ -43,74 +43,74 @@
     pub body: Option<Body>,
 }
 
-/// What a frame carries.
+/// Payload of a frame.
 #[derive(Clone, PartialEq)]
 #[derive(Oneof)]
 pub enum Body {
-    /// Opens a link.
+    /// First message of each side of a link.
     #[prost(message, tag = "1")]
     Hello(Hello),
     /// Proves knowledge of the fleet key.
     #[prost(message, tag = "2")]
     Proof(Proof),
-    /// A request for a home.
+    /// Forwards a request to a home.
     #[prost(message, tag = "3")]
     Forward(Forward),
-    /// The home has taken the request.
+    /// The home has sent the request to an endpoint.
     #[prost(message, tag = "4")]
     Accepted(Accepted),
-    /// The request went on to another home.
+    /// The home has forwarded the request to another home.
     #[prost(message, tag = "5")]
     Rerouted(Rerouted),
     /// The request was refused and not sent to an endpoint, unless it says otherwise.
     #[prost(message, tag = "6")]
     Refused(Refused),
-    /// A piece of the answer.
+    /// A piece of the response body.
     #[prost(message, tag = "7")]
     Chunk(Chunk),
-    /// The end of the answer.
+    /// The end of the response body.
     #[prost(message, tag = "8")]
     End(End),
-    /// Room for more of the answer.
+    /// Flow control: more bytes of the response may be sent.
     #[prost(message, tag = "9")]
     Credit(Credit),
-    /// The answer is no longer wanted.
+    /// The response is no longer needed.
     #[prost(message, tag = "10")]
     Cancel(Cancel),
     /// Heartbeat, membership and load.
     #[prost(message, tag = "11")]
     Gossip(Gossip),
-    /// Asks for the right to run a key.
+    /// Requests the claim of an idempotency key from its owner.
     #[prost(message, tag = "12")]
     ClaimRequest(ClaimRequest),
     /// Answers `ClaimRequest`.
     #[prost(message, tag = "13")]
     ClaimAnswer(ClaimAnswer),
-    /// Asks a claimant what became of a key.
+    /// Asks a claimant for the state of a key.
     #[prost(message, tag = "14")]
     KeyQuery(KeyQuery),
     /// Answers `KeyQuery`.
     #[prost(message, tag = "15")]
     KeyAnswer(KeyAnswer),
-    /// Asks for parts of a configuration.
+    /// Requests the head or parts of the configuration.
     #[prost(message, tag = "16")]
     PartRequest(PartRequest),
     /// Answers `PartRequest`.
     #[prost(message, tag = "17")]
     PartAnswer(PartAnswer),
-    /// An entry's use of accounts.
+    /// Reports an entry's usage of accounts to their owner.
     #[prost(message, tag = "18")]
     Usage(Usage),
-    /// What an entry may use of accounts.
+    /// Grants an entry shares of account limits.
     #[prost(message, tag = "19")]
     Grant(Grant),
-    /// Directory entries for their new keeper.
+    /// Transfers directory entries to the daemon that holds them now.
     #[prost(message, tag = "32")]
     DirectoryTransfer(DirectoryTransfer),
-    /// Where a chat was served.
+    /// Reports where a chat was served.
     #[prost(message, tag = "20")]
     Placed(Placed),
-    /// Asks what became of a request.
+    /// Asks an entry for the state of a request.
     #[prost(message, tag = "21")]
     RequestQuery(RequestQuery),
     /// Answers `RequestQuery`.
@@ -125,7 +125,7 @@
 }
 
 impl Body {
-    /// A short name for counters.
+    /// Name of the message type, as a label for metrics.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Whether the frame counts against the control budget.
+    /// Whether the message counts against the control budget.
     pub const fn is_control(&self) -> bool {
         !matches!(self, Self::Forward(_) | Self::Chunk(_) | Self::End(_))
     }
--- a/crates/core/src/wire/claim.rs
+++ b/crates/core/src/wire/claim.rs
@@ -1,13 +1,13 @@
-//! The right to run a non-idempotent request, and what became of it.
+//! Claims of the right to run a non-idempotent request, and the state of claimed keys.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// Asks for the right to run a key.
+/// Requests the claim of an idempotency key from its owner.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct ClaimRequest {
-    /// Number of the question, for its answer.
+    /// Sequence number, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
     /// Hash of institution and key, 32 bytes.
@@ -16,22 +16,22 @@
     /// Digest of the request, 32 bytes.
     #[prost(bytes = "bytes", tag = "3")]
     pub digest: Bytes,
-    /// The asking process, which alone may run it.
+    /// Incarnation of the claimant, the only process that may run the request.
     #[prost(fixed64, tag = "4")]
     pub claimant: u64,
-    /// The asking daemon.
+    /// Name of the claimant's daemon.
     #[prost(string, tag = "5")]
     pub daemon: String,
-    /// How long the key is remembered, in milliseconds.
+    /// How long the claim is retained, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub lifetime: u64,
-    /// The caller's request, 16 bytes.
+    /// Identifier of the caller's request, 16 bytes.
     #[prost(bytes = "bytes", tag = "7")]
     pub request: Bytes,
-    /// Claimant of an earlier claim of this key that, by its claimant's own word, never runs; zero if there is none.
+    /// Claimant of an earlier claim of this key, if that claimant confirmed that it will never run; else zero.
     #[prost(fixed64, tag = "8")]
     pub abandoned_claimant: u64,
-    /// That claimant's number for the earlier claim.
+    /// That claimant's sequence number of the earlier claim.
     #[prost(uint64, tag = "9")]
     pub abandoned_ask: u64,
 }
@@ -40,46 +40,46 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct ClaimAnswer {
-    /// Number of the question.
+    /// Sequence number of the request.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
-    /// 0 granted, 1 held by another claim, 2 used for another request, 3 can't be had now, 4 not the owner.
+    /// 0 granted, 1 held by another claim, 2 used for another request, 3 unavailable, 4 not the owner.
     #[prost(uint32, tag = "2")]
     pub verdict: u32,
-    /// The process that holds it, for verdict 1.
+    /// Incarnation of the holder, for verdict 1.
     #[prost(fixed64, tag = "3")]
     pub claimant: u64,
-    /// The daemon that holds it, for verdict 1.
+    /// Name of the holder's daemon, for verdict 1.
     #[prost(string, tag = "4")]
     pub daemon: String,
-    /// The request that holds it, for verdict 1.
+    /// Identifier of the holder's request, for verdict 1.
     #[prost(bytes = "bytes", tag = "5")]
     pub request: Bytes,
-    /// The holder's number for its claim, for verdict 1.
+    /// The holder's sequence number of its claim, for verdict 1.
     #[prost(uint64, tag = "6")]
     pub held: u64,
-    /// The process that asked: a later one of the same daemon must not take the answer for its own.
+    /// Incarnation of the requester: a later process of the same daemon must ignore the answer.
     #[prost(fixed64, tag = "7")]
     pub asker: u64,
 }
 
-/// Asks a claimant what became of a key.
+/// Asks a claimant for the state of a key.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct KeyQuery {
-    /// Number of the question, for its answer.
+    /// Sequence number, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
     /// Hash of institution and key, 32 bytes.
     #[prost(bytes = "bytes", tag = "2")]
     pub key: Bytes,
-    /// The process asked about.
+    /// Incarnation of the claimant.
     #[prost(fixed64, tag = "3")]
     pub claimant: u64,
-    /// That process's number for its claim.
+    /// The claimant's sequence number of its claim.
     #[prost(uint64, tag = "4")]
     pub held: u64,
-    /// The asking process.
+    /// Incarnation of the requester.
     #[prost(fixed64, tag = "5")]
     pub asker: u64,
 }
@@ -88,22 +88,22 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct KeyAnswer {
-    /// Number of the question.
+    /// Sequence number of the request.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
-    /// 0 unknown, 1 running, 2 ran and answer held, 3 ran and answer gone, 4 not run and never will.
+    /// 0 unknown, 1 running, 2 ran and response stored, 3 ran and response not stored any more, 4 not run and never will.
     #[prost(uint32, tag = "2")]
     pub state: u32,
-    /// HTTP status of a held answer.
+    /// HTTP status of the stored response.
     #[prost(uint32, tag = "3")]
     pub status: u32,
-    /// Headers of a held answer.
+    /// Headers of the stored response.
     #[prost(message, repeated, tag = "4")]
     pub headers: Vec<super::Header>,
-    /// A held answer.
+    /// Body of the stored response.
     #[prost(bytes = "bytes", tag = "5")]
     pub body: Bytes,
-    /// The process that asked.
+    /// Incarnation of the requester.
     #[prost(fixed64, tag = "6")]
     pub asker: u64,
 }
--- a/crates/core/src/wire/config.rs
+++ b/crates/core/src/wire/config.rs
@@ -1,13 +1,13 @@
-//! Spread of configuration between daemons.
+//! Synchronisation of the configuration between daemons.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// Asks for a head, and for parts of it by digest.
+/// Requests parts of the configuration by digest, or the head.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct PartRequest {
-    /// Digests wanted; none asks for the head.
+    /// Digests of the requested parts; none requests the head.
     #[prost(bytes = "bytes", repeated, tag = "1")]
     pub digests: Vec<Bytes>,
 }
@@ -16,10 +16,10 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct PartAnswer {
-    /// The head, as stored, if it was asked for.
+    /// The head as stored, if it was requested.
     #[prost(bytes = "bytes", tag = "1")]
     pub head: Bytes,
-    /// Parts as stored; each is checked against its digest.
+    /// Parts as stored; the receiver checks each against its digest.
     #[prost(bytes = "bytes", repeated, tag = "2")]
     pub parts: Vec<Bytes>,
 }
--- a/crates/core/src/wire/directory.rs
+++ b/crates/core/src/wire/directory.rs
@@ -1,24 +1,24 @@
-//! Directory entries on their way to the daemon that keeps them now.
+//! Transfer of directory entries to the daemon that holds them now.
 
 use prost::Message;
 
-/// Some directory entries.
+/// A batch of directory entries.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct DirectoryTransfer {
-    /// The entries.
+    /// Entries, one for each chat.
     #[prost(message, repeated, tag = "1")]
     pub chats: Vec<TransferredChat>,
 }
 
-/// One chat and where it was served.
+/// Directory entry of one chat.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct TransferredChat {
     /// Hash of institution and chat.
     #[prost(fixed64, tag = "1")]
     pub chat: u64,
-    /// Its places, most recent first.
+    /// Endpoints that served it, most recent first.
     #[prost(message, repeated, tag = "2")]
     pub places: Vec<TransferredPlace>,
 }
@@ -30,7 +30,7 @@
     /// Hash of the endpoint's name, by [`name_hash`](super::name_hash).
     #[prost(fixed32, tag = "1")]
     pub endpoint: u32,
-    /// Prefix that it has cached, in tokens.
+    /// Length of the cached prefix, in tokens.
     #[prost(uint64, tag = "2")]
     pub prefix: u64,
     /// Time since it served the chat, in milliseconds.
--- a/crates/core/src/wire/gossip.rs
+++ b/crates/core/src/wire/gossip.rs
@@ -1,13 +1,13 @@
-//! Heartbeat with membership and load.
+//! Heartbeats, which carry membership and load.
 //!
-//! A heartbeat names nobody: the link it travels on has named both sides. A
-//! member is known by its incarnation, and its names and address travel only
-//! to a peer that asked for them.
+//! A heartbeat names neither side: both are known from the link's handshake. A
+//! member is identified by its incarnation; its names and address are sent only
+//! to a peer that requested them.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// One heartbeat; every part but the first three is optional.
+/// One heartbeat; all fields but the first three are optional.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Gossip {
@@ -17,34 +17,34 @@
     /// The sender's heartbeat number.
     #[prost(uint32, tag = "2")]
     pub beat: u32,
-    /// The configuration in force at the sender.
+    /// Generation of the configuration in force at the sender.
     #[prost(uint64, tag = "3")]
     pub generation: u64,
-    /// Number of a probe that asks for an `ack`; zero for none.
+    /// Number of a probe that requests an `ack`; zero for none.
     #[prost(uint32, tag = "4")]
     pub ping: u32,
     /// Number of the probe answered; zero for none.
     #[prost(uint32, tag = "5")]
     pub ack: u32,
-    /// The member to probe in the sender's stead; `ping` is answered once that one has answered.
+    /// Indirect probe: the member to probe for the sender; `ping` is acknowledged once that member has answered.
     #[prost(fixed64, tag = "6")]
     pub probe: u64,
-    /// What is new about members.
+    /// Updates of members.
     #[prost(message, repeated, tag = "7")]
     pub changes: Vec<Change>,
-    /// Members in full.
+    /// Complete records of members.
     #[prost(message, repeated, tag = "8")]
     pub records: Vec<Record>,
-    /// Incarnations whose records are wanted.
+    /// Incarnations whose records are requested.
     #[prost(fixed64, repeated, tag = "9")]
     pub wants: Vec<u64>,
-    /// Digest of the sender's whole table, to be compared; zero for none.
+    /// Digest of the sender's complete table, for comparison; zero for none.
     #[prost(fixed64, tag = "10")]
     pub digest: u64,
     /// Digests of the table's buckets, sent where `digest` differed.
     #[prost(fixed32, repeated, tag = "11")]
     pub buckets: Vec<u32>,
-    /// Bit set of the buckets of which `changes` holds every member.
+    /// Bit set of the buckets of which `changes` contains every member.
     #[prost(uint32, tag = "12")]
     pub covers: u32,
     /// Load of the sender's endpoints, by pool; only within a data centre.
@@ -53,12 +53,12 @@
     /// Age of `loads`, in milliseconds.
     #[prost(uint32, tag = "14")]
     pub age: u32,
-    /// Sums over the sender's data centre; only to other ones of its region.
+    /// Sums over the sender's data centre; sent only to other data centres of its region.
     #[prost(message, repeated, tag = "15")]
     pub sums: Vec<PoolSum>,
 }
 
-/// What is known of a member, without its names.
+/// State of a member, without its names.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Message)]
 pub struct Change {
@@ -68,17 +68,17 @@
     /// Its heartbeat number.
     #[prost(uint32, tag = "2")]
     pub beat: u32,
-    /// Bits 0 and 1: joining, live, leaving, left; bit 2: ready; bits 3 and 4: trusted, suspect, gone;
+    /// Bits 0 and 1: joining, live, leaving, left; bit 2: ready; bits 3 and 4: alive, suspect, lost;
     /// bit 5: its address refused a connection.
     #[prost(uint32, tag = "3")]
     pub flags: u32,
 }
 
-/// A member in full.
+/// Complete record of a member.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
 pub struct Record {
-    /// What may change.
+    /// The part that changes over time.
     #[prost(message, optional, tag = "1")]
     pub change: Option<Change>,
     /// Orders the incarnations of one name.
@@ -87,7 +87,7 @@
     /// The daemon's name.
     #[prost(string, tag = "3")]
     pub daemon: String,
-    /// Where it takes links: 4 or 16 bytes of address and 2 of port.
+    /// Address on which it accepts links: 4 or 16 bytes of IP address, then 2 of port.
     #[prost(bytes = "bytes", tag = "4")]
     pub address: Bytes,
     /// Its data centre.
@@ -98,7 +98,7 @@
     pub region: String,
 }
 
-/// Load of the endpoints of one pool that the sender is home to.
+/// Load of those endpoints of one pool whose home is the sender.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct PoolLoad {
@@ -108,10 +108,10 @@
     /// Sum of their loads.
     #[prost(uint64, tag = "2")]
     pub load: u64,
-    /// How many there are.
+    /// Number of these endpoints.
     #[prost(uint32, tag = "3")]
     pub endpoints: u32,
-    /// The least loaded of them: hash of the name above, load below with its top bit set if there is no room.
+    /// The least loaded of them: upper half the hash of the name, lower half the load, its top bit set if the endpoint has no room.
     #[prost(fixed64, repeated, tag = "4")]
     pub least: Vec<u64>,
 }
@@ -126,29 +126,29 @@
     /// Sum of its endpoints' loads.
     #[prost(uint64, tag = "2")]
     pub load: u64,
-    /// How many endpoints there are.
+    /// Number of its endpoints.
     #[prost(uint32, tag = "3")]
     pub endpoints: u32,
 }
 
-/// Load of one endpoint, as [`PoolLoad`] carries it.
+/// Load of one endpoint, as encoded in [`PoolLoad`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct EndpointLoad {
     /// Hash of the endpoint's name, by [`name_hash`].
     pub endpoint: u32,
     /// Its load, at most [`MAX_LOAD`].
     pub load: u32,
-    /// Whether one more request would run at once.
+    /// Whether one more request would start immediately.
     pub room: bool,
 }
 
-/// Largest load that a heartbeat can name.
+/// Largest load that a heartbeat can encode.
 pub const MAX_LOAD: u32 = u32::MAX >> 1;
-/// Marks an endpoint without room.
+/// Flag of an endpoint without room.
 const FULL: u32 = 1 << 31;
 
 impl PoolLoad {
-    /// The load of one pool's endpoints, of which `least` are named.
+    /// Encodes the load of one pool's endpoints; `least` are the least loaded.
     pub fn new(pool: u32, load: u64, endpoints: u32, least: &[EndpointLoad]) -> Self {
         Self {
             pool,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The least loaded endpoints, as given.
+    /// Decodes the least loaded endpoints.
     pub fn least(&self) -> impl Iterator<Item = EndpointLoad> + '_ {
         self.least.iter().copied().map(EndpointLoad::from)
     }
@@ -181,7 +181,7 @@
     }
 }
 
-/// Hash by which heartbeats name pools and endpoints.
+/// Hash that identifies pools and endpoints in heartbeats.
 pub fn name_hash(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/core/src/wire/link.rs
+++ b/crates/core/src/wire/link.rs
@@ -1,34 +1,34 @@
-//! Opening of a link: each side names itself and proves the fleet key.
+//! Handshake of a link: each side names itself and proves knowledge of the fleet key.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// Names the sender.
+/// Identifies the sender.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Hello {
     /// The fleet's name.
     #[prost(string, tag = "1")]
     pub fleet: String,
-    /// The sending daemon.
+    /// Name of the sending daemon.
     #[prost(string, tag = "2")]
     pub daemon: String,
-    /// The sending process.
+    /// Incarnation of the sending process.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// Fresh random bytes, for the other side's proof.
+    /// Random bytes, fresh for each link, for the peer's proof.
     #[prost(bytes = "bytes", tag = "4")]
     pub nonce: Bytes,
-    /// Where the sender takes links, as IP and port.
+    /// Address on which the sender accepts links, as IP and port.
     #[prost(string, tag = "5")]
     pub address: String,
 }
 
-/// A keyed hash over both sides' `Hello`.
+/// Proof of the fleet key: a keyed hash over both sides' `Hello`.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Proof {
-    /// The hash.
+    /// The hash's bytes.
     #[prost(bytes = "bytes", tag = "1")]
     pub mac: Bytes,
 }
--- a/crates/core/src/wire/request.rs
+++ b/crates/core/src/wire/request.rs
@@ -1,21 +1,21 @@
-//! A request on its way to a home, and its answer on the way back.
+//! Requests forwarded to a home, and their responses.
 
 use bytes::Bytes;
 use prost::Message;
 
 use crate::ids::{AttemptId, Incarnation, RequestId};
 
-/// One try of a request; see [`AttemptId`].
+/// Identifier of one attempt of a request; see [`AttemptId`].
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(Message)]
 pub struct Attempt {
-    /// The request, 16 bytes.
+    /// Identifier of the request, 16 bytes.
     #[prost(bytes = "bytes", tag = "1")]
     pub request: Bytes,
-    /// Which try.
+    /// Number of the attempt.
     #[prost(uint32, tag = "2")]
     pub number: u32,
-    /// The sending process.
+    /// Incarnation of the sending process.
     #[prost(fixed64, tag = "3")]
     pub sender: u64,
 }
@@ -31,7 +31,7 @@
 }
 
 impl Attempt {
-    /// The identifier, unless the request has a wrong length.
+    /// Decodes the identifier; `None` if the request's has a wrong length.
     pub fn id(&self) -> Option<AttemptId> {
         Some(AttemptId {
             request: RequestId::from_bytes(&self.request)?,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A header that travels with a request or an answer.
+/// An HTTP header of a request or response.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Header {
@@ -53,17 +53,17 @@
     pub value: Bytes,
 }
 
-/// A request for the home of an endpoint.
+/// Forwards a request to the home of an endpoint.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Forward {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
-    /// The entry daemon, to which the answer goes.
+    /// Name of the entry, to which the response is sent.
     #[prost(string, tag = "2")]
     pub origin: String,
-    /// How often it was passed on.
+    /// How many times a home forwarded it to another home.
     #[prost(uint32, tag = "3")]
     pub hops: u32,
     /// The institution.
@@ -75,28 +75,28 @@
     /// The pool.
     #[prost(string, tag = "6")]
     pub pool: String,
-    /// The endpoint chosen; empty leaves the choice to the receiver.
+    /// The chosen endpoint; empty if the receiver is to choose.
     #[prost(string, tag = "7")]
     pub endpoint: String,
-    /// Endpoints already tried.
+    /// Endpoints of earlier attempts.
     #[prost(string, repeated, tag = "8")]
     pub tried: Vec<String>,
     /// Hash of institution and chat; zero without a chat.
     #[prost(fixed64, tag = "9")]
     pub chat: u64,
-    /// Estimated prompt, in tokens.
+    /// Estimated length of the prompt, in tokens.
     #[prost(uint64, tag = "10")]
     pub prompt: u64,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[prost(uint64, tag = "11")]
     pub output: u64,
-    /// Whether a second run does no harm.
+    /// Whether it may safely run twice.
     #[prost(bool, tag = "12")]
     pub idempotent: bool,
-    /// Longest wait before it runs, in milliseconds.
+    /// Longest time in a queue before it runs, in milliseconds.
     #[prost(uint64, tag = "13")]
     pub max_wait: u64,
-    /// Bytes of answer that may be sent before the first `Credit`.
+    /// Bytes of the response that may be sent before the first `Credit`.
     #[prost(uint64, tag = "14")]
     pub credit: u64,
     /// HTTP method.
@@ -105,16 +105,16 @@
     /// Path and query.
     #[prost(string, tag = "16")]
     pub path: String,
-    /// Headers that travel on.
+    /// Headers to forward.
     #[prost(message, repeated, tag = "17")]
     pub headers: Vec<Header>,
-    /// Body.
+    /// Request body.
     #[prost(bytes = "bytes", tag = "18")]
     pub body: Bytes,
     /// Prompt tokens expected in the chosen endpoint's cache.
     #[prost(uint64, tag = "19")]
     pub cached: u64,
-    /// Whether it takes up a stream that the endpoint holds already.
+    /// Whether it resumes a stream that the endpoint already has.
     #[prost(bool, tag = "20")]
     pub resume: bool,
 }
@@ -123,28 +123,28 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Accepted {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
     /// The endpoint.
     #[prost(string, tag = "2")]
     pub endpoint: String,
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     #[prost(uint32, tag = "3")]
     pub status: u32,
-    /// Headers of the answer.
+    /// Headers of the response.
     #[prost(message, repeated, tag = "4")]
     pub headers: Vec<Header>,
 }
 
-/// The request went on to another home.
+/// The home has forwarded the request to another home.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Rerouted {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
-    /// The daemon it went to.
+    /// Name of the daemon it was forwarded to.
     #[prost(string, tag = "2")]
     pub to: String,
 }
@@ -153,31 +153,31 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Refused {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
     /// Code of the reason.
     #[prost(string, tag = "2")]
     pub reason: String,
-    /// Whether the endpoint may have run it.
+    /// Whether it was sent to an endpoint, which may have run it.
     #[prost(bool, tag = "3")]
     pub sent: bool,
-    /// When to come back, in milliseconds; zero if never.
+    /// Delay before a retry is useful, in milliseconds; zero if it never is.
     #[prost(uint64, tag = "4")]
     pub retry_after: u64,
-    /// The endpoint that was tried, if any.
+    /// The endpoint of the attempt, if any.
     #[prost(string, tag = "5")]
     pub endpoint: String,
 }
 
-/// A piece of the answer.
+/// A piece of the response body.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Chunk {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
-    /// Bytes of the answer before this piece.
+    /// Offset of this piece in the body, in bytes.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
     /// The bytes.
@@ -185,34 +185,34 @@
     pub data: Bytes,
 }
 
-/// The whole answer was sent.
+/// The end of the response body.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct End {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
-    /// Bytes of the whole answer.
+    /// Length of the body, in bytes.
     #[prost(uint64, tag = "2")]
     pub length: u64,
-    /// Code of the reason if the answer was cut short.
+    /// Code of the reason if the response was truncated; else empty.
     #[prost(string, tag = "3")]
     pub reason: String,
 }
 
-/// Room for more of the answer.
+/// Flow control: more bytes of the response may be sent.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Credit {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
-    /// Bytes more.
+    /// Number of additional bytes.
     #[prost(uint64, tag = "2")]
     pub bytes: u64,
 }
 
-/// Tells a chat's directory daemon where the chat was served.
+/// Reports to a chat's directory daemon where the chat was served.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Placed {
@@ -222,25 +222,25 @@
     /// The endpoint.
     #[prost(string, tag = "2")]
     pub endpoint: String,
-    /// Prefix that it has cached now, in tokens.
+    /// Length of the prefix that it has cached now, in tokens.
     #[prost(uint64, tag = "3")]
     pub prefix: u64,
     /// The pool.
     #[prost(string, tag = "4")]
     pub pool: String,
-    /// Estimated work that has ended there.
+    /// Estimated work of the finished request, in tokens.
     #[prost(uint64, tag = "5")]
     pub work: u64,
 }
 
-/// The answer is no longer wanted.
+/// The response is no longer needed.
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct Cancel {
-    /// The try.
+    /// The attempt.
     #[prost(message, optional, tag = "1")]
     pub attempt: Option<Attempt>,
-    /// Whether the endpoint isn't told, as another try may have taken the stream up.
+    /// Whether the endpoint's stream is left running, as another attempt may have resumed it.
     #[prost(bool, tag = "2")]
     pub detach: bool,
 }
--- a/crates/core/src/wire/request_state.rs
+++ b/crates/core/src/wire/request_state.rs
@@ -1,4 +1,4 @@
-//! What became of a request, asked of the entry that took it.
+//! Queries for the state of a request, sent to the entry that accepted it.
 
 use bytes::Bytes;
 use prost::Message;
@@ -7,10 +7,10 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct RequestQuery {
-    /// The request, 16 bytes.
+    /// Identifier of the request, 16 bytes.
     #[prost(bytes = "bytes", tag = "1")]
     pub request: Bytes,
-    /// Names the question.
+    /// Identifier of the query, repeated in the answer.
     #[prost(fixed64, tag = "2")]
     pub question: u64,
 }
@@ -19,7 +19,7 @@
 #[derive(Clone, PartialEq)]
 #[derive(Message)]
 pub struct RequestAnswer {
-    /// The question.
+    /// Identifier of the query.
     #[prost(fixed64, tag = "1")]
     pub question: u64,
     /// `running`, `answered` or `failed`; empty if the request isn't known.
@@ -28,7 +28,7 @@
     /// Code of the reason, if it failed.
     #[prost(string, tag = "3")]
     pub code: String,
-    /// Whether it ran, if it failed.
+    /// Whether it ran, as an outcome, if it failed.
     #[prost(string, tag = "4")]
     pub outcome: String,
 }
--- a/crates/core/src/wire/state.rs
+++ b/crates/core/src/wire/state.rs
@@ -1,4 +1,4 @@
-//! What a home tells another daemon's operators of its endpoints.
+//! State of a home's endpoints, as shown to operators at other daemons.
 
 use prost::Message;
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Message)]
 pub struct StateQuery {
-    /// Names the question.
+    /// Identifier of the query, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
@@ -15,7 +15,7 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
 pub struct StateAnswer {
-    /// Names the question.
+    /// Identifier of the query.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The endpoints of this home.
@@ -23,26 +23,26 @@
     pub endpoints: Vec<HomeState>,
 }
 
-/// One endpoint as its home counts it.
+/// State of one endpoint, as counted by its home.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
 pub struct HomeState {
     /// The endpoint.
     #[prost(string, tag = "1")]
     pub endpoint: String,
-    /// Its state, in a word.
+    /// Name of its state.
     #[prost(string, tag = "2")]
     pub state: String,
     /// Work in flight, in tokens.
     #[prost(uint64, tag = "3")]
     pub load: u64,
-    /// The most work that it is given, in tokens.
+    /// Maximum work in flight, in tokens.
     #[prost(uint64, tag = "4")]
     pub limit: u64,
     /// Requests in flight.
     #[prost(uint32, tag = "5")]
     pub in_flight: u32,
-    /// Requests that wait.
+    /// Requests in the queue.
     #[prost(uint32, tag = "6")]
     pub queued: u32,
 }
