--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration that operators give: institutions, pools, endpoints.
+//! The configuration that operators define: institutions, pools, endpoints.
 //!
-//! A configuration is made of parts, each stored as one immutable object and
-//! named by its digest in the head. A part holds what usually changes
-//! together and stays small: one institution, one pool, or the endpoints of
+//! A configuration consists of parts, each stored as one immutable object and
+//! referenced by its digest in the head. A part contains what usually changes
+//! together, and stays small: one institution, one pool, or the endpoints of
 //! one pool in one data centre.
 
 mod check;
@@ -23,7 +23,7 @@
 pub use item::{AccountPath, ItemId, PathError, RulePath};
 pub use pool::{DEFAULT_LOAD_BOUND, Pool, PoolKind, RefusalMeaning};
 
-/// All that is configured, as of one generation.
+/// The complete configuration of one generation.
 #[derive(Clone, PartialEq, Default, Debug)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole configuration, each finding with its place.
+//! Validation of a complete configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 use crate::ids::{EndpointId, InstitutionId, PoolId};
 use crate::units::Rate;
 
-/// One thing wrong in a configuration.
+/// One error in a configuration.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display)]
 #[display("{item}{}: {message}", field.map(|f| format!(", {f}")).unwrap_or_default())]
 pub struct Finding {
-    /// Where it was found.
+    /// The item that it concerns.
     pub item: ItemId,
-    /// The field, as the operators' language writes it.
+    /// The field, as named in the operators' language.
     pub field: Option<&'static str>,
-    /// The other thing that it clashes with, or that is missing.
+    /// Another item that conflicts with it, or that is missing.
     pub other: Option<ItemId>,
     /// What is wrong.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding about one thing.
+    /// A finding about one item.
     pub fn new(item: ItemId, message: impl Into<String>) -> Self {
         Self {
             item,
@@ -39,54 +39,54 @@
         }
     }
 
-    /// Names the field.
+    /// Sets the field.
     pub fn with_field(mut self, field: &'static str) -> Self {
         self.field = Some(field);
         self
     }
 
-    /// Names the other thing concerned.
+    /// Sets the other item concerned.
     pub fn with_other(mut self, other: ItemId) -> Self {
         self.other = Some(other);
         self
     }
 }
 
-/// Findings about one item, as they are collected.
-struct Report<'a> {
+/// Collects findings about one item.
+struct ItemFindings<'a> {
     item: ItemId,
     findings: &'a mut Vec<Finding>,
 }
 
-impl Report<'_> {
+impl ItemFindings<'_> {
     fn add(&mut self, field: &'static str, message: impl Into<String>) {
         let finding = Finding::new(self.item.clone(), message).with_field(field);
         self.findings.push(finding);
     }
 
-    fn unless(&mut self, good: bool, field: &'static str, message: &str) {
-        if !good {
+    fn require(&mut self, holds: bool, field: &'static str, message: &str) {
+        if !holds {
             self.add(field, message);
         }
     }
 
-    fn clash(&mut self, field: &'static str, other: ItemId, message: String) {
+    fn add_conflict(&mut self, field: &'static str, other: ItemId, message: String) {
         let finding = Finding::new(self.item.clone(), message)
             .with_field(field)
             .with_other(other);
         self.findings.push(finding);
     }
 
-    fn pool(&mut self, config: &Config, pool: &PoolId) {
+    fn require_pool(&mut self, config: &Config, pool: &PoolId) {
         if !config.pools.contains_key(pool) {
             let other = ItemId::Pool(pool.clone());
-            self.clash("pool", other, format!("there is no pool `{pool}`"));
+            self.add_conflict("pool", other, format!("there is no pool `{pool}`"));
         }
     }
 }
 
 impl Config {
-    /// Everything wrong with this configuration; empty if it can be used.
+    /// Validates this configuration; empty if it is valid.
     pub fn findings(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         let mut keys = BTreeMap::new();
@@ -113,7 +113,7 @@
     findings: &mut Vec<Finding>,
 ) {
     let item = ItemId::Institution(id.clone());
-    let mut report = Report { item, findings };
+    let mut report = ItemFindings { item, findings };
     if id.as_str().contains('.') {
         report.add("institution", "an institution's name has no `.`");
     }
@@ -136,19 +136,19 @@
     }
 }
 
-fn check_contract(contract: &Contract, report: &mut Report<'_>) {
-    report.unless(contract.share > 0, "share", "must be at least 1");
+fn check_contract(contract: &Contract, report: &mut ItemFindings<'_>) {
+    report.require(contract.share > 0, "share", "must be at least 1");
     let lifetime = contract.key_lifetime > Millis::ZERO;
-    report.unless(lifetime, "key-lifetime", "must be over 0");
+    report.require(lifetime, "key-lifetime", "must be over 0");
     let wait = contract.queue_wait > Millis::ZERO;
-    report.unless(wait, "queue-wait", "must be over 0");
+    report.require(wait, "queue-wait", "must be over 0");
 }
 
-fn check_account(account: &Account, report: &mut Report<'_>) {
+fn check_account(account: &Account, report: &mut ItemFindings<'_>) {
     let rate = account.rate > Rate(0.0);
-    report.unless(rate, "rate", "must be over 0");
+    report.require(rate, "rate", "must be over 0");
     let concurrency = account.concurrency > 0;
-    report.unless(concurrency, "concurrency", "must be at least 1");
+    report.require(concurrency, "concurrency", "must be at least 1");
 }
 
 fn check_keys(
@@ -175,31 +175,31 @@
     }
 }
 
-fn check_rule(config: &Config, rule: &Rule, report: &mut Report<'_>) {
+fn check_rule(config: &Config, rule: &Rule, report: &mut ItemFindings<'_>) {
     let rooted = rule.route.starts_with('/');
-    report.unless(rooted, "route", "must begin with `/`");
+    report.require(rooted, "route", "must begin with `/`");
     let clean = |text: &str| !text.contains(|c: char| c.is_control() || c.is_whitespace());
-    report.unless(clean(&rule.route), "route", "must hold no space");
+    report.require(clean(&rule.route), "route", "must hold no space");
     let model = rule.model.as_deref().unwrap_or("any");
     let named = !model.is_empty() && !model.contains(char::is_control);
-    report.unless(named, "model", "must be a name");
-    report.pool(config, &rule.pool);
+    report.require(named, "model", "must be a name");
+    report.require_pool(config, &rule.pool);
 }
 
 fn check_pool(id: &PoolId, pool: &Pool, findings: &mut Vec<Finding>) {
     let item = ItemId::Pool(id.clone());
-    let mut report = Report { item, findings };
+    let mut report = ItemFindings { item, findings };
     match (pool.kind, &pool.model) {
         (PoolKind::Model, None) => report.add("kind", "a model pool needs a `model`"),
         (PoolKind::Service, Some(_)) => report.add("model", "a service pool has no model"),
         _ => {}
     }
     let bound = pool.load_bound.is_finite() && pool.load_bound >= 1.0;
-    report.unless(bound, "load-bound", "must be at least 1");
-    report.unless(pool.slots > 0, "slots", "must be at least 1");
+    report.require(bound, "load-bound", "must be at least 1");
+    report.require(pool.slots > 0, "slots", "must be at least 1");
     let first = pool.first_byte > Millis::ZERO;
-    report.unless(first, "first-byte", "must be over 0");
-    report.unless(pool.gap > Millis::ZERO, "gap", "must be over 0");
+    report.require(first, "first-byte", "must be over 0");
+    report.require(pool.gap > Millis::ZERO, "gap", "must be over 0");
 }
 
 fn check_endpoint(
@@ -209,12 +209,12 @@
     findings: &mut Vec<Finding>,
 ) {
     let item = ItemId::Endpoint(id.clone());
-    let mut report = Report { item, findings };
-    report.pool(config, &endpoint.pool);
+    let mut report = ItemFindings { item, findings };
+    report.require_pool(config, &endpoint.pool);
     let address = endpoint.address;
-    report.unless(address.port() != 0, "address", "the port must not be 0");
+    report.require(address.port() != 0, "address", "the port must not be 0");
     let single = !address.ip().is_unspecified() && !address.ip().is_multicast();
-    report.unless(single, "address", "must be the address of one host");
+    report.require(single, "address", "must be the address of one host");
 }
 
 fn check_address(
@@ -234,7 +234,7 @@
 }
 
 impl Rule {
-    /// What names this rule.
+    /// The path that identifies this rule.
     pub fn path(&self, institution: &InstitutionId) -> RulePath {
         RulePath {
             institution: institution.clone(),
--- a/crates/core/src/config/endpoint.rs
+++ b/crates/core/src/config/endpoint.rs
@@ -7,38 +7,38 @@
 
 use crate::ids::{DataCentreId, PoolId, VmId};
 
-/// Whether an endpoint checks the fencing number of an order.
+/// Whether an endpoint checks the fencing token of an order.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug, Display, FromStr, Serialize, Deserialize)]
 #[display(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// It refuses an order with an old number.
+    /// It refuses an order with an outdated token.
     Checked,
-    /// It takes any order.
+    /// It accepts every order.
     #[default]
     Ignored,
 }
 
-/// One endpoint.
+/// Configuration of one endpoint.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
     /// The pool it belongs to.
     pub pool: PoolId,
-    /// Where it listens.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// The data centre it stands in.
+    /// The data centre it is in.
     pub data_centre: DataCentreId,
     /// The VM it runs on, if the platform's list names it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub vm: Option<VmId>,
-    /// Whether it checks fencing numbers.
+    /// Whether it checks fencing tokens.
     #[serde(default)]
     pub fencing: Fencing,
-    /// Whether an operator has asked it to take no new work.
+    /// Whether an operator drained it, so that it gets no new work.
     #[serde(default)]
     pub drained: bool,
 }
--- a/crates/core/src/config/institution.rs
+++ b/crates/core/src/config/institution.rs
@@ -10,16 +10,16 @@
 use crate::ids::{AccountId, PoolId};
 use crate::units::Rate;
 
-/// One institution.
+/// Configuration of one institution.
 #[derive(Clone, PartialEq, Default)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Institution {
-    /// Its terms.
+    /// Terms of service.
     pub contract: Contract,
     /// Its client accounts.
     pub accounts: BTreeMap<AccountId, Account>,
-    /// Where its requests go; the longest matching route wins.
+    /// Rules that map requests to pools; the longest matching route wins.
     pub rules: Vec<Rule>,
 }
 
@@ -28,9 +28,9 @@
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Contract {
-    /// Weight in an endpoint's queue, against other institutions.
+    /// Weight in an endpoint's queue, relative to other institutions.
     pub share: u32,
-    /// How long a claimed idempotency key is remembered.
+    /// How long a claimed idempotency key is retained.
     pub key_lifetime: Millis,
     /// Longest time a request may wait before it runs.
     pub queue_wait: Millis,
@@ -46,23 +46,23 @@
     }
 }
 
-/// One client account.
+/// Configuration of one client account.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
     /// Hash of its bearer key.
     pub key: KeyHash,
-    /// Requests a second, over the whole fleet.
+    /// Limit of requests per second, over the fleet.
     #[serde(default = "default_rate")]
     pub rate: Rate,
-    /// Requests in flight, over the whole fleet.
+    /// Limit of requests in flight, over the fleet.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
 }
 
 impl Account {
-    /// An account with the usual limits.
+    /// An account with the default limits.
     pub const fn new(key: KeyHash) -> Self {
         Self {
             key,
@@ -88,7 +88,7 @@
 pub struct KeyHash(pub [u8; 32]);
 
 impl KeyHash {
-    /// Hashes a bearer key.
+    /// Computes the hash of a bearer key.
     pub fn of(key: &[u8]) -> Self {
         Self(*blake3::hash(key).as_bytes())
     }
@@ -104,18 +104,18 @@
     }
 }
 
-/// Where one route's requests go, and whether they may run twice.
+/// Maps the requests of one route to a pool.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Path prefix, such as `/v1/chat/completions`.
     pub route: String,
-    /// The model asked for; any if absent.
+    /// The requested model; any if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
-    /// The pool that serves it.
+    /// The pool that serves the requests.
     pub pool: PoolId,
-    /// Whether a second run does no harm.
+    /// Whether the requests may safely run twice.
     pub idempotent: bool,
 }
--- a/crates/core/src/config/item.rs
+++ b/crates/core/src/config/item.rs
@@ -1,4 +1,4 @@
-//! What can be named in a configuration: the things operators create and drop.
+//! Identifiers of a configuration's items, which operators create and drop.
 
 use std::str::FromStr;
 
@@ -7,28 +7,28 @@
 use crate::ids::{AccountId, EndpointId, IdError, InstitutionId, PoolId};
 use crate::operator::Quoted;
 
-/// Result of reading a path.
+/// Result of parsing a path.
 pub type Result<T> = std::result::Result<T, PathError>;
 
-/// A path that names no account.
+/// A text that isn't an account's path.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 pub enum PathError {
     /// No dot between institution and account.
     #[display("write an account as `<institution>.<account>`")]
     NoDot,
-    /// A name that can't be used.
+    /// An invalid identifier.
     #[display("{_0}")]
     Name(IdError),
 }
 
-/// An account together with its institution.
+/// Path of an account: its institution and its name.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 #[debug("{institution}.{account}")]
 #[display("{institution}.{account}")]
 pub struct AccountPath {
-    /// Whose account it is.
+    /// The institution it belongs to.
     pub institution: InstitutionId,
     /// The account.
     pub account: AccountId,
@@ -46,11 +46,11 @@
     }
 }
 
-/// A rule together with its institution: one for each route and model.
+/// Path of a rule: its institution, route and model, which are unique together.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 pub struct RulePath {
-    /// Whose rule it is.
+    /// The institution it belongs to.
     pub institution: InstitutionId,
     /// The route it matches.
     pub route: String,
@@ -68,7 +68,7 @@
     }
 }
 
-/// One thing in a configuration.
+/// Identifier of an item.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 pub enum ItemId {
--- a/crates/core/src/config/pool.rs
+++ b/crates/core/src/config/pool.rs
@@ -1,4 +1,4 @@
-//! A pool: endpoints that serve the same thing under the same bound.
+//! A pool: endpoints that serve the same model or service, with the same limits.
 
 use derive_more::{Debug, Display, FromStr};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::ids::ModelId;
 
-/// What kind of endpoints a pool holds.
+/// Kind of a pool's endpoints.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display, FromStr, Serialize, Deserialize)]
 #[display(rename_all = "kebab-case")]
@@ -19,7 +19,7 @@
     Service,
 }
 
-/// What an endpoint's refusal says of the request.
+/// Whether a request that an endpoint refused may have run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display, FromStr, Serialize, Deserialize)]
 #[display(rename_all = "kebab-case")]
@@ -32,7 +32,7 @@
     Unknown,
 }
 
-/// One pool.
+/// Configuration of one pool.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -51,18 +51,18 @@
     /// Requests that may wait at one endpoint's home.
     #[serde(default = "default_queue")]
     pub queue: u32,
-    /// What an endpoint's refusal says.
+    /// Whether a request that an endpoint refused may have run.
     #[serde(default = "default_refusal")]
     pub refusal: RefusalMeaning,
     /// Longest wait for an endpoint's first byte.
     #[serde(default = "default_first_byte")]
     pub first_byte: Millis,
-    /// Longest gap between two pieces of an answer.
+    /// Longest gap between two pieces of a response.
     #[serde(default = "default_gap")]
     pub gap: Millis,
 }
 
-/// The load bound unless set.
+/// Default load bound, as a multiple of the pool's mean load.
 pub const DEFAULT_LOAD_BOUND: f64 = 1.25;
 
 const fn default_load_bound() -> f64 {
@@ -90,7 +90,7 @@
 }
 
 impl Pool {
-    /// A pool with the usual limits.
+    /// A pool with the default limits.
     pub const fn new(kind: PoolKind) -> Self {
         Self {
             kind,
--- a/crates/core/src/operator.rs
+++ b/crates/core/src/operator.rs
@@ -1,10 +1,10 @@
 //! The operators' query and command language.
 //!
-//! A text holds statements, each on a line of its own or parted by `;`. `#`
-//! begins a comment. Each statement is a verb, a noun and a name, then pairs
-//! of a key and a value. Texts with spaces or marks stand in double quotes.
-//! All statements of a text are read, and every error is reported with the
-//! word it points at.
+//! A text consists of statements separated by line breaks or `;`. `#` starts a
+//! comment. A statement is a verb, a noun and a name, followed by pairs of a key
+//! and a value. Values with spaces or special characters are put in double
+//! quotes. All statements of a text are parsed, and every error is reported with
+//! the word that it concerns.
 
 pub mod answer;
 mod display;
--- a/crates/core/src/operator/answer.rs
+++ b/crates/core/src/operator/answer.rs
@@ -1,4 +1,4 @@
-//! What a daemon answers to an operator's text; shared with the client.
+//! Requests and answers of the operator API; shared with the client.
 
 use derive_more::{Debug, Display, FromStr};
 use serde::{Deserialize, Serialize};
@@ -11,124 +11,124 @@
 use crate::clock::Millis;
 use crate::ids::{ChangeId, DaemonId, Generation};
 
-/// Path of the operators' requests.
+/// URL path of the operator API.
 pub const OPERATOR_PATH: &str = "/v1/operator";
 
-/// What the client sends.
+/// Request body, sent by the client.
 #[serde_as]
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// Names the change, so that it may be sent again.
+    /// Identifier of the change, which makes retries safe.
     pub change: ChangeId,
-    /// The text.
+    /// The statements' text.
     pub statements: String,
-    /// Whether to wait until every live daemon has the generation.
+    /// Whether to wait until every live daemon has applied the generation.
     #[serde(default)]
     pub wait: bool,
-    /// How long the daemon may take in all.
+    /// Total time that the daemon may take.
     #[serde(default = "default_timeout")]
     pub timeout: Millis,
-    /// The generation that the operator has seen; what changed since conflicts.
+    /// The generation that the change is based on; parts changed since conflict.
     #[serde_as(as = "Option<FromInto<u64>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<Generation>,
-    /// Whether it was sent before, so that it may be under way elsewhere.
+    /// Whether it was sent before and may be in progress at another daemon.
     #[serde(default)]
     pub repeat: bool,
 }
 
-/// How long a daemon may take unless told.
+/// Default of `Request::timeout`.
 pub const DEFAULT_TIMEOUT: Millis = Millis::from_secs(10);
 
 const fn default_timeout() -> Millis {
     DEFAULT_TIMEOUT
 }
 
-/// What the daemon answers.
+/// Response body, sent by the daemon.
 #[serde_as]
 #[derive(Clone, PartialEq, Default)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Answer {
-    /// One for each statement, in their order.
+    /// One result for each statement, in order.
     pub results: Vec<StatementResult>,
-    /// Live daemons that don't have the generation yet.
+    /// Live daemons that haven't applied the generation yet.
     pub lagging: Vec<DaemonId>,
     /// The newest generation that the daemon knows.
     #[serde_as(as = "FromInto<u64>")]
     pub generation: Generation,
 }
 
-/// What became of one statement.
+/// Result of one statement.
 #[serde_as]
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StatementResult {
-    /// The statement as given.
+    /// The statement's source text.
     pub statement: String,
-    /// What became of it.
+    /// How it ended.
     pub verdict: Verdict,
-    /// The generation that has it, if it was accepted.
+    /// The generation that contains it, if it was accepted.
     #[serde_as(as = "Option<FromInto<u64>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub generation: Option<Generation>,
     /// What is wrong with it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<Finding>,
-    /// What was asked for.
+    /// The table that a `show` statement requested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub table: Option<Table>,
 }
 
-/// What became of a statement.
+/// How a statement ended.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug, Display, FromStr, Serialize, Deserialize)]
 #[display(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The change is accepted and won't be lost.
+    /// The change was accepted, durably.
     Accepted,
-    /// The question is answered or the order carried out.
+    /// The query was answered, or the order carried out.
     Done,
-    /// Something is wrong with it; nothing was changed.
+    /// It is invalid; nothing was changed.
     Refused,
-    /// Another change came first; nothing was changed.
+    /// It conflicts with an earlier change; nothing was changed.
     Conflict,
-    /// It may have been accepted: ask again with the same change.
+    /// It may have been accepted: retry with the same change identifier.
     Unknown,
-    /// It can't be done now; nothing was changed.
+    /// It can't be done at present; nothing was changed.
     Unavailable,
 }
 
-/// One thing wrong, and where.
+/// An error, and its place.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Serialize, Deserialize)]
 #[display("{place}: {message}")]
 pub struct Finding {
-    /// The place in words, such as `statement 1, word 4`.
+    /// The place for display, such as `statement 1, word 4`.
     pub place: String,
-    /// The place in bytes of the text, if it is there.
+    /// The byte range in the text, if the place is in the text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub span: Option<Span>,
     /// What is wrong.
     pub message: String,
 }
 
-/// Rows under named columns.
+/// A table with named columns.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Table {
     /// Names of the columns.
     pub columns: Vec<String>,
-    /// Rows, each with a cell for each column.
+    /// Rows, each with one cell per column.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Finding {
-    /// A finding at no place in the text.
+    /// A finding without a place in the text.
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             place: place.into(),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Points at a stretch of the text.
+    /// Sets the byte range in the text.
     pub const fn with_span(mut self, span: Span) -> Self {
         self.span = Some(span);
         self
@@ -145,7 +145,7 @@
 }
 
 impl Table {
-    /// An empty table.
+    /// A table without rows.
     pub fn new(columns: &[&str]) -> Self {
         Self {
             columns: columns.iter().map(|&column| column.into()).collect(),
@@ -171,26 +171,26 @@
         }
     }
 
-    /// Names the generation that has it.
+    /// Sets the generation that contains it.
     pub const fn with_generation(mut self, generation: Generation) -> Self {
         self.generation = Some(generation);
         self
     }
 
-    /// Adds what is wrong with it.
+    /// Sets the findings.
     pub fn with_findings(mut self, findings: Vec<Finding>) -> Self {
         self.findings = findings;
         self
     }
 
-    /// Adds what was asked for.
+    /// Sets the table.
     pub fn with_table(mut self, table: Table) -> Self {
         self.table = Some(table);
         self
     }
 }
 
-/// Results for a text of which some statements can't be read.
+/// Results for the statements of a text that can't be parsed.
 pub fn syntax_results(text: &str, errors: &SyntaxErrors) -> Vec<StatementResult> {
     let result = |error: &super::SyntaxError| {
         let place = format!("statement {}, word {}", error.statement, error.word);
@@ -200,22 +200,22 @@
     errors.0.iter().map(result).collect()
 }
 
-/// Results for every sentence of a text, after its changes have come to an end.
+/// Results for every statement of a text, once the outcome of its changes is known.
 ///
-/// All changes of a text are made together or not at all, so they have one
-/// verdict; findings go to the sentences that they are about. What isn't a
-/// change is `Done`, and its table has yet to be added.
+/// The changes of a text are applied all or none, so they share one verdict;
+/// findings are attached to the statements that they concern. Other statements
+/// are `Done`, and the caller adds their tables.
 pub fn results(
     text: &str,
-    sentences: &[ParsedStatement],
+    statements: &[ParsedStatement],
     outcome: &Outcome,
 ) -> Vec<StatementResult> {
     let verdict = verdict(outcome);
     let mut findings = match outcome {
-        Outcome::Refused(faults) => locate(sentences, faults),
-        _ => vec![Vec::new(); sentences.len()],
+        Outcome::Refused(faults) => locate(statements, faults),
+        _ => vec![Vec::new(); statements.len()],
     };
-    let first = sentences.iter().position(|s| s.change().is_some());
+    let first = statements.iter().position(|s| s.change().is_some());
     if let Some((index, message)) = first.zip(reason(outcome)) {
         findings[index].push(Finding::new("configuration", message));
     }
@@ -223,17 +223,20 @@
         Outcome::Accepted(accepted) => Some(accepted.generation),
         _ => None,
     };
-    let results = sentences.iter().zip(findings).map(|(sentence, findings)| {
-        let statement = sentence.span.of(text);
-        if sentence.change().is_none() {
-            return StatementResult::new(statement, Verdict::Done);
-        }
-        let result = StatementResult::new(statement, verdict).with_findings(findings);
-        StatementResult {
-            generation,
-            ..result
-        }
-    });
+    let results = statements
+        .iter()
+        .zip(findings)
+        .map(|(statement, findings)| {
+            let source = statement.span.of(text);
+            if statement.change().is_none() {
+                return StatementResult::new(source, Verdict::Done);
+            }
+            let result = StatementResult::new(source, verdict).with_findings(findings);
+            StatementResult {
+                generation,
+                ..result
+            }
+        });
     results.collect()
 }
 
@@ -247,7 +250,7 @@
     }
 }
 
-/// Why a change ended as it did, apart from faults in its statements.
+/// Explains an outcome, apart from faults in the statements.
 fn reason(outcome: &Outcome) -> Option<String> {
     match outcome {
         Outcome::Accepted(_) | Outcome::Refused(_) => None,
@@ -258,33 +261,33 @@
     }
 }
 
-/// Findings for each sentence of a text, from faults in its changes.
+/// Findings for each statement of a text, from faults in its changes.
 ///
-/// The faults count the changes alone; a fault that no change is to blame for
-/// goes to the first change.
-pub fn locate(sentences: &[ParsedStatement], faults: &Faults) -> Vec<Vec<Finding>> {
-    let mut findings = vec![Vec::new(); sentences.len()];
-    let changes = sentences.iter().enumerate();
+/// A fault's index counts only the statements that are changes; a fault without
+/// an index is attached to the first change.
+pub fn locate(statements: &[ParsedStatement], faults: &Faults) -> Vec<Vec<Finding>> {
+    let mut findings = vec![Vec::new(); statements.len()];
+    let changes = statements.iter().enumerate();
     let changes: Vec<_> = changes
-        .filter(|(_, sentence)| sentence.change().is_some())
+        .filter(|(_, statement)| statement.change().is_some())
         .map(|(index, _)| index)
         .collect();
     for fault in &faults.0 {
         let index = changes.get(fault.change.unwrap_or(0)).copied();
         let Some(index) = index else { continue };
-        let finding = place(index, &sentences[index], fault);
+        let finding = finding_at(index, &statements[index], fault);
         findings[index].push(finding);
     }
     findings
 }
 
-fn place(index: usize, sentence: &ParsedStatement, fault: &crate::change::Fault) -> Finding {
+fn finding_at(index: usize, statement: &ParsedStatement, fault: &crate::change::Fault) -> Finding {
     let cause = &fault.finding;
-    let own = sentence.change().map(|c| c.item()) == Some(cause.item.clone());
+    let own = statement.change().map(|c| c.item()) == Some(cause.item.clone());
     if fault.change.is_none() {
         return Finding::new(cause.item.to_string(), &cause.message);
     }
-    let word = sentence.place(cause.field.filter(|_| own));
+    let word = statement.position(cause.field.filter(|_| own));
     let place = format!("statement {}, word {}", index + 1, word.number);
     Finding::new(place, cause.to_string()).with_span(word.span)
 }
--- a/crates/core/src/operator/display.rs
+++ b/crates/core/src/operator/display.rs
@@ -1,4 +1,4 @@
-//! Statements back to text; what is written here reads back as the same.
+//! Formats statements as text; parsing the text gives the same statements.
 
 use std::fmt::{Display, Formatter, Result};
 
--- a/crates/core/src/operator/parse.rs
+++ b/crates/core/src/operator/parse.rs
@@ -1,4 +1,4 @@
-//! Text to statements.
+//! Parses a text into statements.
 
 mod change;
 mod error;
@@ -7,62 +7,65 @@
 
 use super::span::Span;
 use super::statement::{Change, Statement};
-use super::token::{self, Line, TokenKind};
+use super::token::{self, StatementTokens, TokenKind};
 
 pub use error::{SyntaxError, SyntaxErrors};
 
-/// Longest text, in bytes.
+/// Maximum length of a text, in bytes.
 pub const MAX_TEXT: usize = 1 << 20;
 
-/// Result of reading a text.
+/// Result of parsing a text.
 pub type Result<T> = std::result::Result<T, SyntaxErrors>;
 
-/// A statement with the places of its words.
+/// A statement with the byte ranges of its words.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ParsedStatement {
-    /// What it says.
+    /// The statement.
     pub statement: Statement,
-    /// Where it stands.
+    /// Byte range in the text.
     pub span: Span,
     words: Vec<Word>,
 }
 
-/// A word and its place.
+/// A word, unquoted, and its byte range.
 #[derive(Clone, PartialEq, Eq, Debug)]
 struct Word {
     text: String,
     span: Span,
 }
 
-/// Reads every statement of a text.
+/// Parses every statement of a text.
 ///
 /// # Errors
 ///
-/// All statements that can't be read, each with the word in question.
+/// One error for each statement that can't be parsed, with the word that it concerns.
 pub fn parse(text: &str) -> Result<Vec<ParsedStatement>> {
     if text.len() > MAX_TEXT {
         return Err(SyntaxError::too_long(text.len()).into());
     }
-    let mut sentences = Vec::new();
+    let mut statements = Vec::new();
     let mut errors = Vec::new();
-    for (index, line) in token::split(text).iter().enumerate() {
-        match sentence(text, line) {
-            Ok(sentence) => sentences.push(sentence),
-            Err(syntax) => errors.push(SyntaxError::new(text, index + 1, line, syntax)),
+    for (index, source) in token::tokenize(text).iter().enumerate() {
+        match parse_statement(text, source) {
+            Ok(statement) => statements.push(statement),
+            Err(error) => errors.push(SyntaxError::new(text, index + 1, source, error)),
         }
     }
     if errors.is_empty() {
-        return Ok(sentences);
+        return Ok(statements);
     }
     Err(SyntaxErrors(errors))
 }
 
-fn sentence(text: &str, line: &Line) -> std::result::Result<ParsedStatement, error::Syntax> {
-    let statement = word::statement(&line.tokens)?;
-    let words = line.tokens.iter().map(|token| Word::new(text, token));
+fn parse_statement(
+    text: &str,
+    source: &StatementTokens,
+) -> std::result::Result<ParsedStatement, error::ParseError> {
+    let statement = word::statement(&source.tokens)?;
+    let words = source.tokens.iter().map(|token| Word::new(text, token));
     Ok(ParsedStatement {
         statement,
-        span: line.span(),
+        span: source.span(),
         words: words.collect(),
     })
 }
@@ -80,17 +83,17 @@
     }
 }
 
-/// One word of a sentence, counted from 1.
+/// Position of one word of a statement.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct WordPosition {
-    /// Which word it is.
+    /// Number of the word in its statement, from 1.
     pub number: usize,
-    /// Where it stands.
+    /// Byte range in the text.
     pub span: Span,
 }
 
 impl ParsedStatement {
-    /// The change it asks for, if it is one.
+    /// The change, if the statement is one.
     pub fn change(&self) -> Option<&Change> {
         match &self.statement {
             Statement::Change(change) => Some(change),
@@ -98,9 +101,9 @@
         }
     }
 
-    /// The value given for a field; else the name of the thing.
-    pub fn place(&self, field: Option<&str>) -> WordPosition {
-        // After the verb, words come in pairs of key and value.
+    /// Position of a field's value; without the field, of the item's name.
+    pub fn position(&self, field: Option<&str>) -> WordPosition {
+        // After the verb, words are pairs of key and value.
         let keys = (1..self.words.len()).step_by(2);
         let named = |index: &usize| Some(self.words[*index].text.as_str()) == field;
         let key = keys.into_iter().find(named).unwrap_or(1);
--- a/crates/core/src/operator/parse/change.rs
+++ b/crates/core/src/operator/parse/change.rs
@@ -1,9 +1,9 @@
-//! Statements that change the configuration.
+//! Parsers of statements that change the configuration.
 
 use super::super::statement::{Change, Item};
 use super::super::terms::{AccountTerms, EndpointTerms, InstitutionTerms, PoolTerms, RuleTerms};
-use super::error::Syntax;
-use super::word::{Branch, Field, Input, Result, branch, fields, keyword, need, set, value};
+use super::error::ParseError;
+use super::word::{Branch, Field, Input, Result, branch, fields, keyword, require, set, value};
 use crate::config::{ItemId, RulePath};
 use crate::ids::EndpointId;
 use crate::operator::Text;
@@ -126,15 +126,15 @@
     },
     Field {
         key: "idempotent",
-        read: |terms, input| once(&mut terms.idempotent, true, input),
+        read: |terms, input| set_flag(&mut terms.idempotent, true, input),
     },
     Field {
         key: "non-idempotent",
-        read: |terms, input| once(&mut terms.idempotent, false, input),
+        read: |terms, input| set_flag(&mut terms.idempotent, false, input),
     },
 ];
 
-/// Whether a statement makes a thing or changes it.
+/// Whether a statement creates or alters an item.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Verb {
     Create,
@@ -142,8 +142,8 @@
 }
 
 impl Verb {
-    /// Fails unless a new thing is given every key it needs, and a changed one any.
-    fn check<T>(
+    /// Checks that `create` has all required keys, and `alter` at least one key.
+    fn require_keys<T>(
         self,
         needed: &[&[&'static str]],
         table: &[Field<T>],
@@ -151,21 +151,23 @@
         input: &Input<'_>,
     ) -> Result<()> {
         if self == Self::Create {
-            return needed.iter().try_for_each(|keys| need(keys, seen, input));
+            return needed
+                .iter()
+                .try_for_each(|keys| require(keys, seen, input));
         }
         let keys: Vec<_> = table.iter().map(|field| field.key).collect();
-        need(&keys, seen, input)
+        require(&keys, seen, input)
     }
 }
 
 const NOUNS: [&str; 5] = ["institution", "account", "pool", "endpoint", "rule"];
 
-/// Reads what follows `create`.
+/// Parses the words after `create`.
 pub(super) fn create(input: &mut Input<'_>) -> Result<Change> {
     item(Verb::Create, input).map(Change::Create)
 }
 
-/// Reads what follows `alter`.
+/// Parses the words after `alter`.
 pub(super) fn alter(input: &mut Input<'_>) -> Result<Change> {
     item(Verb::Alter, input).map(Change::Alter)
 }
@@ -183,21 +185,21 @@
 fn institution(verb: Verb, input: &mut Input<'_>) -> Result<InstitutionTerms> {
     let mut terms = InstitutionTerms::new(value(NAME, input)?);
     let seen = fields(INSTITUTION, &mut terms, input)?;
-    verb.check(&[], INSTITUTION, &seen, input)?;
+    verb.require_keys(&[], INSTITUTION, &seen, input)?;
     Ok(terms)
 }
 
 fn account(verb: Verb, input: &mut Input<'_>) -> Result<AccountTerms> {
     let mut terms = AccountTerms::new(value(ACCOUNT, input)?);
     let seen = fields(ACCOUNT_FIELDS, &mut terms, input)?;
-    verb.check(&[&["key-hash"]], ACCOUNT_FIELDS, &seen, input)?;
+    verb.require_keys(&[&["key-hash"]], ACCOUNT_FIELDS, &seen, input)?;
     Ok(terms)
 }
 
 fn pool(verb: Verb, input: &mut Input<'_>) -> Result<PoolTerms> {
     let mut terms = PoolTerms::new(value(NAME, input)?);
     let seen = fields(POOL, &mut terms, input)?;
-    verb.check(&[&["kind"]], POOL, &seen, input)?;
+    verb.require_keys(&[&["kind"]], POOL, &seen, input)?;
     Ok(terms)
 }
 
@@ -205,7 +207,7 @@
     let mut terms = EndpointTerms::new(value(NAME, input)?);
     let seen = fields(ENDPOINT, &mut terms, input)?;
     let needed: &[&[_]] = &[&["pool"], &["address"], &["data-centre"]];
-    verb.check(needed, ENDPOINT, &seen, input)?;
+    verb.require_keys(needed, ENDPOINT, &seen, input)?;
     Ok(terms)
 }
 
@@ -213,7 +215,7 @@
     let mut terms = RuleTerms::new(rule_path(input)?);
     let seen = fields(RULE, &mut terms, input)?;
     let needed: &[&[_]] = &[&["pool"], &["idempotent", "non-idempotent"]];
-    verb.check(needed, &RULE[1..], &seen, input)?;
+    verb.require_keys(needed, &RULE[1..], &seen, input)?;
     Ok(terms)
 }
 
@@ -228,18 +230,18 @@
     })
 }
 
-fn once(slot: &mut Option<bool>, flag: bool, input: &Input<'_>) -> Result<()> {
+fn set_flag(slot: &mut Option<bool>, flag: bool, input: &Input<'_>) -> Result<()> {
     if slot.replace(flag).is_none() {
         return Ok(());
     }
     let expected = "only one of `idempotent` and `non-idempotent`".into();
-    Err(Syntax {
-        left: input.len() + 1,
+    Err(ParseError {
+        remaining: input.len() + 1,
         expected,
     })
 }
 
-const DROPPED: &[Branch<ItemId>] = &[
+const DROP_ITEMS: &[Branch<ItemId>] = &[
     Branch {
         key: "institution",
         read: |input| value(NAME, input).map(ItemId::Institution),
@@ -266,17 +268,17 @@
     },
 ];
 
-/// Reads what follows `drop`.
+/// Parses the words after `drop`.
 pub(super) fn drop(input: &mut Input<'_>) -> Result<Change> {
-    branch(DROPPED, input).map(Change::Drop)
+    branch(DROP_ITEMS, input).map(Change::Drop)
 }
 
-/// Reads what follows `drain`.
+/// Parses the words after `drain`.
 pub(super) fn drain(input: &mut Input<'_>) -> Result<Change> {
     named_endpoint(input).map(Change::Drain)
 }
 
-/// Reads what follows `undrain`.
+/// Parses the words after `undrain`.
 pub(super) fn undrain(input: &mut Input<'_>) -> Result<Change> {
     named_endpoint(input).map(Change::Undrain)
 }
--- a/crates/core/src/operator/parse/error.rs
+++ b/crates/core/src/operator/parse/error.rs
@@ -1,29 +1,29 @@
-//! What can't be read, and what was expected instead.
+//! Syntax errors: the place, and what was expected there.
 
 use derive_more::{Debug, Display, Error};
 use winnow::error::ParserError;
 use winnow::stream::TokenSlice;
 
 use super::super::span::Span;
-use super::super::token::{Line, Token};
+use super::super::token::{StatementTokens, Token};
 use super::MAX_TEXT;
 
-/// What was expected at the next word, or is wrong with the last one.
+/// Error of a parser: what was expected at a word.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub(super) struct Syntax {
-    /// Words left, counting the one in question.
-    pub(super) left: usize,
+pub(super) struct ParseError {
+    /// Number of remaining words, including the one that the error concerns.
+    pub(super) remaining: usize,
     /// What was expected.
     pub(super) expected: String,
 }
 
-impl<'a> ParserError<TokenSlice<'a, Token>> for Syntax {
+impl<'a> ParserError<TokenSlice<'a, Token>> for ParseError {
     type Inner = Self;
 
     fn from_input(input: &TokenSlice<'a, Token>) -> Self {
         Self {
-            left: input.len(),
+            remaining: input.len(),
             expected: "another word".into(),
         }
     }
@@ -33,24 +33,24 @@
     }
 }
 
-/// A statement that can't be read.
+/// A statement that can't be parsed.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 #[display("statement {statement}, word {word}: {message}")]
 pub struct SyntaxError {
-    /// Which statement it is, counted from 1.
+    /// Number of the statement, from 1.
     pub statement: usize,
-    /// Which word of it, counted from 1.
+    /// Number of the word in the statement, from 1.
     pub word: usize,
-    /// Where the word stands; empty at the end of a statement.
+    /// Byte range of the word; empty at the end of a statement.
     pub span: Span,
-    /// Where the statement stands.
+    /// Byte range of the statement.
     pub whole: Span,
-    /// What was expected.
+    /// What was expected and what was found.
     pub message: String,
 }
 
-/// All statements of a text that can't be read.
+/// All syntax errors of a text.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 #[display("{}", _0.iter().map(SyntaxError::to_string).collect::<Vec<_>>().join("\n"))]
@@ -63,10 +63,15 @@
 }
 
 impl SyntaxError {
-    pub(super) fn new(text: &str, statement: usize, line: &Line, syntax: Syntax) -> Self {
-        let index = line.tokens.len() - syntax.left;
-        let end = Span::from(line.end..line.end);
-        let span = line.tokens.get(index).map_or(end, |token| token.span);
+    pub(super) fn new(
+        text: &str,
+        statement: usize,
+        source: &StatementTokens,
+        error: ParseError,
+    ) -> Self {
+        let index = source.tokens.len() - error.remaining;
+        let end = Span::from(source.end..source.end);
+        let span = source.tokens.get(index).map_or(end, |token| token.span);
         let found = match span.of(text) {
             "" => "the statement ends here".into(),
             word => format!("found `{word}`"),
@@ -75,8 +80,8 @@
             statement,
             word: index + 1,
             span,
-            whole: line.span(),
-            message: format!("expected {}; {found}", syntax.expected),
+            whole: source.span(),
+            message: format!("expected {}; {found}", error.expected),
         }
     }
 
--- a/crates/core/src/operator/parse/show.rs
+++ b/crates/core/src/operator/parse/show.rs
@@ -1,10 +1,10 @@
-//! Questions, and orders to engines.
+//! Parsers of queries and of orders to engines.
 
 use super::super::quote::Text;
 use super::super::statement::{Condition, List, Order, OrderKind, Relation, Show, Topic};
 use super::super::token::TokenKind;
-use super::error::Syntax;
-use super::word::{Branch, Input, Result, branch, found, keyword, value};
+use super::error::ParseError;
+use super::word::{Branch, Input, Result, accept_keyword, branch, keyword, value};
 
 const NAME: &str = "a name";
 const COLUMN: &str = "a column's name";
@@ -29,7 +29,7 @@
     },
 ];
 
-/// Reads what follows `order`.
+/// Parses the words after `order`.
 pub(super) fn order(input: &mut Input<'_>) -> Result<Order> {
     keyword(&["engine"], input)?;
     let endpoint = value(NAME, input)?;
@@ -54,7 +54,7 @@
     "request",
 ];
 
-/// Reads what follows `show`.
+/// Parses the words after `show`.
 pub(super) fn show(input: &mut Input<'_>) -> Result<Show> {
     let index = keyword(&TOPICS, input)?;
     match TOPICS[index] {
@@ -66,7 +66,7 @@
 
 fn list(topic: Topic, input: &mut Input<'_>) -> Result<List> {
     let mut of = None;
-    if found("of", input) {
+    if accept_keyword("of", input) {
         of = Some(value(NAME, input)?);
     }
     let mut conditions = Vec::new();
@@ -112,5 +112,5 @@
     let mut parser = winnow::token::any.verify_map(relation);
     parser
         .parse_next(input)
-        .map_err(|_: Syntax| Syntax::at(input, "`=` or `!=`".into()))
+        .map_err(|_: ParseError| ParseError::at(input, "`=` or `!=`".into()))
 }
--- a/crates/core/src/operator/parse/word.rs
+++ b/crates/core/src/operator/parse/word.rs
@@ -1,4 +1,4 @@
-//! The small parsers that every statement is made of.
+//! Basic parsers, from which the statements' parsers are composed.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -8,27 +8,27 @@
 
 use super::super::statement::Statement;
 use super::super::token::{Token, TokenKind};
-use super::error::Syntax;
+use super::error::ParseError;
 use super::{change, show};
 
-/// The words still to be read.
+/// The remaining words.
 pub(super) type Input<'a> = TokenSlice<'a, Token>;
-/// Result of reading some words.
-pub(super) type Result<T> = std::result::Result<T, Syntax>;
+/// Result of a parser.
+pub(super) type Result<T> = std::result::Result<T, ParseError>;
 
-/// A parser of what follows a keyword.
+/// A keyword, and the parser of the words after it.
 pub(super) struct Branch<T> {
     /// The keyword.
     pub(super) key: &'static str,
-    /// Reads what follows.
+    /// Parses the words after it.
     pub(super) read: fn(&mut Input<'_>) -> Result<T>,
 }
 
-/// A term of a thing: a key with its value.
+/// A term of an item: a key and the parser of its value.
 pub(super) struct Field<T> {
     /// The key.
     pub(super) key: &'static str,
-    /// Reads the value into the terms.
+    /// Parses the value and stores it in the terms.
     pub(super) read: fn(&mut T, &mut Input<'_>) -> Result<()>,
 }
 
@@ -63,7 +63,7 @@
     },
 ];
 
-/// Reads one statement, to its end.
+/// Parses one complete statement.
 pub(super) fn statement(tokens: &[Token]) -> Result<Statement> {
     let mut input = TokenSlice::new(tokens);
     let statement = branch(VERBS, &mut input)?;
@@ -71,14 +71,14 @@
     Ok(statement)
 }
 
-/// Reads a keyword and what follows it.
+/// Parses a keyword and the words after it.
 pub(super) fn branch<T>(branches: &[Branch<T>], input: &mut Input<'_>) -> Result<T> {
     let keys: Vec<_> = branches.iter().map(|branch| branch.key).collect();
     let index = keyword(&keys, input)?;
     (branches[index].read)(input)
 }
 
-/// Reads one of some keywords and says which.
+/// Parses one of the keywords and returns its index.
 pub(super) fn keyword(keys: &[&'static str], input: &mut Input<'_>) -> Result<usize> {
     let found = |token: &&Token| match &token.kind {
         TokenKind::Word(word) => keys.iter().position(|key| key == word),
@@ -87,15 +87,15 @@
     let mut parser = winnow::token::any.verify_map(|token| found(&token));
     parser
         .parse_next(input)
-        .map_err(|error: Syntax| error.with_expected(any_of(keys)))
+        .map_err(|error: ParseError| error.with_expected(any_of(keys)))
 }
 
-/// Whether the next word is the keyword; reads it if so.
-pub(super) fn found(key: &'static str, input: &mut Input<'_>) -> bool {
+/// Consumes the next word if it is the keyword; returns whether it was.
+pub(super) fn accept_keyword(key: &'static str, input: &mut Input<'_>) -> bool {
     keyword(&[key], input).is_ok()
 }
 
-/// Reads the words up to the end as terms, in any order.
+/// Parses the remaining words as terms in any order, and returns the keys.
 pub(super) fn fields<T>(
     table: &[Field<T>],
     terms: &mut T,
@@ -103,22 +103,22 @@
 ) -> Result<Vec<&'static str>> {
     let mut seen = Vec::new();
     while !input.is_empty() {
-        let left = table.iter().filter(|field| !seen.contains(&field.key));
-        let left: Vec<_> = left.collect();
-        let keys: Vec<_> = left.iter().map(|field| field.key).collect();
+        let unused = table.iter().filter(|field| !seen.contains(&field.key));
+        let unused: Vec<_> = unused.collect();
+        let keys: Vec<_> = unused.iter().map(|field| field.key).collect();
         if keys.is_empty() {
             break;
         }
         let index = keyword(&keys, input)?;
         seen.push(keys[index]);
-        (left[index].read)(terms, input)?;
+        (unused[index].read)(terms, input)?;
     }
     end(input)?;
     Ok(seen)
 }
 
-/// Fails unless some of the keys were seen.
-pub(super) fn need(
+/// Fails unless at least one of the keys was given.
+pub(super) fn require(
     needed: &[&'static str],
     seen: &[&'static str],
     input: &Input<'_>,
@@ -126,10 +126,10 @@
     if needed.iter().any(|key| seen.contains(key)) {
         return Ok(());
     }
-    Err(Syntax::at(input, any_of(needed)))
+    Err(ParseError::at(input, any_of(needed)))
 }
 
-/// Reads a value into its slot.
+/// Parses a value and stores it.
 pub(super) fn set<T: FromStr<Err: Display>>(
     slot: &mut Option<T>,
     what: &str,
@@ -139,9 +139,9 @@
     Ok(())
 }
 
-/// Reads a value, in quotes or without.
+/// Parses a value, quoted or not.
 pub(super) fn value<T: FromStr<Err: Display>>(what: &str, input: &mut Input<'_>) -> Result<T> {
-    let left = input.len();
+    let remaining = input.len();
     let text = |token: &Token| match &token.kind {
         TokenKind::Word(word) | TokenKind::Quoted(word) => Some(word.clone()),
         _ => None,
@@ -149,19 +149,19 @@
     let mut parser = winnow::token::any.verify_map(text);
     let text = parser
         .parse_next(input)
-        .map_err(|error: Syntax| error.with_expected(what.into()))?;
-    text.parse().map_err(|error| Syntax {
-        left,
+        .map_err(|error: ParseError| error.with_expected(what.into()))?;
+    text.parse().map_err(|error| ParseError {
+        remaining,
         expected: format!("{what} ({error})"),
     })
 }
 
-/// Fails unless all words were read.
+/// Fails unless all words were consumed.
 pub(super) fn end(input: &Input<'_>) -> Result<()> {
     if input.is_empty() {
         return Ok(());
     }
-    Err(Syntax::at(input, "the end of the statement".into()))
+    Err(ParseError::at(input, "the end of the statement".into()))
 }
 
 fn any_of(keys: &[&'static str]) -> String {
@@ -172,11 +172,11 @@
     }
 }
 
-impl Syntax {
+impl ParseError {
     /// An error at the next word.
     pub(super) fn at(input: &Input<'_>, expected: String) -> Self {
         Self {
-            left: input.len(),
+            remaining: input.len(),
             expected,
         }
     }
--- a/crates/core/src/operator/quote.rs
+++ b/crates/core/src/operator/quote.rs
@@ -1,4 +1,4 @@
-//! Free texts in statements, and how they are quoted.
+//! Free texts in statements, and their quoting.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 /// Result of reading a free text.
 pub type Result<T> = std::result::Result<T, TextError>;
 
-/// A text that can't stand in a statement.
+/// A text that is not allowed in a statement.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 pub enum TextError {
-    /// No text at all.
+    /// The empty text.
     #[display("the text must not be empty")]
     Empty,
     /// A control character.
@@ -20,12 +20,12 @@
     Control,
 }
 
-/// A text as a statement shows it: plain if it can be, else in quotes.
+/// Formats a text for a statement: without quotes if possible, else quoted.
 #[derive(Clone, Copy)]
 #[derive(Debug)]
 pub struct Quoted<'a>(pub &'a str);
 
-/// Whether a character may stand in a word without quotes.
+/// Whether a character is allowed in a word without quotes.
 pub(super) fn is_plain(c: char) -> bool {
     !c.is_whitespace() && !c.is_control() && !"\";#=!\\".contains(c)
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// A free text in a statement: a field, a value, an adapter.
+/// A free text in a statement, such as a column, a value or an adapter's name.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display)]
 #[debug("{_0:?}")]
@@ -48,7 +48,7 @@
 pub struct Text(Arc<str>);
 
 impl Text {
-    /// The text without quotes.
+    /// The unquoted text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/core/src/operator/span.rs
+++ b/crates/core/src/operator/span.rs
@@ -1,17 +1,17 @@
-//! Where in a text something stands.
+//! Byte ranges in a text.
 
 use std::ops::Range;
 
 use serde::{Deserialize, Serialize};
 
-/// A stretch of a text in bytes, written `[start, end]`.
+/// A half-open byte range of a text, serialised as `[start, end]`.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 #[derive(Serialize, Deserialize)]
 #[serde(from = "[usize; 2]", into = "[usize; 2]")]
 pub struct Span {
-    /// The first byte.
+    /// Offset of the first byte.
     pub start: usize,
-    /// The byte after the last.
+    /// Offset after the last byte.
     pub end: usize,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Span {
-    /// The text that it covers; empty if it lies outside.
+    /// The part of the text that it covers; empty if it is out of range.
     pub fn of(self, text: &str) -> &str {
         text.get(self.start..self.end).unwrap_or_default()
     }
--- a/crates/core/src/operator/statement.rs
+++ b/crates/core/src/operator/statement.rs
@@ -1,4 +1,4 @@
-//! Statements as types.
+//! Types of parsed statements.
 
 use derive_more::{Debug, Display, From, FromStr};
 
@@ -13,9 +13,9 @@
 pub enum Statement {
     /// Changes the configuration.
     Change(Change),
-    /// Tells an engine to change what it serves.
+    /// Orders an engine to change what it serves.
     Order(Order),
-    /// Asks what is true now.
+    /// Queries the current state.
     Show(Show),
 }
 
@@ -23,25 +23,25 @@
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Display)]
 pub enum Change {
-    /// Makes something new.
+    /// Creates an item.
     #[display("create {_0}")]
     Create(Item),
-    /// Changes terms of something.
+    /// Changes terms of an item.
     #[display("alter {_0}")]
     Alter(Item),
-    /// Removes something.
+    /// Removes an item.
     #[display("drop {_0}")]
     Drop(ItemId),
-    /// Lets an endpoint finish and gives it no new work.
+    /// Drains an endpoint: it finishes its requests and gets no new ones.
     #[display("drain endpoint {_0}")]
     Drain(EndpointId),
-    /// Gives a drained endpoint work again.
+    /// Ends the drain of an endpoint.
     #[display("undrain endpoint {_0}")]
     Undrain(EndpointId),
 }
 
 impl Change {
-    /// What is changed.
+    /// The item that is changed.
     pub fn item(&self) -> ItemId {
         match self {
             Self::Create(item) | Self::Alter(item) => item.id(),
@@ -51,7 +51,7 @@
     }
 }
 
-/// One thing with the terms that were given for it.
+/// An item with the given terms.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Display, From)]
 pub enum Item {
@@ -73,7 +73,7 @@
 }
 
 impl Item {
-    /// What it is.
+    /// The item's identifier.
     pub fn id(&self) -> ItemId {
         match self {
             Self::Institution(terms) => ItemId::Institution(terms.id.clone()),
@@ -90,13 +90,13 @@
 #[derive(Debug, Display)]
 #[display("order engine {endpoint} {kind}")]
 pub struct Order {
-    /// The engine.
+    /// The engine's endpoint.
     pub endpoint: EndpointId,
-    /// What it is to do.
+    /// The action to take.
     pub kind: OrderKind,
 }
 
-/// What an engine is to do.
+/// Action of an engine.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Display)]
 pub enum OrderKind {
@@ -106,52 +106,52 @@
     /// Serve one more adapter.
     #[display("load-adapter {_0}")]
     LoadAdapter(Text),
-    /// Serve another version.
+    /// Serve another version of the model.
     #[display("set-version {_0}")]
     SetVersion(Text),
-    /// Take another part in serving.
+    /// Change the role in serving.
     #[display("set-role {_0}")]
     SetRole(EngineRole),
 }
 
-/// An engine's part in serving.
+/// An engine's role in disaggregated serving.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display, FromStr)]
 #[display(rename_all = "kebab-case")]
 #[from_str(rename_all = "kebab-case")]
 pub enum EngineRole {
-    /// Reads prompts.
+    /// Processes prompts.
     Prefill,
-    /// Writes answers.
+    /// Generates output.
     Decode,
-    /// Does both.
+    /// Processes prompts and generates output.
     Both,
 }
 
-/// A question.
+/// A query.
 #[derive(Clone, PartialEq)]
 #[derive(Debug, Display)]
 pub enum Show {
-    /// All that stands under one topic.
+    /// A table about one topic.
     #[display("show {_0}")]
     List(List),
-    /// All about one endpoint.
+    /// Details of one endpoint.
     #[display("show endpoint {_0}")]
     Endpoint(EndpointId),
-    /// What became of one request.
+    /// State of one request.
     #[display("show request {_0}")]
     Request(RequestId),
 }
 
-/// A question for a table.
+/// A query for a table.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct List {
-    /// What is asked for.
+    /// Topic of the table.
     pub topic: Topic,
-    /// Only what belongs to this.
+    /// Filter: only rows that belong to this name.
     pub of: Option<Text>,
-    /// Only rows that meet all of these.
+    /// Filter: only rows that meet all conditions.
     pub conditions: Vec<Condition>,
 }
 
@@ -162,9 +162,9 @@
 pub struct Condition {
     /// Name of a column.
     pub field: Text,
-    /// How the column is compared.
+    /// Comparison operator.
     pub relation: Relation,
-    /// What it is compared with.
+    /// Value to compare with.
     pub value: Text,
 }
 
@@ -178,19 +178,19 @@
     }
 }
 
-/// How a column is compared.
+/// Comparison operator of a condition.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display)]
 pub enum Relation {
-    /// The same text.
+    /// The texts are equal.
     #[display("=")]
     Equal,
-    /// Another text.
+    /// The texts differ.
     #[display("!=")]
     Unequal,
 }
 
-/// What a table is about.
+/// Topic of a table.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Display, FromStr)]
 #[display(rename_all = "kebab-case")]
@@ -208,7 +208,7 @@
     Rules,
     /// Daemons and their state.
     Daemons,
-    /// Which daemon has which generation.
+    /// Generation in force at each daemon.
     Generations,
     /// Load of endpoints.
     Load,
@@ -218,7 +218,7 @@
     Claims,
     /// Control traffic and its budgets.
     Control,
-    /// Use of account limits.
+    /// Usage of account limits.
     Limits,
 }
 
--- a/crates/core/src/operator/terms.rs
+++ b/crates/core/src/operator/terms.rs
@@ -1,7 +1,7 @@
-//! What a `create` or `alter` statement says of one thing.
+//! Terms of an item, as given in a `create` or `alter` statement.
 //!
-//! A term that isn't given is left as it is by `alter`, and takes its default
-//! with `create`.
+//! `alter` leaves a term that isn't given unchanged; `create` sets it to its
+//! default.
 
 use std::net::SocketAddr;
 
@@ -17,14 +17,14 @@
     pub id: InstitutionId,
     /// Weight in an endpoint's queue.
     pub share: Option<u32>,
-    /// How long an idempotency key is remembered.
+    /// How long a claimed idempotency key is retained.
     pub key_lifetime: Option<Millis>,
     /// Longest time in a queue.
     pub queue_wait: Option<Millis>,
 }
 
 impl InstitutionTerms {
-    /// No term given yet.
+    /// Terms with only the identifier set.
     pub const fn new(id: InstitutionId) -> Self {
         Self {
             id,
@@ -42,14 +42,14 @@
     pub path: AccountPath,
     /// Hash of its bearer key.
     pub key: Option<KeyHash>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: Option<Rate>,
     /// Requests in flight.
     pub concurrency: Option<u32>,
 }
 
 impl AccountTerms {
-    /// No term given yet.
+    /// Terms with only the identifier set.
     pub const fn new(path: AccountPath) -> Self {
         Self {
             path,
@@ -75,16 +75,16 @@
     pub load_bound: Option<f64>,
     /// Requests that may wait for one endpoint.
     pub queue: Option<u32>,
-    /// What a refusal says.
+    /// Whether a refused request may have run.
     pub refusal: Option<RefusalMeaning>,
     /// Longest wait for the first byte.
     pub first_byte: Option<Millis>,
-    /// Longest gap between two pieces.
+    /// Longest gap between two pieces of a response.
     pub gap: Option<Millis>,
 }
 
 impl PoolTerms {
-    /// No term given yet.
+    /// Terms with only the identifier set.
     pub const fn new(id: PoolId) -> Self {
         Self {
             id,
@@ -109,16 +109,16 @@
     pub pool: Option<PoolId>,
     /// Where it listens.
     pub address: Option<SocketAddr>,
-    /// The data centre it stands in.
+    /// The data centre it is in.
     pub data_centre: Option<DataCentreId>,
     /// The VM it runs on.
     pub vm: Option<VmId>,
-    /// Whether it checks fencing numbers.
+    /// Whether it checks fencing tokens.
     pub fencing: Option<Fencing>,
 }
 
 impl EndpointTerms {
-    /// No term given yet.
+    /// Terms with only the identifier set.
     pub const fn new(id: EndpointId) -> Self {
         Self {
             id,
@@ -138,12 +138,12 @@
     pub path: RulePath,
     /// The pool that serves it.
     pub pool: Option<PoolId>,
-    /// Whether a second run does no harm.
+    /// Whether requests may safely run twice.
     pub idempotent: Option<bool>,
 }
 
 impl RuleTerms {
-    /// No term given yet.
+    /// Terms with only the identifier set.
     pub const fn new(path: RulePath) -> Self {
         Self {
             path,
--- a/crates/core/src/operator/token.rs
+++ b/crates/core/src/operator/token.rs
@@ -1,4 +1,4 @@
-//! Words of a text, each with its place.
+//! Tokenizer: splits a text into statements and tokens with their byte ranges.
 
 use winnow::combinator::{alt, delimited, opt, preceded, repeat};
 use winnow::error::EmptyError;
@@ -9,43 +9,43 @@
 use super::quote::is_plain;
 use super::span::Span;
 
-/// One word or mark.
+/// A word or an operator.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(super) struct Token {
-    /// What kind it is.
+    /// Kind and value.
     pub(super) kind: TokenKind,
-    /// Where it stands, with its quotes.
+    /// Byte range, including quotes.
     pub(super) span: Span,
 }
 
-/// What a word or mark is.
+/// Kind of a token.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub(super) enum TokenKind {
     /// A word without quotes: a keyword or a value.
     Word(String),
-    /// A text in quotes: always a value.
+    /// A quoted text: always a value.
     Quoted(String),
     /// `=`.
     Equal,
     /// `!=`.
     Unequal,
-    /// A quote that doesn't end on its line.
-    Open,
-    /// A mark of no meaning.
-    Stray(char),
+    /// A quoted text that isn't closed on its line.
+    UnclosedQuote,
+    /// A character that is not allowed here.
+    Unexpected(char),
 }
 
-/// The words of one statement, and where it ends.
+/// Tokens of one statement, and where it ends.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub(super) struct Line {
-    /// The words; never empty.
+pub(super) struct StatementTokens {
+    /// The tokens; never empty.
     pub(super) tokens: Vec<Token>,
-    /// Where one more word would stand.
+    /// Offset after the last token, where a missing word is reported.
     pub(super) end: usize,
 }
 
-impl Line {
-    /// Where the statement stands.
+impl StatementTokens {
+    /// Byte range of the statement.
     pub(super) fn span(&self) -> Span {
         let start = self.tokens.first().map_or(self.end, |t| t.span.start);
         Span {
@@ -58,41 +58,41 @@
 type Input<'a> = LocatingSlice<&'a str>;
 type Result<T> = std::result::Result<T, EmptyError>;
 
-/// Splits a text into statements and words; anything can be split.
-pub(super) fn split(text: &str) -> Vec<Line> {
-    let mut lines = Vec::new();
+/// Splits a text into statements and tokens; never fails.
+pub(super) fn tokenize(text: &str) -> Vec<StatementTokens> {
+    let mut statements = Vec::new();
     let mut tokens: Vec<Token> = Vec::new();
     let mut input = LocatingSlice::new(text);
-    while let Ok(piece) = piece(&mut input) {
-        match piece {
-            Piece::Token(token) => tokens.push(token),
-            Piece::Blank => {}
-            Piece::End => lines.extend(line(&mut tokens)),
+    while let Ok(lexeme) = lexeme(&mut input) {
+        match lexeme {
+            Lexeme::Token(token) => tokens.push(token),
+            Lexeme::Skipped => {}
+            Lexeme::End => statements.extend(take_statement(&mut tokens)),
         }
     }
-    lines.extend(line(&mut tokens));
-    lines
+    statements.extend(take_statement(&mut tokens));
+    statements
 }
 
-fn line(tokens: &mut Vec<Token>) -> Option<Line> {
+fn take_statement(tokens: &mut Vec<Token>) -> Option<StatementTokens> {
     let end = tokens.last()?.span.end;
     let tokens = std::mem::take(tokens);
-    Some(Line { tokens, end })
+    Some(StatementTokens { tokens, end })
 }
 
 #[derive(Clone)]
-enum Piece {
+enum Lexeme {
     Token(Token),
-    Blank,
+    Skipped,
     End,
 }
 
-fn piece(input: &mut Input<'_>) -> Result<Piece> {
+fn lexeme(input: &mut Input<'_>) -> Result<Lexeme> {
     alt((
-        one_of(['\n', ';']).value(Piece::End),
-        take_while(1.., |c: char| c.is_whitespace() && c != '\n').value(Piece::Blank),
-        ('#', take_till(0.., '\n')).value(Piece::Blank),
-        token.map(Piece::Token),
+        one_of(['\n', ';']).value(Lexeme::End),
+        take_while(1.., |c: char| c.is_whitespace() && c != '\n').value(Lexeme::Skipped),
+        ('#', take_till(0.., '\n')).value(Lexeme::Skipped),
+        token.map(Lexeme::Token),
     ))
     .parse_next(input)
 }
@@ -103,7 +103,7 @@
         quoted,
         "!=".value(TokenKind::Unequal),
         '='.value(TokenKind::Equal),
-        any.map(TokenKind::Stray),
+        any.map(TokenKind::Unexpected),
     ));
     kind.with_span()
         .map(|(kind, span)| Token {
@@ -117,7 +117,7 @@
     let escaped = preceded('\\', one_of(['"', '\\']));
     let plain = one_of(|c: char| !"\"\\\n".contains(c));
     let inner = repeat(0.., alt((escaped, plain)));
-    let whole = delimited('"', inner, '"').map(TokenKind::Quoted);
-    let rest = ('"', opt(take_till(0.., '\n'))).value(TokenKind::Open);
-    alt((whole, rest)).parse_next(input)
+    let closed = delimited('"', inner, '"').map(TokenKind::Quoted);
+    let unclosed = ('"', opt(take_till(0.., '\n'))).value(TokenKind::UnclosedQuote);
+    alt((closed, unclosed)).parse_next(input)
 }
