--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -232,11 +232,11 @@
 
 /// Whether a text may change anything; one that can't be read here may.
 fn may_change(text: &str) -> bool {
-    let Ok(statements) = parse(text) else {
+    let Ok(sentences) = parse(text) else {
         return true;
     };
     let asks = |statement: &Statement| matches!(statement, Statement::Show(_));
-    !statements.iter().all(|sentence| asks(&sentence.statement))
+    !sentences.iter().all(|sentence| asks(&sentence.statement))
 }
 
 fn endpoint(server: &Uri) -> Result<Uri> {
--- a/crates/client/src/check.rs
+++ b/crates/client/src/check.rs
@@ -34,19 +34,19 @@
 }
 
 fn run(config: &Config, text: &str) -> std::result::Result<Config, Vec<Finding>> {
-    let statements = parse(text).map_err(|errors| {
+    let sentences = parse(text).map_err(|errors| {
         let results = answer::syntax_results(text, &errors).into_iter();
         results
             .flat_map(|result| result.findings)
             .collect::<Vec<_>>()
     })?;
-    let applied = apply(config, &changes(&statements));
+    let applied = apply(config, &changes(&sentences));
     applied
         .map(|applied| applied.config)
-        .map_err(|faults| answer::locate(&statements, &faults).concat())
+        .map_err(|faults| answer::locate(&sentences, &faults).concat())
 }
 
-fn changes(statements: &[ParsedStatement]) -> Vec<Change> {
-    let changes = statements.iter().filter_map(ParsedStatement::change);
+fn changes(sentences: &[ParsedStatement]) -> Vec<Change> {
+    let changes = sentences.iter().filter_map(ParsedStatement::change);
     changes.cloned().collect()
 }
