--- a/crates/core/tests/change_apply.rs
+++ b/crates/core/tests/change_apply.rs
@@ -1,4 +1,4 @@
-//! Changes applied to a configuration, and its checks.
+//! Changes applied to a configuration, and its validation.
 
 use googletest::prelude::*;
 use medlarrill_core::change::committer::Outcome;
--- a/crates/core/tests/change_race.rs
+++ b/crates/core/tests/change_race.rs
@@ -1,10 +1,10 @@
-//! Changes that race each other over a platform that loses answers.
+//! Concurrent changes on a platform that loses responses.
 //!
-//! Several operators change the same few things. Daemons crash, clients go to
+//! Several operators change the same few items. Daemons crash, clients switch to
 //! another daemon while the first still works, writes take effect long after
-//! they were given up, parts are swept. What must hold in every schedule:
-//! each accepted change is in force once and is never taken back, and what an
-//! operator was told is true.
+//! their timeout, parts are swept. In every schedule, each accepted change is
+//! applied once and never reverted, and the verdict that an operator received
+//! is true.
 
 #[path = "change_race/platform.rs"]
 mod platform;
@@ -29,12 +29,12 @@
 const TRIES: usize = 4;
 const DEADLINE: Millis = Millis(5000);
 
-/// A committer in one daemon, with the calls it has under way.
+/// A committer in one daemon, with its calls in progress.
 struct Run {
     committer: Committer,
     calls: Vec<Action>,
     timer: Option<Millis>,
-    /// When the request comes to the daemon, until it has come.
+    /// When the request reaches the daemon; none once it has.
     begin: Option<Millis>,
     outcome: Option<Outcome>,
 }
@@ -48,7 +48,7 @@
 }
 
 impl Session {
-    /// Whether the operator was told and no daemon works on it any more.
+    /// Whether the operator has its result and no daemon works on the change any more.
     fn is_over(&self) -> bool {
         let over = |run: &Run| run.outcome.is_some() || run.timer.is_none();
         self.verdict.is_some() && self.runs.iter().all(over)
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Moves one session on: its daemons, then its client.
+    /// Advances one session: its daemons, then its client.
     fn step(&mut self, index: usize) {
         let (now, rng) = (self.now, &mut self.rng);
         let session = &mut self.sessions[index];
@@ -208,7 +208,7 @@
             }
         };
         if again && tries < TRIES {
-            // The daemon has crashed, or works on although its client has gone.
+            // The daemon crashes, or continues although its client has left.
             let crashed = rng.random_bool(0.5);
             if let Some(run) = session.runs.last_mut().filter(|_| crashed) {
                 self.platform
@@ -224,7 +224,7 @@
         }
     }
 
-    /// A watcher that is far too eager, so that much is swept.
+    /// A watcher that sweeps without pauses, so that many parts are deleted.
     fn sweep(&mut self) {
         self.now = self.now.max(Millis(1));
         let event = match self.rng.random_range(0..12) {
@@ -252,7 +252,7 @@
         join(Generation(0), bodies.collect())
     }
 
-    /// Each head is the one before with one change more, or with one given up.
+    /// Each head is the previous one with one more change accepted or withdrawn.
     fn check_history(&self) {
         let mut before = Head::default();
         let mut seen = BTreeMap::new();
@@ -276,7 +276,7 @@
         }
     }
 
-    /// What the operators were told is so.
+    /// The operators' verdicts are true.
     fn check_verdicts(&self, counts: &mut BTreeMap<&'static str, usize>) {
         let last = self.platform.history.last().cloned().unwrap_or_default();
         for session in &self.sessions {
--- a/crates/core/tests/change_race/platform.rs
+++ b/crates/core/tests/change_race/platform.rs
@@ -1,4 +1,4 @@
-//! A platform whose calls can be lost, take effect late, and meet outages.
+//! A simulated platform whose calls can be lost, take effect late, or fail in an outage.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// What becomes of a call.
+/// Fault injected into a call.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fate {
     Answered,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Carries a call out, or not, and says what its caller sees.
+    /// Executes a call, or not, and returns the event that its caller receives.
     pub fn call(&mut self, call: Action, rng: &mut Pcg64Mcg) -> Event {
         let lost = match &call {
             Action::ReadHead => Event::HeadFailed,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Lets a call take effect that was given up long ago.
+    /// Lets a call take effect long after its caller's timeout.
     pub fn late_effect(&mut self, rng: &mut Pcg64Mcg) {
         if self.late.is_empty() {
             return;
--- a/crates/core/tests/changer.rs
+++ b/crates/core/tests/changer.rs
@@ -1,4 +1,4 @@
-//! One change at a time: rebase, conflict, repetition, what can't be settled.
+//! One change at a time: rebase, conflict, retry, unknown outcomes.
 
 #[path = "change_race/platform.rs"]
 #[expect(dead_code, reason = "shared with the races, which use all of it")]
@@ -39,7 +39,7 @@
     platform
 }
 
-/// Runs until the end, or until the head is about to be written.
+/// Runs to the end, or until the head is about to be written.
 fn run(
     platform: &mut Platform,
     committer: &mut Committer,
--- a/crates/core/tests/operator.rs
+++ b/crates/core/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' language: reading, writing, and errors with their place.
+//! The operators' language: parsing, formatting, and errors with their place.
 
 use googletest::prelude::*;
 use medlarrill_core::operator::{
@@ -152,7 +152,7 @@
 }
 
 fn name() -> impl Strategy<Value = String> {
-    // Keywords are names too.
+    // Keywords are valid names too.
     let words = proptest::sample::select(vec!["pool", "kind", "share", "of", "where", "and"]);
     prop_oneof![3 => "[a-zA-Z0-9_-]{1,12}", 1 => words.prop_map(String::from)]
 }
--- a/crates/core/tests/spread.rs
+++ b/crates/core/tests/spread.rs
@@ -1,4 +1,5 @@
-//! Generations spread between daemons, over lost and late messages, outages and restarts.
+//! Synchronisation of the configuration between daemons, with lost and late messages, outages
+//! and restarts.
 
 #[path = "change_race/platform.rs"]
 #[expect(dead_code, reason = "shared with the races, which use all of it")]
@@ -106,7 +107,7 @@
     })
 }
 
-/// Lets a peer answer what it is asked, until nothing more is asked of it.
+/// Answers all requests to a peer, until there are no more.
 fn answer_all(
     sync: &mut ConfigSync,
     library: &Library,
@@ -132,7 +133,7 @@
     expect_that!(applied(&actions), none());
     let late = NOW + JOIN_WINDOW;
     let actions = sync.handle(announced(2, false, 5), late - Millis(10));
-    // The higher one is on its way, so the lower one isn't taken in its stead.
+    // The higher generation is being fetched, so the lower one isn't applied instead.
     expect_that!(applied(&sync.handle(Event::Timer, late)), none());
     let actions = answer_all(&mut sync, &library, actions, 5);
     expect_that!(applied(&actions), none());
@@ -229,7 +230,7 @@
         },
         NOW + JOIN_WINDOW,
     );
-    // The far peer is being asked for its head; it doesn't answer.
+    // The head was requested from the peer in another data centre, which doesn't answer.
     let actions = [actions, sync.handle(Event::Unanswered(Incarnation(1)), NOW)].concat();
     expect_that!(actions, contains(matches_pattern!(Action::ReadPart(_))));
     let mut near = ConfigSync::new(1);
@@ -240,7 +241,7 @@
     expect_that!(asks(&actions)[0].0, eq(Incarnation(2)));
 }
 
-/// A message under way, to the daemon of that index.
+/// A message in transit, to the daemon of that index.
 struct Message {
     to: usize,
     from: usize,
@@ -266,7 +267,7 @@
 }
 
 impl World<'_> {
-    /// The incarnation of a daemon; a restart keeps it, which is harder.
+    /// The incarnation of a daemon; a restart keeps it, which is the harder case.
     fn peer(index: usize) -> Incarnation {
         Incarnation(index as u64 + 1)
     }
@@ -294,7 +295,7 @@
                     self.timers.insert((until, to));
                 }
                 Action::Reject(rejected) => {
-                    // Parts may come twice; nothing here is damaged.
+                    // Parts may be received twice; nothing here is damaged.
                     assert!(matches!(rejected, Rejected::Digest(_)), "{rejected}");
                 }
                 read => {
