--- a/crates/client/src/check.rs
+++ b/crates/client/src/check.rs
@@ -5,7 +5,7 @@
 use medlarrill_core::change::apply;
 use medlarrill_core::config::Config;
 use medlarrill_core::operator::answer::{self, Finding};
-use medlarrill_core::operator::{Change, Sentence, parse};
+use medlarrill_core::operator::{Change, ParsedStatement, parse};
 
 use crate::exit::Exit;
 use crate::render::write_findings;
@@ -35,7 +35,7 @@
 
 fn run(config: &Config, text: &str) -> std::result::Result<Config, Vec<Finding>> {
     let sentences = parse(text).map_err(|errors| {
-        let results = answer::unreadable(text, &errors).into_iter();
+        let results = answer::syntax_results(text, &errors).into_iter();
         results
             .flat_map(|result| result.findings)
             .collect::<Vec<_>>()
@@ -46,7 +46,7 @@
         .map_err(|faults| answer::locate(&sentences, &faults).concat())
 }
 
-fn changes(sentences: &[Sentence]) -> Vec<Change> {
-    let changes = sentences.iter().filter_map(Sentence::change);
+fn changes(sentences: &[ParsedStatement]) -> Vec<Change> {
+    let changes = sentences.iter().filter_map(ParsedStatement::change);
     changes.cloned().collect()
 }
--- a/crates/core/src/claims/claimant.rs
+++ b/crates/core/src/claims/claimant.rs
@@ -21,7 +21,7 @@
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
 use crate::reason::Reason;
-use crate::wire::{ClaimAnswer, ClaimAsk};
+use crate::wire::{ClaimAnswer, ClaimRequest};
 
 use keys::{Keys, Phase};
 
@@ -166,7 +166,7 @@
         self.timers.insert((entry.due, *key));
         self.pending.insert(number, *key);
         let abandoned = entry.abandoned.unwrap_or(ClaimId::NONE);
-        self.actions.push(Action::RequestClaim(ClaimAsk {
+        self.actions.push(Action::RequestClaim(ClaimRequest {
             ask: number,
             key: key.to_bytes(),
             digest: entry.keyed.digest.to_bytes(),
@@ -174,8 +174,8 @@
             daemon: self.me.daemon.to_string(),
             lifetime: entry.keyed.lifetime.0,
             request: entry.keyed.request.to_bytes().to_vec().into(),
-            given_claimant: abandoned.claimant.0,
-            given_ask: abandoned.number,
+            abandoned_claimant: abandoned.claimant.0,
+            abandoned_ask: abandoned.number,
         }));
     }
 
--- a/crates/core/src/claims/claimant/event.rs
+++ b/crates/core/src/claims/claimant/event.rs
@@ -8,7 +8,7 @@
 use crate::clock::Millis;
 use crate::ids::{Incarnation, RequestId};
 use crate::reason::Reason;
-use crate::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
+use crate::wire::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
 
 /// A caller's request with an idempotency key.
 #[derive(Clone, PartialEq, Eq)]
@@ -56,7 +56,7 @@
         /// Name of the daemon.
         from: String,
         /// The query.
-        query: KeyAsk,
+        query: KeyQuery,
     },
     /// Another claimant answered a query.
     KeyAnswer(KeyAnswer),
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub enum Action {
     /// Request a claim from the owner of the key's shard.
-    RequestClaim(ClaimAsk),
+    RequestClaim(ClaimRequest),
     /// Run the request, then report [`Event::Ended`].
     Dispatch {
         /// Identifier of the request.
@@ -118,7 +118,7 @@
         /// Name of its daemon.
         to: String,
         /// The query.
-        query: KeyAsk,
+        query: KeyQuery,
     },
     /// Read a claimant's shutdown record.
     ReadShutdownRecord {
--- a/crates/core/src/claims/claimant/replies.rs
+++ b/crates/core/src/claims/claimant/replies.rs
@@ -13,7 +13,7 @@
 use crate::ids::{Incarnation, RequestId};
 use crate::outcome::Outcome;
 use crate::reason::Reason;
-use crate::wire::{KeyAnswer, KeyAsk};
+use crate::wire::{KeyAnswer, KeyQuery};
 
 impl Claimant {
     /// Queries the process that holds a key.
@@ -32,7 +32,7 @@
         };
         self.actions.push(Action::QueryKey {
             to: daemon.into(),
-            query: KeyAsk {
+            query: KeyQuery {
                 ask: query,
                 key: key.to_bytes(),
                 claimant: holder.claimant.0,
@@ -133,7 +133,7 @@
     }
 
     /// Answers a query; reports "not run" only if this process can no longer dispatch the number.
-    pub(super) fn answer_key(&mut self, from: String, query: &KeyAsk, now: Millis) {
+    pub(super) fn answer_key(&mut self, from: String, query: &KeyQuery, now: Millis) {
         let mut answer = KeyAnswer {
             ask: query.ask,
             asker: query.asker,
@@ -156,7 +156,7 @@
         self.actions.push(Action::AnswerKey { to: from, answer });
     }
 
-    fn key_state(&self, query: &KeyAsk) -> KeyState {
+    fn key_state(&self, query: &KeyQuery) -> KeyState {
         let Ok(key) = KeyHash::from_bytes(&query.key) else {
             return KeyState::Unknown;
         };
--- a/crates/core/src/claims/log.rs
+++ b/crates/core/src/claims/log.rs
@@ -22,7 +22,7 @@
 use crate::claims::backoff::Backoff;
 use crate::claims::chain::Chain;
 use crate::clock::Millis;
-use crate::wire::ClaimAsk;
+use crate::wire::ClaimRequest;
 
 use batch::PendingClaim;
 use calls::Calls;
@@ -186,7 +186,7 @@
         }
     }
 
-    fn enqueue(&mut self, request: ClaimAsk, now: Millis) {
+    fn enqueue(&mut self, request: ClaimRequest, now: Millis) {
         self.stats.requests += 1;
         let pending = match PendingClaim::read(&request, now) {
             Ok(pending) => pending,
--- a/crates/core/src/claims/log/batch.rs
+++ b/crates/core/src/claims/log/batch.rs
@@ -13,7 +13,7 @@
 use crate::claims::table::{Claim, ClaimId, EntryWriter};
 use crate::clock::Millis;
 use crate::ids::{DaemonId, Incarnation, RequestId};
-use crate::wire::ClaimAsk;
+use crate::wire::ClaimRequest;
 
 /// Most voids in a batch.
 const MAX_VOIDS: usize = 512;
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 #[derive(Debug)]
 pub(super) struct PendingClaim {
-    message: ClaimAsk,
+    message: ClaimRequest,
     pub(super) key: KeyHash,
     daemon: DaemonId,
     digest: Digest,
@@ -56,7 +56,7 @@
 }
 
 impl PendingClaim {
-    pub(super) fn read(message: &ClaimAsk, now: Millis) -> Result<Self> {
+    pub(super) fn read(message: &ClaimRequest, now: Millis) -> Result<Self> {
         let daemon = message.daemon.parse();
         let request = RequestId::from_bytes(&message.request);
         Ok(Self {
@@ -80,8 +80,8 @@
     /// An earlier claim of the key that, according to the claimant, never runs.
     const fn abandoned(&self) -> ClaimId {
         ClaimId {
-            claimant: Incarnation(self.message.given_claimant),
-            number: self.message.given_ask,
+            claimant: Incarnation(self.message.abandoned_claimant),
+            number: self.message.abandoned_ask,
         }
     }
 
--- a/crates/core/src/claims/log/event.rs
+++ b/crates/core/src/claims/log/event.rs
@@ -6,7 +6,7 @@
 use crate::claims::backoff::Backoff;
 use crate::clock::Millis;
 use crate::ids::{DaemonId, Incarnation};
-use crate::wire::{ClaimAnswer, ClaimAsk};
+use crate::wire::{ClaimAnswer, ClaimRequest};
 
 /// Identifies a process of the fleet.
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -36,7 +36,7 @@
     /// Placement assigns the shard to this daemon, or no longer does.
     Assign(bool),
     /// A claimant requests a claim.
-    Request(ClaimAsk),
+    Request(ClaimRequest),
     /// The platform replied to a call.
     Reply {
         /// The call that is replied to.
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -93,7 +93,7 @@
 /// How closely the account of a row is watched, `Usual` if the column was left out.
 fn watch_cell(column: &[i32], row: usize) -> Watch {
     let cell = column.get(row).copied().unwrap_or(0);
-    Watch::try_from(cell).unwrap_or(Watch::Usual)
+    Watch::try_from(cell).unwrap_or(Watch::Normal)
 }
 
 /// Collects a column, left out if it contains only zeros.
--- a/crates/core/src/limits/entry_account.rs
+++ b/crates/core/src/limits/entry_account.rs
@@ -107,7 +107,7 @@
             in_flight: 0,
             held: VecDeque::new(),
             exhausted_until: now,
-            watch: Watch::Usual,
+            watch: Watch::Normal,
             sample: None,
             sampled_requests: 0,
             last_used: now,
@@ -122,7 +122,7 @@
 
     /// Whether the end of each request is reported at once.
     pub(super) fn reports_each_end(&self) -> bool {
-        self.watch == Watch::Close && self.share.concurrency < SMALL_SHARE
+        self.watch == Watch::Immediate && self.share.concurrency < SMALL_SHARE
     }
 
     /// Whether the largest number of requests is held.
@@ -204,7 +204,7 @@
     /// The span, multiplied by [`LOW_USE_FACTOR`] while little of the account is used.
     pub(super) fn extended(&self, span: Millis) -> Millis {
         match self.watch {
-            Watch::Easy => Millis(span.0 * LOW_USE_FACTOR),
+            Watch::Sampled => Millis(span.0 * LOW_USE_FACTOR),
             _ => span,
         }
     }
@@ -217,7 +217,7 @@
         let present = self.use_before(self.held.len(), now);
         let sample = self.sample.take();
         // Unless utilisation is low, the owner must know all requests in flight.
-        let sample = sample.filter(|_| self.watch == Watch::Easy);
+        let sample = sample.filter(|_| self.watch == Watch::Sampled);
         let reported = sample.unwrap_or(present);
         self.last_report = Some(LastReport { at: now, reported });
         UsageRow {
--- a/crates/core/src/limits/entry_limiter.rs
+++ b/crates/core/src/limits/entry_limiter.rs
@@ -201,8 +201,8 @@
             state.watch = watch_cell(&grant.watch, row);
             let until = now + state.extended(Millis(grant.expiry.into()));
             state.share.grant(concurrency, rate, tokens, until);
-            state.exhausted_until = now + Millis(cell(&grant.dry, row).into());
-            self.resolve_held(account, grant.answers, now, actions);
+            state.exhausted_until = now + Millis(cell(&grant.exhausted, row).into());
+            self.resolve_held(account, grant.acknowledged, now, actions);
         }
     }
 
@@ -325,12 +325,12 @@
         }
         Usage {
             number,
-            seen,
+            acknowledged: seen,
             accounts: accounts.iter().map(|account| account.0).collect(),
-            flights: column(rows.iter().map(|row| row.in_flight)),
+            in_flight: column(rows.iter().map(|row| row.in_flight)),
             rates: column(rows.iter().map(|row| row.rate)),
             shares: column(rows.iter().map(|row| row.share)),
-            needs: column(rows.iter().map(|row| row.held_requests)),
+            waiting: column(rows.iter().map(|row| row.held_requests)),
             samples: column(rows.iter().map(|row| row.samples)),
         }
     }
--- a/crates/core/src/limits/entry_usage.rs
+++ b/crates/core/src/limits/entry_usage.rs
@@ -153,7 +153,7 @@
         {
             return true;
         }
-        if row.watch == Watch::Easy {
+        if row.watch == Watch::Sampled {
             return self.demand() >= last.share || self.offered_rate >= last.rate;
         }
         let is_near = |last: u32, new: u32| new >= last / 2 && new <= last + last / 4;
@@ -163,7 +163,7 @@
     /// Age from which any report renews the grant.
     fn renewal_age(&self) -> Millis {
         match self.last_grant.watch {
-            Watch::Easy => Millis(RENEWAL_AGE.0 * LOW_USE_FACTOR),
+            Watch::Sampled => Millis(RENEWAL_AGE.0 * LOW_USE_FACTOR),
             _ => RENEWAL_AGE,
         }
     }
@@ -171,7 +171,7 @@
     /// Whether the entry hasn't reported for so long that its grant has expired.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
         let age = match self.last_grant.watch {
-            Watch::Easy => Millis(GRANT_EXPIRY.0 * LOW_USE_FACTOR),
+            Watch::Sampled => Millis(GRANT_EXPIRY.0 * LOW_USE_FACTOR),
             _ => GRANT_EXPIRY,
         };
         now.since(self.last_report) >= age + EXPIRY_MARGIN
--- a/crates/core/src/limits/owned_account.rs
+++ b/crates/core/src/limits/owned_account.rs
@@ -253,13 +253,17 @@
     fn watch(&self) -> Watch {
         let limit = u64::from(self.limits.concurrency);
         if self.utilisation.is_low() {
-            return Watch::Easy;
+            return Watch::Sampled;
         }
         let is_close = match self.live > STRICT_FLEET_SIZE {
             true => self.sums.demand > limit,
             false => self.sums.held_concurrency * 10 > limit * 7,
         };
-        if is_close { Watch::Close } else { Watch::Usual }
+        if is_close {
+            Watch::Immediate
+        } else {
+            Watch::Normal
+        }
     }
 
     fn target(&self, usage: &EntryUsage, splits: Splits) -> Target {
--- a/crates/core/src/limits/share_allocator.rs
+++ b/crates/core/src/limits/share_allocator.rs
@@ -141,10 +141,10 @@
                 .or_insert_with(|| OwnedAccount::new(limits, learning_until, now));
             state.set_limits(limits, self.live, now);
             let report = Report {
-                seen_grant: usage.seen,
+                seen_grant: usage.acknowledged,
                 share: cell(&usage.shares, index),
-                in_flight: cell(&usage.flights, index),
-                held_requests: cell(&usage.needs, index),
+                in_flight: cell(&usage.in_flight, index),
+                held_requests: cell(&usage.waiting, index),
                 offered_rate: cell(&usage.rates, index),
                 samples: cell(&usage.samples, index),
             };
@@ -170,13 +170,13 @@
         }
         let grant = Grant {
             number: peer.number,
-            answers: peer.answers,
+            acknowledged: peer.answers,
             expiry: u32::try_from(GRANT_EXPIRY.0).unwrap_or(u32::MAX),
             accounts: rows.iter().map(|row| row.account.0).collect(),
             shares: column(rows.iter().map(|row| row.share)),
             rates: column(rows.iter().map(|row| row.rate)),
             tokens: column(rows.iter().map(|row| row.tokens)),
-            dry: column(rows.iter().map(|row| row.backoff)),
+            exhausted: column(rows.iter().map(|row| row.backoff)),
             watch: watch_column(rows),
         };
         AllocatorAction { to, grant }
@@ -200,7 +200,7 @@
 
 /// How closely each account is watched, as a column; left out if all are `Usual`.
 fn watch_column(rows: &[GrantRow]) -> Vec<i32> {
-    if rows.iter().all(|row| row.watch == Watch::Usual) {
+    if rows.iter().all(|row| row.watch == Watch::Normal) {
         return Vec::new();
     }
     rows.iter().map(|row| row.watch.into()).collect()
--- a/crates/core/src/wire/state.rs
+++ b/crates/core/src/wire/state.rs
@@ -1,21 +1,21 @@
-//! What a home tells another daemon's operators of its endpoints.
+//! State of a home's endpoints, as shown to operators at other daemons.
 
 use prost::Message;
 
 /// Asks a home for the state of its endpoints.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Message)]
-pub struct StateAsk {
-    /// Names the question.
+pub struct StateQuery {
+    /// Identifier of the query, repeated in the answer.
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
 
-/// Answers `StateAsk`.
+/// Answers `StateQuery`.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
 pub struct StateAnswer {
-    /// Names the question.
+    /// Identifier of the query.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The endpoints of this home.
@@ -23,26 +23,26 @@
     pub endpoints: Vec<HomeState>,
 }
 
-/// One endpoint as its home counts it.
+/// State of one endpoint, as counted by its home.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Message)]
 pub struct HomeState {
     /// The endpoint.
     #[prost(string, tag = "1")]
     pub endpoint: String,
-    /// Its state, in a word.
+    /// Name of its state.
     #[prost(string, tag = "2")]
     pub state: String,
     /// Work in flight, in tokens.
     #[prost(uint64, tag = "3")]
     pub load: u64,
-    /// The most work that it is given, in tokens.
+    /// Maximum work in flight, in tokens.
     #[prost(uint64, tag = "4")]
     pub limit: u64,
     /// Requests in flight.
     #[prost(uint32, tag = "5")]
     pub in_flight: u32,
-    /// Requests that wait.
+    /// Requests in the queue.
     #[prost(uint32, tag = "6")]
     pub queued: u32,
 }
--- a/crates/core/tests/change_race/platform.rs
+++ b/crates/core/tests/change_race/platform.rs
@@ -1,15 +1,15 @@
-//! A platform whose calls can be lost, take effect late, and meet outages.
+//! A simulated platform whose calls can be lost, take effect late, or fail in an outage.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use medlarrill_core::change::changer::{Action, Event, Stored};
+use medlarrill_core::change::committer::{Action, Event, Stored};
 use medlarrill_core::change::sweep::StoredPart;
 use medlarrill_core::change::{Digest, Head};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// What becomes of a call.
+/// Fault injected into a call.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fate {
     Answered,
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Carries a call out, or not, and says what its caller sees.
+    /// Executes a call, or not, and returns the event that its caller receives.
     pub fn call(&mut self, call: Action, rng: &mut Pcg64Mcg) -> Event {
         let lost = match &call {
-            Action::ReadHead => Event::HeadLost,
-            Action::ReadPart(_) => Event::PartLost,
-            Action::CreatePart(..) => Event::CreateLost,
-            _ => Event::WriteLost,
+            Action::ReadHead => Event::HeadFailed,
+            Action::ReadPart(_) => Event::PartFailed,
+            Action::CreatePart(..) => Event::CreateUnknown,
+            _ => Event::WriteUnknown,
         };
         match self.fate(rng) {
             Fate::Answered => self.effect(&call),
@@ -68,12 +68,12 @@
                 self.late.push(call);
                 lost
             }
-            Fate::Refused if lost == Event::WriteLost => Event::WriteFailed,
+            Fate::Refused if lost == Event::WriteUnknown => Event::WriteFailed,
             Fate::Refused => lost,
         }
     }
 
-    /// Lets a call take effect that was given up long ago.
+    /// Lets a call take effect long after its caller's timeout.
     pub fn late_effect(&mut self, rng: &mut Pcg64Mcg) {
         if self.late.is_empty() {
             return;
@@ -106,7 +106,7 @@
 
     fn write(&mut self, version: Option<u64>, bytes: &Bytes) -> Event {
         if self.head.as_ref().map(|head| head.version) != version {
-            return Event::Moved;
+            return Event::VersionMismatch;
         }
         let head = Head::read(bytes).expect("heads can be read");
         for part in head.parts.values() {
--- a/crates/core/tests/claims/claimant.rs
+++ b/crates/core/tests/claims/claimant.rs
@@ -10,7 +10,7 @@
 use medlarrill_core::ids::{Incarnation, RequestId};
 use medlarrill_core::reason::Reason;
 use medlarrill_core::units::ByteSize;
-use medlarrill_core::wire::{ClaimAnswer, ClaimAsk, KeyAnswer, KeyAsk};
+use medlarrill_core::wire::{ClaimAnswer, ClaimRequest, KeyAnswer, KeyQuery};
 
 use crate::bench::{key, member};
 
@@ -30,14 +30,14 @@
 }
 
 /// The one question among the actions.
-fn asked(actions: &[ClaimantAction]) -> ClaimAsk {
+fn asked(actions: &[ClaimantAction]) -> ClaimRequest {
     match actions {
         [ClaimantAction::RequestClaim(ask)] => ask.clone(),
         other => panic!("no question: {other:?}"),
     }
 }
 
-fn answer(ask: &ClaimAsk, verdict: ClaimStatus) -> ClaimAnswer {
+fn answer(ask: &ClaimRequest, verdict: ClaimStatus) -> ClaimAnswer {
     ClaimAnswer {
         ask: ask.ask,
         verdict: verdict.code(),
@@ -47,7 +47,7 @@
 }
 
 /// Starts a request and has its claim granted.
-fn run(claimant: &mut Claimant, request: u128, key_number: u64, now: Millis) -> ClaimAsk {
+fn run(claimant: &mut Claimant, request: u128, key_number: u64, now: Millis) -> ClaimRequest {
     let ask = asked(&claimant.handle(start(request, key_number), now));
     let granted = ClaimantEvent::Answer(answer(&ask, ClaimStatus::Granted));
     let actions = claimant.handle(granted, now);
@@ -77,7 +77,7 @@
 
 /// What a claimant tells another daemon of a claim.
 fn told(claimant: &mut Claimant, key: KeyHash, held: u64, now: Millis) -> KeyAnswer {
-    let ask = KeyAsk {
+    let ask = KeyQuery {
         ask: 77,
         key: key.to_bytes(),
         claimant: member(0).incarnation.0,
@@ -96,7 +96,7 @@
 }
 
 /// Starts a request whose key process 9 holds under number 5; returns the question to it.
-fn inquire(claimant: &mut Claimant) -> KeyAsk {
+fn inquire(claimant: &mut Claimant) -> KeyQuery {
     let ask = asked(&claimant.handle(start(1, 7), NOW));
     let held = ClaimAnswer {
         claimant: 9,
@@ -110,7 +110,7 @@
     }
 }
 
-fn key_answer(ask: &KeyAsk, state: KeyState) -> ClaimantEvent {
+fn key_answer(ask: &KeyQuery, state: KeyState) -> ClaimantEvent {
     ClaimantEvent::KeyAnswer(KeyAnswer {
         ask: ask.ask,
         asker: ask.asker,
@@ -205,8 +205,8 @@
         ..answer(&second, ClaimStatus::Held)
     };
     let third = asked(&claimant.handle(ClaimantEvent::Answer(held), NOW));
-    expect_that!(third.given_ask, eq(first.ask));
-    expect_that!(third.given_claimant, eq(first.claimant));
+    expect_that!(third.abandoned_ask, eq(first.ask));
+    expect_that!(third.abandoned_claimant, eq(first.claimant));
     expect_that!(third.ask, gt(second.ask));
 }
 
@@ -243,11 +243,11 @@
 #[gtest]
 fn claimant_of_another_process_is_unknown() {
     let mut claimant = claimant();
-    let ask = KeyAsk {
+    let ask = KeyQuery {
         key: key(7).to_bytes(),
         claimant: 12,
         held: 1,
-        ..KeyAsk::default()
+        ..KeyQuery::default()
     };
     let from = "d9".into();
     let actions = claimant.handle(ClaimantEvent::KeyQueried { from, query: ask }, NOW);
@@ -280,7 +280,7 @@
     let mut claimant = claimant();
     let ask = inquire(&mut claimant);
     let again = asked(&claimant.handle(key_answer(&ask, KeyState::NotRun), NOW));
-    expect_that!((again.given_claimant, again.given_ask), eq((9, 5)));
+    expect_that!((again.abandoned_claimant, again.abandoned_ask), eq((9, 5)));
 }
 
 #[gtest]
@@ -313,7 +313,7 @@
         let actions = claimant.handle(event, NOW);
         match reason {
             Some(reason) => expect_that!(actions, eq(&refused(1, reason))),
-            None => expect_that!(asked(&actions).given_ask, eq(5)),
+            None => expect_that!(asked(&actions).abandoned_ask, eq(5)),
         }
     }
 }
--- a/crates/core/tests/operator.rs
+++ b/crates/core/tests/operator.rs
@@ -1,7 +1,9 @@
-//! The operators' language: reading, writing, and errors with their place.
+//! The operators' language: parsing, formatting, and errors with their place.
 
 use googletest::prelude::*;
-use medlarrill_core::operator::{Change, Show, Span, Statement, SyntaxError, parse};
+use medlarrill_core::operator::{
+    Change, ParsedStatement, Show, Span, Statement, SyntaxError, parse,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -150,7 +152,7 @@
 }
 
 fn name() -> impl Strategy<Value = String> {
-    // Keywords are names too.
+    // Keywords are valid names too.
     let words = proptest::sample::select(vec!["pool", "kind", "share", "of", "where", "and"]);
     prop_oneof![3 => "[a-zA-Z0-9_-]{1,12}", 1 => words.prop_map(String::from)]
 }
@@ -252,7 +254,7 @@
         let shown: Vec<_> = first.iter().map(|s| s.statement.to_string()).collect();
         let second = parse(&shown.join("\n")).unwrap();
         prop_assert_eq!(first.len(), texts.len());
-        let statements = |sentences: Vec<medlarrill_core::operator::Sentence>| -> Vec<Statement> {
+        let statements = |sentences: Vec<ParsedStatement>| -> Vec<Statement> {
             sentences.into_iter().map(|s| s.statement).collect()
         };
         prop_assert_eq!(statements(first), statements(second));
--- a/crates/core/tests/spread.rs
+++ b/crates/core/tests/spread.rs
@@ -1,4 +1,5 @@
-//! Generations spread between daemons, over lost and late messages, outages and restarts.
+//! Synchronisation of the configuration between daemons, with lost and late messages, outages
+//! and restarts.
 
 #[path = "change_race/platform.rs"]
 #[expect(dead_code, reason = "shared with the races, which use all of it")]
@@ -8,13 +9,13 @@
 
 use bytes::Bytes;
 use googletest::prelude::*;
-use medlarrill_core::change::changer::{self, Outcome};
-use medlarrill_core::change::spread::{Action, Event, JOIN_WINDOW, Rejected, Spread};
-use medlarrill_core::change::{Changer, Digest};
+use medlarrill_core::change::committer::{self, Outcome};
+use medlarrill_core::change::sync::{Action, ConfigSync, Event, JOIN_WINDOW, Rejected};
+use medlarrill_core::change::{Committer, Digest};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChangeId, Generation, Incarnation};
 use medlarrill_core::operator::parse;
-use medlarrill_core::wire::{PartAnswer, PartAsk};
+use medlarrill_core::wire::{PartAnswer, PartRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -44,15 +45,15 @@
         };
         let changes = parse(&text).unwrap();
         let changes = changes.iter().filter_map(|s| s.change().cloned()).collect();
-        let mut changer = Changer::new(ChangeId(n.into()), changes, NOW, NOW);
-        let mut actions = changer.handle(changer::Event::Start, NOW);
+        let mut committer = Committer::new(ChangeId(n.into()), changes, NOW, NOW);
+        let mut actions = committer.handle(committer::Event::Start, NOW);
         while let Some(action) = actions.pop() {
-            if let changer::Action::Finish(outcome) = action {
+            if let committer::Action::Finish(outcome) = action {
                 assert!(matches!(outcome, Outcome::Accepted(_)));
                 break;
             }
             let event = platform.call(action, &mut rng);
-            actions.extend(changer.handle(event, NOW));
+            actions.extend(committer.handle(event, NOW));
         }
     }
     let heads = platform.history.iter().map(|head| head.to_bytes().into());
@@ -67,7 +68,7 @@
         self.heads[generation - 1].clone()
     }
 
-    fn served(&self, ask: &PartAsk, generation: usize) -> PartAnswer {
+    fn served(&self, ask: &PartRequest, generation: usize) -> PartAnswer {
         let digest = |bytes: &Bytes| Digest::from_bytes(bytes).unwrap();
         PartAnswer {
             head: match ask.digests.is_empty() {
@@ -83,20 +84,20 @@
     }
 }
 
-fn announced(peer: u64, near: bool, generation: u64) -> Event {
+fn announced(peer: u64, local: bool, generation: u64) -> Event {
     Event::Announced {
         peer: Incarnation(peer),
-        near,
+        local,
         generation: Generation(generation),
     }
 }
 
-fn asks(actions: &[Action]) -> Vec<(Incarnation, PartAsk)> {
-    let ask = |action: &Action| match action {
-        Action::Ask { peer, ask } => Some((*peer, ask.clone())),
+fn asks(actions: &[Action]) -> Vec<(Incarnation, PartRequest)> {
+    let request = |action: &Action| match action {
+        Action::Request { peer, request } => Some((*peer, request.clone())),
         _ => None,
     };
-    actions.iter().filter_map(ask).collect()
+    actions.iter().filter_map(request).collect()
 }
 
 fn applied(actions: &[Action]) -> Option<Generation> {
@@ -106,9 +107,9 @@
     })
 }
 
-/// Lets a peer answer what it is asked, until nothing more is asked of it.
+/// Answers all requests to a peer, until there are no more.
 fn answer_all(
-    spread: &mut Spread,
+    sync: &mut ConfigSync,
     library: &Library,
     mut actions: Vec<Action>,
     at: usize,
@@ -117,7 +118,7 @@
     while let Some((peer, ask)) = asks(&actions).pop() {
         let answer = library.served(&ask, at);
         all.append(&mut actions);
-        actions = spread.handle(Event::Answer { peer, answer }, NOW);
+        actions = sync.handle(Event::Answer { peer, answer }, NOW);
     }
     all.append(&mut actions);
     all
@@ -126,34 +127,34 @@
 #[gtest]
 fn a_starting_daemon_listens_before_it_takes_the_highest() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let actions = spread.handle(announced(1, true, 3), NOW);
-    let actions = answer_all(&mut spread, &library, actions, 3);
+    let mut sync = ConfigSync::new(1);
+    let actions = sync.handle(announced(1, true, 3), NOW);
+    let actions = answer_all(&mut sync, &library, actions, 3);
     expect_that!(applied(&actions), none());
     let late = NOW + JOIN_WINDOW;
-    let actions = spread.handle(announced(2, false, 5), late - Millis(10));
-    // The higher one is on its way, so the lower one isn't taken in its stead.
-    expect_that!(applied(&spread.handle(Event::Timer, late)), none());
-    let actions = answer_all(&mut spread, &library, actions, 5);
+    let actions = sync.handle(announced(2, false, 5), late - Millis(10));
+    // The higher generation is being fetched, so the lower one isn't applied instead.
+    expect_that!(applied(&sync.handle(Event::Timer, late)), none());
+    let actions = answer_all(&mut sync, &library, actions, 5);
     expect_that!(applied(&actions), none());
-    expect_that!(spread.is_ready(), eq(false));
+    expect_that!(sync.is_ready(), eq(false));
     expect_that!(
-        applied(&spread.handle(Event::Timer, late)),
+        applied(&sync.handle(Event::Timer, late)),
         some(eq(Generation(5)))
     );
-    expect_that!(spread.is_ready(), eq(true));
+    expect_that!(sync.is_ready(), eq(true));
 }
 
 #[gtest]
 fn a_peer_that_is_gone_does_not_hold_a_start_up() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let actions = spread.handle(announced(1, true, 3), NOW);
-    answer_all(&mut spread, &library, actions, 3);
-    spread.handle(announced(2, true, 5), NOW);
-    spread.handle(Event::Gone(Incarnation(2)), NOW);
+    let mut sync = ConfigSync::new(1);
+    let actions = sync.handle(announced(1, true, 3), NOW);
+    answer_all(&mut sync, &library, actions, 3);
+    sync.handle(announced(2, true, 5), NOW);
+    sync.handle(Event::PeerLost(Incarnation(2)), NOW);
     expect_that!(
-        applied(&spread.handle(Event::Timer, NOW + JOIN_WINDOW)),
+        applied(&sync.handle(Event::Timer, NOW + JOIN_WINDOW)),
         some(eq(Generation(3)))
     );
 }
@@ -161,47 +162,44 @@
 #[gtest]
 fn the_platforms_own_head_needs_no_listening() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let reads = spread.handle(Event::Watching(true), NOW);
+    let mut sync = ConfigSync::new(1);
+    let reads = sync.handle(Event::Watching(true), NOW);
     expect_that!(reads, contains(eq(&Action::ReadHead)));
     let head = library.head(4);
     let parts = vec![];
-    for action in spread.handle(Event::Head { head, parts }, NOW) {
+    for action in sync.handle(Event::Head { head, parts }, NOW) {
         if let Action::ReadPart(digest) = action {
             let bytes = library.parts.get(&digest).cloned();
-            spread.handle(Event::Part(digest, bytes), NOW);
+            sync.handle(Event::Part(digest, bytes), NOW);
         }
     }
-    expect_that!(spread.generation(), eq(Generation(4)));
+    expect_that!(sync.generation(), eq(Generation(4)));
 }
 
 #[gtest]
 fn a_late_head_takes_nothing_back() {
     let library = library();
-    let mut spread = Spread::new(1);
+    let mut sync = ConfigSync::new(1);
     let parts: Vec<_> = library.parts.values().cloned().collect();
     let head = |generation| Event::Head {
         head: library.head(generation),
         parts: parts.clone(),
     };
-    expect_that!(
-        applied(&spread.handle(head(5), NOW)),
-        some(eq(Generation(5)))
-    );
-    expect_that!(applied(&spread.handle(head(4), NOW)), none());
-    expect_that!(applied(&spread.handle(head(5), NOW)), none());
-    expect_that!(spread.generation(), eq(Generation(5)));
+    expect_that!(applied(&sync.handle(head(5), NOW)), some(eq(Generation(5))));
+    expect_that!(applied(&sync.handle(head(4), NOW)), none());
+    expect_that!(applied(&sync.handle(head(5), NOW)), none());
+    expect_that!(sync.generation(), eq(Generation(5)));
 }
 
 #[gtest]
 fn parts_that_were_not_asked_for_are_rejected() {
     let library = library();
-    let mut spread = Spread::new(1);
-    let actions = spread.handle(announced(1, true, 2), NOW);
+    let mut sync = ConfigSync::new(1);
+    let actions = sync.handle(announced(1, true, 2), NOW);
     let (peer, ask) = asks(&actions).remove(0);
     let mut answer = library.served(&ask, 2);
     answer.parts = vec![Bytes::from_static(b"{}")];
-    let actions = spread.handle(Event::Answer { peer, answer }, NOW);
+    let actions = sync.handle(Event::Answer { peer, answer }, NOW);
     expect_that!(
         actions,
         contains(eq(&Action::Reject(Rejected::Digest(Digest::of(b"{}")))))
@@ -211,7 +209,7 @@
         parts: vec![],
     };
     expect_that!(
-        spread.handle(Event::Answer { peer, answer }, NOW),
+        sync.handle(Event::Answer { peer, answer }, NOW),
         contains(matches_pattern!(Action::Reject(matches_pattern!(
             Rejected::Head(_)
         ))))
@@ -221,25 +219,21 @@
 #[gtest]
 fn near_peers_are_asked_first_and_the_platform_before_far_ones() {
     let library = library();
-    let mut spread = Spread::new(1);
-    spread.handle(Event::Watching(true), NOW);
-    spread.handle(announced(1, false, 4), NOW);
+    let mut sync = ConfigSync::new(1);
+    sync.handle(Event::Watching(true), NOW);
+    sync.handle(announced(1, false, 4), NOW);
     let head = library.head(4);
-    let actions = spread.handle(
+    let actions = sync.handle(
         Event::Head {
             head,
             parts: vec![],
         },
         NOW + JOIN_WINDOW,
     );
-    // The far peer is being asked for its head; it doesn't answer.
-    let actions = [
-        actions,
-        spread.handle(Event::Unanswered(Incarnation(1)), NOW),
-    ]
-    .concat();
+    // The head was requested from the peer in another data centre, which doesn't answer.
+    let actions = [actions, sync.handle(Event::Unanswered(Incarnation(1)), NOW)].concat();
     expect_that!(actions, contains(matches_pattern!(Action::ReadPart(_))));
-    let mut near = Spread::new(1);
+    let mut near = ConfigSync::new(1);
     near.handle(announced(1, false, 4), NOW);
     let actions = near.handle(Event::Unanswered(Incarnation(1)), NOW);
     expect_that!(asks(&actions), is_empty());
@@ -247,7 +241,7 @@
     expect_that!(asks(&actions)[0].0, eq(Incarnation(2)));
 }
 
-/// A message under way, to the daemon of that index.
+/// A message in transit, to the daemon of that index.
 struct Message {
     to: usize,
     from: usize,
@@ -256,7 +250,7 @@
 
 enum Body {
     Event(Event),
-    Ask(PartAsk),
+    Ask(PartRequest),
     Read(Action),
 }
 
@@ -267,13 +261,13 @@
     published: usize,
     down: bool,
     calm: bool,
-    daemons: Vec<Spread>,
+    daemons: Vec<ConfigSync>,
     timers: BTreeSet<(Millis, usize)>,
     messages: Vec<Message>,
 }
 
 impl World<'_> {
-    /// The incarnation of a daemon; a restart keeps it, which is harder.
+    /// The incarnation of a daemon; a restart keeps it, which is the harder case.
     fn peer(index: usize) -> Incarnation {
         Incarnation(index as u64 + 1)
     }
@@ -292,16 +286,16 @@
                     let pool = &config.pools[&"a".parse().unwrap()];
                     assert_eq!(u64::from(pool.slots), config.generation.0);
                 }
-                Action::Ask { peer, ask } => self.messages.push(Message {
+                Action::Request { peer, request } => self.messages.push(Message {
                     to: peer.0 as usize - 1,
                     from: to,
-                    body: Body::Ask(ask),
+                    body: Body::Ask(request),
                 }),
                 Action::Wait(until) => {
                     self.timers.insert((until, to));
                 }
                 Action::Reject(rejected) => {
-                    // Parts may come twice; nothing here is damaged.
+                    // Parts may be received twice; nothing here is damaged.
                     assert!(matches!(rejected, Rejected::Digest(_)), "{rejected}");
                 }
                 read => {
@@ -351,11 +345,11 @@
     fn read(&mut self, read: &Action, lost: bool) -> Event {
         let lost = lost || self.down;
         match read {
-            Action::ReadPart(digest) if lost => Event::PartLost(*digest),
+            Action::ReadPart(digest) if lost => Event::PartFailed(*digest),
             Action::ReadPart(digest) => {
                 Event::Part(*digest, self.library.parts.get(digest).cloned())
             }
-            _ if lost => Event::HeadLost,
+            _ if lost => Event::HeadFailed,
             _ => Event::Head {
                 head: self.library.head(self.published),
                 parts: Vec::new(),
@@ -371,7 +365,7 @@
         }
         let event = Event::Announced {
             peer: Self::peer(from),
-            near: from % 2 == to % 2,
+            local: from % 2 == to % 2,
             generation: self.daemons[from].generation(),
         };
         let body = Body::Event(event);
@@ -399,12 +393,12 @@
         if self.rng.random_bool(0.02) && self.published < GENERATIONS as usize {
             self.published += 1;
             for index in (0..DAEMONS).filter(|index| Self::watches(*index)) {
-                self.handle(index, Event::Changed);
+                self.handle(index, Event::HeadChanged);
             }
         }
         if self.rng.random_bool(0.01) {
             let index = self.rng.random_range(0..DAEMONS);
-            self.daemons[index] = Spread::new(self.now.0);
+            self.daemons[index] = ConfigSync::new(self.now.0);
             self.handle(index, Event::Watching(Self::watches(index)));
         }
     }
@@ -422,7 +416,7 @@
             down: false,
             calm: false,
             daemons: (0..DAEMONS)
-                .map(|index| Spread::new(index as u64))
+                .map(|index| ConfigSync::new(index as u64))
                 .collect(),
             timers: BTreeSet::new(),
             messages: Vec::new(),
--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -1,16 +1,16 @@
-//! The configuration task: drives the core's `Spread`.
+//! The configuration task: drives the core's `ConfigSync`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use medlarrill_core::change::changer::Stored;
-use medlarrill_core::change::spread::{Action, Event};
-use medlarrill_core::change::{HEAD_KEY, Spread};
+use medlarrill_core::change::committer::Stored;
+use medlarrill_core::change::sync::{Action, Event};
+use medlarrill_core::change::{ConfigSync, HEAD_KEY};
 use medlarrill_core::clock::Millis;
 use medlarrill_core::config::Config;
 use medlarrill_core::ids::{DaemonId, Generation, Incarnation};
 use medlarrill_core::placement::key_of;
-use medlarrill_core::wire::{Body, PartAsk};
+use medlarrill_core::wire::{Body, PartRequest};
 use medlarrill_net::link::PeerId;
 use medlarrill_net::now::now;
 use medlarrill_net::platform;
@@ -35,7 +35,7 @@
     context: Arc<Context>,
     handle: Handle,
     view: watch::Sender<Arc<ConfigView>>,
-    spread: Spread,
+    sync: ConfigSync,
     fleet: Arc<FleetView>,
     /// Peers by process, to find those that are gone.
     known: BTreeMap<Incarnation, DaemonId>,
@@ -56,7 +56,7 @@
         Self {
             handle: context.configuration.clone(),
             view,
-            spread: Spread::new(rand::random()),
+            sync: ConfigSync::new(rand::random()),
             fleet: Arc::default(),
             known: BTreeMap::new(),
             watch: None,
@@ -96,7 +96,7 @@
     /// When the machine, or the wait for others, is due.
     fn next_wake(&self) -> Option<Millis> {
         let alone = self.started + ALONE;
-        let waiting = !self.spread.is_ready() && now() < alone;
+        let waiting = !self.sync.is_ready() && now() < alone;
         let alone = waiting.then_some(alone);
         [alone, self.wake].into_iter().flatten().min()
     }
@@ -109,17 +109,17 @@
                 answer,
             }),
             Message::Lost(peer) => self.drive(Event::Unanswered(peer.incarnation)),
-            Message::Changed => self.drive(Event::Changed),
+            Message::Changed => self.drive(Event::HeadChanged),
             Message::Head(read) => self.head(read),
             Message::Part(digest, Ok(bytes)) => self.drive(Event::Part(digest, bytes)),
             Message::Part(digest, Err(error)) => {
                 log::info!(target: "config", "config: no part from the platform: {error}");
-                self.drive(Event::PartLost(digest));
+                self.drive(Event::PartFailed(digest));
             }
             Message::Written(head, parts) => self.drive(Event::Head { head, parts }),
             Message::Held(reply) => {
                 // Who asked may have gone away.
-                let _ = reply.send(self.spread.parts().cloned().collect());
+                let _ = reply.send(self.sync.parts().cloned().collect());
             }
         }
     }
@@ -138,13 +138,13 @@
             Ok(None) => {}
             Err(error) => {
                 log::info!(target: "config", "config: no head from the platform: {error}");
-                self.drive(Event::HeadLost);
+                self.drive(Event::HeadFailed);
             }
         }
     }
 
-    fn serve(&self, from: PeerId, ask: &PartAsk) {
-        let answer = self.spread.serve(ask);
+    fn serve(&self, from: PeerId, ask: &PartRequest) {
+        let answer = self.sync.serve(ask);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
             // Who doesn't get an answer asks another peer.
@@ -160,7 +160,7 @@
         };
         let event = Event::Announced {
             peer: known.incarnation,
-            near: known.data_centre == self.context.settings.data_centre,
+            local: known.data_centre == self.context.settings.data_centre,
             generation,
         };
         self.drive(event);
@@ -177,7 +177,7 @@
             .collect();
         let gone: BTreeSet<_> = self.known.keys().copied().collect();
         for peer in gone.into_iter().filter(|peer| !present.contains_key(peer)) {
-            self.drive(Event::Gone(peer));
+            self.drive(Event::PeerLost(peer));
         }
         self.known = present;
         for name in self.known.clone().values() {
@@ -193,7 +193,7 @@
         let key = key_of(HEAD_KEY);
         let owners = self.fleet.placement.owners_in(centre, key, WATCHERS);
         let chosen = owners.contains(&&self.context.me.daemon);
-        let alone = !self.spread.is_ready() && now() >= self.started + ALONE;
+        let alone = !self.sync.is_ready() && now() >= self.started + ALONE;
         let watching = chosen || alone;
         if watching == self.watch.is_some() {
             return;
@@ -208,14 +208,14 @@
 
     fn drive(&mut self, event: Event) {
         self.wake = None;
-        for action in self.spread.handle(event, now()) {
+        for action in self.sync.handle(event, now()) {
             self.act(action);
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Ask { peer, ask } => self.ask(peer, ask),
+            Action::Request { peer, request } => self.ask(peer, request),
             Action::ReadHead => self.read_head(),
             Action::ReadPart(digest) => {
                 let (platform, handle) = (self.context.platform.clone(), self.handle.clone());
@@ -233,7 +233,7 @@
         }
     }
 
-    fn ask(&self, peer: Incarnation, ask: PartAsk) {
+    fn ask(&self, peer: Incarnation, ask: PartRequest) {
         let Some(name) = self.known.get(&peer).cloned() else {
             // Its time to answer runs out, and another is asked.
             return;
@@ -241,7 +241,12 @@
         let context = Arc::clone(&self.context);
         let handle = self.handle.clone();
         tokio::spawn(async move {
-            if context.peers.send(&name, Body::PartAsk(ask)).await.is_err() {
+            if context
+                .peers
+                .send(&name, Body::PartRequest(ask))
+                .await
+                .is_err()
+            {
                 let peer = PeerId {
                     daemon: name,
                     incarnation: peer,
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -171,7 +171,7 @@
                     self.deadline = Instant::now() + self.gap.as_duration();
                     return Ok(head(accepted));
                 }
-                Body::Passed(passed) => self.passed_on(&passed.to)?,
+                Body::Rerouted(passed) => self.passed_on(&passed.to)?,
                 Body::Refused(refused) => return Err(self.refused(&refused)),
                 _ => return Err(self.protocol_error()),
             }
@@ -273,7 +273,7 @@
             reason,
             outcome,
             own_outcome: None,
-            retry_after: (refused.after > 0).then_some(Millis(refused.after)),
+            retry_after: (refused.retry_after > 0).then_some(Millis(refused.retry_after)),
             endpoint: refused.endpoint.parse().ok(),
             lost: None,
         }
@@ -310,7 +310,7 @@
                     &daemon,
                     Body::Cancel(Cancel {
                         attempt,
-                        leave: false,
+                        detach: false,
                     }),
                 )
                 .await;
--- a/crates/daemon/src/home/handle.rs
+++ b/crates/daemon/src/home/handle.rs
@@ -5,7 +5,9 @@
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::DaemonId;
-use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateAsk};
+use medlarrill_core::wire::{
+    Cancel, Credit, DirectoryTransfer, Forward, Placed, PoolLoad, StateQuery,
+};
 use medlarrill_net::link::PeerId;
 use tokio::sync::{mpsc, oneshot};
 
@@ -53,7 +55,7 @@
     }
 
     /// Takes over directory entries from another daemon; false if the task has ended.
-    pub fn moved(&self, moved: Moved) -> bool {
+    pub fn moved(&self, moved: DirectoryTransfer) -> bool {
         self.send(Message::Moved(moved))
     }
 
@@ -75,7 +77,7 @@
     }
 
     /// Requests the state of endpoints for another daemon; false if the task has ended.
-    pub fn state_requested(&self, from: PeerId, ask: StateAsk) -> bool {
+    pub fn state_requested(&self, from: PeerId, ask: StateQuery) -> bool {
         self.send(Message::StateRequested(from, ask))
     }
 
--- a/crates/daemon/src/home/message.rs
+++ b/crates/daemon/src/home/message.rs
@@ -4,7 +4,9 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, DaemonId, EndpointId};
 use medlarrill_core::units::Tokens;
-use medlarrill_core::wire::{Cancel, Credit, Forward, Moved, Placed, PoolLoad, StateAsk};
+use medlarrill_core::wire::{
+    Cancel, Credit, DirectoryTransfer, Forward, Placed, PoolLoad, StateQuery,
+};
 use medlarrill_net::endpoint::{CallResult, Load};
 use medlarrill_net::link::PeerId;
 use tokio::sync::oneshot;
@@ -23,7 +25,7 @@
     /// Another home served a chat of this directory.
     Placed(Placed),
     /// Directory entries that move to this daemon.
-    Moved(Moved),
+    Moved(DirectoryTransfer),
     /// Load of the endpoints that a peer is home of, and the time of the report.
     LoadReceived(DaemonId, Millis, Vec<PoolLoad>),
     /// A peer process is lost.
@@ -37,7 +39,7 @@
     /// Requests the state of all configured endpoints.
     Show(oneshot::Sender<Vec<EndpointRow>>),
     /// Another daemon requests the state of the endpoints that this one is home of.
-    StateRequested(PeerId, StateAsk),
+    StateRequested(PeerId, StateQuery),
 }
 
 /// The end of a dispatched request.
--- a/crates/daemon/src/operators/run.rs
+++ b/crates/daemon/src/operators/run.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use medlarrill_core::change::changer::Outcome;
+use medlarrill_core::change::committer::Outcome;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::Generation;
 use medlarrill_core::operator::answer::{self, Answer, Finding, Request, StatementResult, Verdict};
-use medlarrill_core::operator::{Sentence, Statement, parse};
+use medlarrill_core::operator::{ParsedStatement, Statement, parse};
 use medlarrill_net::now::now;
 
 use super::change::make;
@@ -34,7 +34,7 @@
         Ok(sentences) => sentences,
         Err(errors) => {
             return Answer {
-                results: answer::unreadable(&request.statements, &errors),
+                results: answer::syntax_results(&request.statements, &errors),
                 generation: generation(context),
                 ..Answer::default()
             };
@@ -65,10 +65,10 @@
 async fn change(
     context: &Context,
     request: &Request,
-    sentences: &[Sentence],
+    sentences: &[ParsedStatement],
     deadline: Millis,
 ) -> Outcome {
-    let changes = sentences.iter().filter_map(Sentence::change);
+    let changes = sentences.iter().filter_map(ParsedStatement::change);
     let changes: Vec<_> = changes.cloned().collect();
     if changes.is_empty() {
         return Outcome::Unknown;
@@ -89,7 +89,7 @@
 async fn fill(
     context: &Arc<Context>,
     index: usize,
-    sentence: &Sentence,
+    sentence: &ParsedStatement,
     result: &mut StatementResult,
 ) {
     let message = match &sentence.statement {
