--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing straight to endpoints: each decision by itself, and loads told between daemons.
+//! Direct routing to endpoints: single decisions, and the exchange of loads between daemons.
 
 mod routing {
     mod backoff;
--- a/crates/core/tests/routing/fingerprint.rs
+++ b/crates/core/tests/routing/fingerprint.rs
@@ -1,3 +1,5 @@
+//! Fingerprints that identify equal requests.
+
 use googletest::prelude::*;
 use medlarrill_core::ids::AccountId;
 use medlarrill_core::routing::fingerprint::Fingerprint;
@@ -9,8 +11,8 @@
 #[gtest]
 fn the_same_host_path_account_and_body_are_the_same_request() {
     let one = Fingerprint::new("a.example", "/x/1", Some(&account("one")), b"body");
-    let again = Fingerprint::new("a.example", "/x/1", Some(&account("one")), b"body");
-    expect_that!(one, eq(again));
+    let other = Fingerprint::new("a.example", "/x/1", Some(&account("one")), b"body");
+    expect_that!(one, eq(other));
 }
 
 #[gtest]
--- a/crates/core/tests/routing/fleet.rs
+++ b/crates/core/tests/routing/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemons among which a bound is divided, and how long the list keeps them.
+//! Division of a bound among the listed daemons, and how long a silent daemon stays listed.
 
 use std::net::SocketAddr;
 
@@ -24,12 +24,12 @@
 
 #[gtest]
 fn parts_of_all_daemons_make_the_bound_whomever_they_hear() {
-    let parts = (0..9).map(|me| {
+    let shares = (0..9).map(|me| {
         let mut fleet = fleet(me, 9);
         fleet.set_live(usize::from(me % 3) + 1, Millis(100));
         fleet.share(58.0)
     });
-    expect_that!(parts.sum::<f64>(), near(58.0, 1e-9));
+    expect_that!(shares.sum::<f64>(), near(58.0, 1e-9));
     for units in [1, 8, 9, 20] {
         let all = (0..9).map(|me| fleet(me, 9).unit_share("e-1", units));
         expect_that!(all.sum::<usize>(), eq(units));
@@ -53,7 +53,7 @@
 
 #[gtest]
 fn a_daemon_that_was_never_heard_stays_listed_for_an_hour_from_the_first_look() {
-    // A process that has run for long and becomes a hub knows nothing of who lived before.
+    // A daemon that becomes a hub after a long run doesn't know which daemons were live before.
     let start = Millis(10 * HOUR.0);
     let mut seen = LastSeen::default();
     expect_that!(seen.is_retained(address(1), start), eq(true));
--- a/crates/core/tests/routing/health.rs
+++ b/crates/core/tests/routing/health.rs
@@ -1,3 +1,5 @@
+//! Health of endpoints: failure shares, pauses after failed connections, and probes.
+
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::attempt::Fault;
@@ -51,16 +53,20 @@
     let mut health = Health::default();
     let ids = ["a", "b", "c"].map(id);
     health.record_others(&ids[0], 0, 20, Millis(0));
-    let standing = |health: &Health, now| {
+    let status_at = |health: &Health, now| {
         let pool = health.pool(ids.iter(), Millis(now));
         let others = pool.mean_of_others(health.failures(&ids[0], Millis(now)));
         health.status(&ids[0], others, 75, Millis(now))
     };
     for now in [0, 2000, 5000, 8000] {
-        expect_that!(standing(&health, now), not(eq(HealthStatus::Good)), "{now}");
+        expect_that!(
+            status_at(&health, now),
+            not(eq(HealthStatus::Good)),
+            "{now}"
+        );
     }
     health.record_others(&ids[0], 10, 0, Millis(8000));
-    expect_that!(standing(&health, 8000), eq(HealthStatus::Good));
+    expect_that!(status_at(&health, 8000), eq(HealthStatus::Good));
 }
 
 #[gtest]
@@ -102,18 +108,18 @@
 
 #[gtest]
 fn what_other_daemons_saw_counts_like_own_answers() {
-    let (mut own, mut told) = (Health::default(), Health::default());
+    let (mut own, mut reported) = (Health::default(), Health::default());
     for _ in 0..5 {
         own.record_failure(&id("a"), Fault::Lost, Millis(0));
     }
-    told.record_others(&id("a"), 0, 5, Millis(0));
+    reported.record_others(&id("a"), 0, 5, Millis(0));
     let (one, other) = (
         own.failures(&id("a"), Millis(0)),
-        told.failures(&id("a"), Millis(0)),
+        reported.failures(&id("a"), Millis(0)),
     );
     expect_that!(one, near(other, 1e-9));
     expect_that!(
-        told.status(&id("a"), 0.0, 1, Millis(0)),
+        reported.status(&id("a"), 0.0, 1, Millis(0)),
         not(eq(HealthStatus::Good))
     );
 }
--- a/crates/core/tests/routing/keeper.rs
+++ b/crates/core/tests/routing/keeper.rs
@@ -1,4 +1,4 @@
-//! What the platform is told to keep of the quarantine, and what it keeps is worth at a start.
+//! Storing quarantined requests on the platform, and reading them back when a daemon starts.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -19,7 +19,7 @@
     quarantine
 }
 
-fn kept() -> StoredRequest {
+fn stored() -> StoredRequest {
     quarantined()
         .stored_request(CRASHING, NOW, WALL)
         .expect("quarantined")
@@ -28,11 +28,11 @@
 #[gtest]
 fn a_hub_reads_once_what_is_kept_and_no_other_daemon_does() {
     let known = Quarantine::default();
-    let mut keeper = PlatformSync::default();
-    expect_that!(keeper.next_step(&known, false), none());
-    expect_that!(keeper.next_step(&known, true), some(eq(Step::List)));
-    keeper.listed(&[]);
-    expect_that!(keeper.next_step(&known, true), none());
+    let mut sync = PlatformSync::default();
+    expect_that!(sync.next_step(&known, false), none());
+    expect_that!(sync.next_step(&known, true), some(eq(Step::List)));
+    sync.listed(&[]);
+    expect_that!(sync.next_step(&known, true), none());
 }
 
 #[gtest]
@@ -43,7 +43,7 @@
         finder.next_step(&known, false),
         some(eq(Step::Create(CRASHING)))
     );
-    finder.written(&kept());
+    finder.written(&stored());
     expect_that!(finder.next_step(&known, false), none());
     let mut other = Quarantine::default();
     other.merge(&known.evidence(CRASHING, NOW), NOW);
@@ -59,17 +59,17 @@
 #[gtest]
 fn a_further_loss_is_kept_too() {
     let mut known = quarantined();
-    let mut keeper = PlatformSync::default();
-    keeper.written(&kept());
+    let mut sync = PlatformSync::default();
+    sync.written(&stored());
     known.record_loss(CRASHING, 4, NOW);
-    let step = keeper.next_step(&known, false);
+    let step = sync.next_step(&known, false);
     expect_that!(step, some(eq(Step::Replace(CRASHING))));
-    keeper.written(
+    sync.written(
         &known
             .stored_request(CRASHING, NOW, WALL)
             .expect("quarantined"),
     );
-    expect_that!(keeper.next_step(&known, false), none());
+    expect_that!(sync.next_step(&known, false), none());
 }
 
 #[gtest]
@@ -84,21 +84,21 @@
 #[gtest]
 fn what_was_served_or_is_old_is_removed() {
     let mut known = quarantined();
-    let mut keeper = PlatformSync::default();
-    keeper.written(&kept());
+    let mut sync = PlatformSync::default();
+    sync.written(&stored());
     known.record_served(CRASHING, NOW);
     expect_that!(
-        keeper.next_step(&known, false),
+        sync.next_step(&known, false),
         some(eq(Step::Remove(CRASHING)))
     );
-    keeper.removed(CRASHING);
-    expect_that!(keeper.next_step(&known, false), none());
-    // A hub that reads an old one learns nothing from it.
+    sync.removed(CRASHING);
+    expect_that!(sync.next_step(&known, false), none());
+    // Evidence as old as the retention time is ignored, and its object removed.
     let mut started = Quarantine::default();
-    let evidence: Vec<_> = kept().evidence(WALL + RETENTION).collect();
+    let evidence: Vec<_> = stored().evidence(WALL + RETENTION).collect();
     started.merge(&evidence, Millis(1000));
     let mut hub = PlatformSync::default();
-    hub.listed(&[kept()]);
+    hub.listed(&[stored()]);
     expect_that!(
         hub.next_step(&started, true),
         some(eq(Step::Remove(CRASHING)))
@@ -107,21 +107,21 @@
 
 #[gtest]
 fn a_daemon_that_starts_holds_what_is_left_of_the_time() {
-    let kept = kept();
-    expect_that!(kept.lost_at, eq(WALL));
+    let stored = stored();
+    expect_that!(stored.lost_at, eq(WALL));
     let mut started = Quarantine::default();
-    let evidence: Vec<_> = kept.evidence(WALL + Millis(60_000)).collect();
+    let evidence: Vec<_> = stored.evidence(WALL + Millis(60_000)).collect();
     started.merge(&evidence, Millis(1000));
     let wait = started.remaining(CRASHING, Millis(1000));
     expect_that!(wait, some(eq(Millis(BASE_DURATION.0 - 60_000))));
     let again = started.stored_request(CRASHING, Millis(1000), WALL + Millis(60_000));
-    expect_that!(again, some(eq(&kept)));
+    expect_that!(again, some(eq(&stored)));
 }
 
 #[gtest]
 fn a_time_of_day_that_was_set_back_makes_no_loss_older_or_younger_than_now() {
     let mut started = Quarantine::default();
-    let evidence: Vec<_> = kept().evidence(WALL - Millis(60_000)).collect();
+    let evidence: Vec<_> = stored().evidence(WALL - Millis(60_000)).collect();
     started.merge(&evidence, Millis(1000));
     expect_that!(
         started.remaining(CRASHING, Millis(1000)),
--- a/crates/core/tests/routing/load.rs
+++ b/crates/core/tests/routing/load.rs
@@ -1,3 +1,5 @@
+//! Load estimates from own requests, reports of endpoints and sums of other daemons.
+
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::load::{LoadReport, LoadTracker};
@@ -41,7 +43,7 @@
     expect_that!(loads.in_flight().count(), eq(0));
 }
 
-/// Loads that heard 10 requests of others, and 14 a fifth of a second later.
+/// Loads after reports of 10 requests of other daemons, and of 14 after 200 ms.
 fn growing() -> LoadTracker {
     let mut loads = LoadTracker::default();
     loads.set_others(&id("a"), 10, Millis(1000));
@@ -52,7 +54,7 @@
 #[gtest]
 fn work_of_others_that_grows_is_carried_on_from_when_it_was_told() {
     let loads = growing();
-    // Two requests in 100 ms, and what is told is 100 ms old.
+    // Grows by two requests in 100 ms, and the report is 100 ms old.
     expect_that!(loads.total(&id("a"), Millis(1200)), near(16.0, 1e-9));
     let seen = loads.estimate(&id("a"), Millis(1200));
     expect_that!(seen.reported, near(14.0, 1e-9));
--- a/crates/core/tests/routing/mirror.rs
+++ b/crates/core/tests/routing/mirror.rs
@@ -1,3 +1,5 @@
+//! Copies of the platform's objects: updates out of order, outages, and following other copies.
+
 use bytes::Bytes;
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -104,8 +106,8 @@
     let mut mirror = mirror();
     let at = Millis(1);
     mirror.apply(changes(vec![put("c", 20)], 20), Some(at), at);
-    let gone = mirror.apply(list(vec![put("a", 3)], 18), Some(at), at);
-    expect_that!(gone, elements_are![eq(&removed("b", 20))]);
+    let applied = mirror.apply(list(vec![put("a", 3)], 18), Some(at), at);
+    expect_that!(applied, elements_are![eq(&removed("b", 20))]);
 }
 
 #[gtest]
@@ -136,7 +138,7 @@
 
 #[gtest]
 fn a_copy_that_was_out_of_date_for_long_knows_of_the_outage_by_itself() {
-    // A daemon that begins to follow the platform after an outage has seen no call fail.
+    // A daemon that starts to follow the platform after an outage has seen no call fail.
     let mut mirror = mirror();
     let at = Millis(4000);
     expect_that!(
@@ -153,7 +155,7 @@
 
 #[gtest]
 fn a_copy_that_was_told_of_an_outage_keeps_what_is_missing_after_it() {
-    // The platform answered a waiting call well into its outage, and other daemons met failures.
+    // The platform answered a long poll well into its outage, while calls of other daemons failed.
     let mut mirror = mirror();
     let at = Millis(1500);
     mirror.apply(changes(Vec::new(), 10), Some(at), at);
@@ -229,9 +231,9 @@
         update.changes,
         unordered_elements_are![eq(&put("c", 12)), eq(&removed("a", 13))]
     );
-    let whole = mirror.since(Some(4)).expect("an update");
-    expect_that!(whole.complete, eq(true));
-    expect_that!(whole.changes.len(), eq(2));
+    let update = mirror.since(Some(4)).expect("an update");
+    expect_that!(update.complete, eq(true));
+    expect_that!(update.changes.len(), eq(2));
     expect_that!(Mirror::default().since(None), none());
 }
 
@@ -263,9 +265,9 @@
     mirror.apply(list(vec![put("a", 3), put("b", 7)], 10), None, at);
     expect_that!(mirror.revision(), some(eq(10)));
     expect_that!(mirror.age(at), none());
-    // What went since is gone at once: there was no outage.
-    let gone = mirror.apply(changes(vec![removed("b", 12)], 12), Some(at), at);
-    expect_that!(gone.len(), eq(1));
+    // A later removal takes effect at once, since there was no outage.
+    let applied = mirror.apply(changes(vec![removed("b", 12)], 12), Some(at), at);
+    expect_that!(applied.len(), eq(1));
     expect_that!(mirror.age(at), some(eq(Millis::ZERO)));
 }
 
@@ -283,7 +285,7 @@
 
 #[gtest]
 fn an_entry_that_lapsed_and_came_back_within_one_update_stays() {
-    // The platform says of a removal only that it came before the end of the update.
+    // The platform gives no exact revision of a removal, only that it precedes the update's end.
     let lapse = || changes(vec![removed("b", 14), put("b", 13)], 14);
     let at = Millis(100);
     let mut calm = mirror();
@@ -296,13 +298,13 @@
         let all = mirror.since(None).expect("a list");
         expect_that!(all.changes.len(), eq(2));
     }
-    // One that came and went is gone.
-    let gone = calm.apply(
+    // An object that was added and then removed is removed.
+    let applied = calm.apply(
         changes(vec![put("b", 15), removed("b", 16)], 16),
         Some(at),
         at,
     );
-    expect_that!(gone.len(), eq(1));
+    expect_that!(applied.len(), eq(1));
 }
 
 #[gtest]
@@ -328,46 +330,46 @@
     }
 }
 
-/// Two copies that follow each other after the platform has fallen silent; returns the messages
-/// between them, and what they take for their age at the end.
-fn follow_each_other(way: u64, end: u64) -> (usize, [Millis; 2]) {
-    const BEAT: usize = 500;
+/// Simulates two copies that follow each other while the platform doesn't answer; returns the
+/// number of messages between them, and their ages at the end.
+fn simulate_mutual_copies(delay: u64, end: u64) -> (usize, [Millis; 2]) {
+    const HEARTBEAT: usize = 500;
     let mut copies = [mirror(), mirror()];
-    let mut told = 0;
-    let mut under_way = Vec::new();
+    let mut sent = 0;
+    let mut in_transit = Vec::new();
     for now in 1..=end {
         let mut senders = Vec::new();
-        if (now as usize).is_multiple_of(BEAT) {
+        if (now as usize).is_multiple_of(HEARTBEAT) {
             senders.extend([0, 1]);
         }
         let arrived: Vec<(u64, usize, Millis)> =
-            under_way.extract_if(.., |(at, _, _)| *at == now).collect();
+            in_transit.extract_if(.., |(at, _, _)| *at == now).collect();
         for (_, to, age) in arrived {
-            let heard = Millis(now) - age;
-            if copies[to].should_notify(heard) {
+            let as_of = Millis(now) - age;
+            if copies[to].should_notify(as_of) {
                 senders.push(to);
             }
-            copies[to].apply(changes(vec![], 10), Some(heard), Millis(now));
+            copies[to].apply(changes(vec![], 10), Some(as_of), Millis(now));
         }
         for from in senders {
-            told += 1;
+            sent += 1;
             let age = copies[from].age(Millis(now)).expect("listed");
-            under_way.push((now + way, 1 - from, age));
+            in_transit.push((now + delay, 1 - from, age));
         }
     }
     (
-        told,
+        sent,
         copies.map(|copy| copy.age(Millis(end)).expect("listed")),
     )
 }
 
 #[gtest]
 fn copies_that_follow_each_other_in_an_outage_grow_old_and_tell_each_other_at_beats_only() {
-    for way in [1, 3, 20] {
-        let (told, ages) = follow_each_other(way, 10_000);
-        expect_that!(told, le(2 * 20), "{way} ms");
+    for delay in [1, 3, 20] {
+        let (sent, ages) = simulate_mutual_copies(delay, 10_000);
+        expect_that!(sent, le(2 * 20), "{delay} ms");
         for age in ages {
-            expect_that!(age, ge(Millis(9_000)), "{way} ms");
+            expect_that!(age, ge(Millis(9_000)), "{delay} ms");
         }
     }
 }
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -1,4 +1,5 @@
-//! What endpoints say of themselves in answers, and whose word it is.
+//! Notices of endpoints in their responses, that they leave or want a pause, and to which instance
+//! a notice applies.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -16,14 +17,14 @@
     leaving: true,
     pause: Millis::ZERO,
 };
-/// When the tests' clock began, since the Unix epoch.
+/// Start of the tests' clock, since the Unix epoch.
 const EPOCH: Millis = Millis(1_000_000);
 
 fn at(now: Millis) -> Millis {
     EPOCH + now
 }
 
-fn born(name: &str, at: Millis) -> Endpoint {
+fn started(name: &str, at: Millis) -> Endpoint {
     Endpoint {
         id: support::born(name, at.0),
         ..endpoint(name)
@@ -39,7 +40,7 @@
 }
 
 /// A view of one endpoint.
-fn one(endpoint: &Endpoint) -> View {
+fn view_of(endpoint: &Endpoint) -> View {
     let mut view = view();
     view.upsert(endpoint.clone(), Millis::ZERO);
     view
@@ -63,7 +64,7 @@
 #[gtest]
 fn an_endpoint_that_said_that_it_leaves_is_not_chosen_whatever_its_entry_says() {
     let e = endpoint("e-0");
-    let mut view = one(&e);
+    let mut view = view_of(&e);
     let now = Millis(1000);
     expect_that!(view.apply_notice(&e.id, LEAVING, now, at(now)), eq(true));
     expect_that!(view.apply_notice(&e.id, LEAVING, now, at(now)), eq(false));
@@ -76,7 +77,7 @@
 #[gtest]
 fn an_entry_that_lapsed_and_returned_does_not_undo_it() {
     let e = endpoint("e-0");
-    let mut view = one(&e);
+    let mut view = view_of(&e);
     view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.remove(&e.id.endpoint);
     view.prune_notices(Millis(60_000));
@@ -87,7 +88,7 @@
 #[gtest]
 fn what_an_endpoint_said_that_is_gone_for_long_is_forgotten() {
     let e = endpoint("e-0");
-    let mut view = one(&e);
+    let mut view = view_of(&e);
     view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.remove(&e.id.endpoint);
     let later = Millis::from_secs(700);
@@ -107,37 +108,37 @@
 
 #[gtest]
 fn a_later_start_is_used() {
-    let mut view = one(&born("e-0", EPOCH));
+    let mut view = view_of(&started("e-0", EPOCH));
     let now = Millis(5000);
-    view.apply_notice(&born("e-0", EPOCH).id, LEAVING, now, at(now));
-    view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
+    view.apply_notice(&started("e-0", EPOCH).id, LEAVING, now, at(now));
+    view.upsert(started("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
 
 #[gtest]
 fn the_word_is_the_later_starts_if_that_had_begun_when_it_was_heard() {
-    let mut view = one(&born("e-0", EPOCH));
+    let mut view = view_of(&started("e-0", EPOCH));
     let now = Millis(5000);
-    view.apply_notice(&born("e-0", EPOCH).id, LEAVING, now, at(now));
-    view.upsert(born("e-0", at(Millis(4000))), Millis(7000));
+    view.apply_notice(&started("e-0", EPOCH).id, LEAVING, now, at(now));
+    view.upsert(started("e-0", at(Millis(4000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(false));
-    view.upsert(born("e-0", at(Millis(8000))), Millis(9000));
+    view.upsert(started("e-0", at(Millis(8000))), Millis(9000));
     expect_that!(is_used(&mut view, Millis(9000)), eq(true));
 }
 
 #[gtest]
 fn an_answer_under_way_while_a_later_start_is_listed_speaks_for_that_one() {
-    let before = born("e-0", EPOCH);
-    let mut view = one(&before);
-    view.upsert(born("e-0", at(Millis(4000))), Millis(4500));
+    let before = started("e-0", EPOCH);
+    let mut view = view_of(&before);
+    view.upsert(started("e-0", at(Millis(4000))), Millis(4500));
     view.apply_notice(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(false));
 }
 
 #[gtest]
 fn a_pause_asked_of_the_start_before_does_not_end_that_the_later_one_leaves() {
-    let (before, later) = (born("e-0", EPOCH), born("e-0", at(Millis(4000))));
-    let mut view = one(&before);
+    let (before, later) = (started("e-0", EPOCH), started("e-0", at(Millis(4000))));
+    let mut view = view_of(&before);
     view.upsert(later.clone(), Millis(4500));
     view.apply_notice(&later.id, LEAVING, Millis(5000), at(Millis(5000)));
     view.apply_notice(&before.id, pause(500), Millis(5100), at(Millis(5100)));
@@ -147,9 +148,9 @@
 
 #[gtest]
 fn an_answer_heard_before_the_listed_start_does_not_speak_for_it() {
-    let before = born("e-0", EPOCH);
-    let mut view = one(&before);
-    view.upsert(born("e-0", at(Millis(9000))), Millis(4500));
+    let before = started("e-0", EPOCH);
+    let mut view = view_of(&before);
+    view.upsert(started("e-0", at(Millis(9000))), Millis(4500));
     view.apply_notice(&before.id, LEAVING, Millis(5000), at(Millis(5000)));
     expect_that!(is_used(&mut view, Millis(5000)), eq(true));
 }
@@ -164,7 +165,7 @@
 #[gtest]
 fn an_endpoint_that_wants_a_pause_is_not_chosen_until_its_end() {
     let e = endpoint("e-0");
-    let mut view = one(&e);
+    let mut view = view_of(&e);
     let now = Millis(1000);
     expect_that!(
         view.apply_notice(&e.id, pause(3000), now, at(now)),
@@ -179,7 +180,7 @@
 #[gtest]
 fn of_pauses_that_overlap_the_last_to_end_counts() {
     let e = endpoint("e-0");
-    let mut view = one(&e);
+    let mut view = view_of(&e);
     view.apply_notice(&e.id, pause(3000), Millis(1000), at(Millis(1000)));
     view.apply_notice(&e.id, pause(500), Millis(1200), at(Millis(1200)));
     expect_that!(is_used(&mut view, Millis(3999)), eq(false));
@@ -191,7 +192,7 @@
 #[gtest]
 fn a_pause_does_not_end_that_an_endpoint_leaves() {
     let e = endpoint("e-0");
-    let mut view = one(&e);
+    let mut view = view_of(&e);
     view.apply_notice(&e.id, LEAVING, Millis(1000), at(Millis(1000)));
     view.apply_notice(&e.id, pause(500), Millis(1100), at(Millis(1100)));
     view.upsert(Endpoint { slots: 9, ..e }, Millis(1200));
@@ -200,17 +201,17 @@
 
 #[gtest]
 fn a_later_start_has_no_part_in_a_pause() {
-    let mut view = one(&born("e-0", EPOCH));
+    let mut view = view_of(&started("e-0", EPOCH));
     let now = Millis(5000);
-    view.apply_notice(&born("e-0", EPOCH).id, pause(60_000), now, at(now));
-    view.upsert(born("e-0", at(Millis(6000))), Millis(7000));
+    view.apply_notice(&started("e-0", EPOCH).id, pause(60_000), now, at(now));
+    view.upsert(started("e-0", at(Millis(6000))), Millis(7000));
     expect_that!(is_used(&mut view, Millis(7000)), eq(true));
 }
 
 #[gtest]
 fn no_pause_is_longer_than_ten_minutes() {
     let e = endpoint("e-0");
-    let mut view = one(&e);
+    let mut view = view_of(&e);
     let now = Millis(1000);
     view.apply_notice(&e.id, pause(u64::MAX), now, at(now));
     expect_that!(is_used(&mut view, now + Millis::from_secs(599)), eq(false));
@@ -220,7 +221,7 @@
 #[gtest]
 fn an_endpoint_that_wants_a_pause_gets_no_trial() {
     let (bad, good) = (endpoint("e-0"), endpoint("e-1"));
-    let mut view = one(&bad);
+    let mut view = view_of(&bad);
     view.upsert(good.clone(), Millis::ZERO);
     view.apply_notice(&bad.id, pause(60_000), Millis::ZERO, EPOCH);
     for step in 1..500 {
@@ -231,7 +232,7 @@
         expect_that!(choice.endpoint.id, eq(&good.id));
         view.end(&good.id);
     }
-    // Where the other one can't be reached, it is no last resort either.
+    // It isn't used as a last resort either when the other can't be reached.
     view.record_failure(&good.id, Fault::NotSent, Millis(50_000));
     let choice = view.choose(&pool(), None, &plan(), Millis(50_001));
     expect_that!(choice.expect("e-1").endpoint.id, eq(&good.id));
@@ -272,7 +273,7 @@
 #[gtest]
 fn a_pool_is_closed_until_the_first_of_its_pauses_ends() {
     let (first, second) = (endpoint("e-0"), endpoint("e-1"));
-    let mut view = one(&first);
+    let mut view = view_of(&first);
     view.upsert(second.clone(), Millis::ZERO);
     let now = Millis(1000);
     view.apply_notice(&first.id, pause(3000), now, at(now));
--- a/crates/core/tests/routing/plan.rs
+++ b/crates/core/tests/routing/plan.rs
@@ -1,3 +1,5 @@
+//! When a failed attempt is followed by another, and what the caller is answered otherwise.
+
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::outcome::Outcome;
@@ -18,16 +20,16 @@
     Fault::Cut,
 ];
 
-fn plan(repeat: RetryPolicy, attempts: u32) -> RetryPlan {
-    RetryPlan::new(&route(repeat, attempts), Millis(3000))
+fn plan(retry: RetryPolicy, attempts: u32) -> RetryPlan {
+    RetryPlan::new(&route(retry, attempts), Millis(3000))
 }
 
 #[gtest]
 fn a_request_that_is_not_idempotent_is_sent_again_only_if_it_did_not_run() {
     for fault in FAULTS {
         let next = plan(RetryPolicy::Never, 3).record_failure(&id("a"), fault, || true, Millis(0));
-        let unrun = fault.outcome() == Outcome::NotRun;
-        expect_that!(next == Next::Retry, eq(unrun), "{fault}");
+        let not_run = fault.outcome() == Outcome::NotRun;
+        expect_that!(next == Next::Retry, eq(not_run), "{fault}");
     }
 }
 
@@ -38,11 +40,11 @@
             let mut plan = plan(RetryPolicy::Always, 2);
             plan.record_failure(&id("a"), first, || true, Millis(0));
             let next = plan.record_failure(&id("b"), second, || false, Millis(0));
-            let unrun = [first, second]
+            let not_run = [first, second]
                 .iter()
                 .all(|f| f.outcome() == Outcome::NotRun);
             if next == Next::GiveUp(Refusal::NotRun) {
-                expect_that!(unrun, eq(true), "{first} then {second}");
+                expect_that!(not_run, eq(true), "{first} then {second}");
             }
         }
     }
@@ -67,12 +69,12 @@
 #[gtest]
 fn attempts_that_did_not_run_end_too() {
     let mut plan = plan(RetryPolicy::Never, 1);
-    let again = (0..10)
+    let retries = (0..10)
         .take_while(|_| {
             plan.record_failure(&id("a"), Fault::Rejected, || true, Millis(0)) == Next::Retry
         })
         .count();
-    expect_that!(again, eq(2));
+    expect_that!(retries, eq(2));
 }
 
 #[gtest]
--- a/crates/core/tests/routing/quarantine.rs
+++ b/crates/core/tests/routing/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are quarantined, by the endpoints that were lost with them.
+//! Quarantine of requests, by the endpoints that were lost while they ran.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -8,11 +8,11 @@
 };
 
 const CRASHING: Fingerprint = Fingerprint(1);
-const BESIDE: Fingerprint = Fingerprint(2);
+const CONCURRENT: Fingerprint = Fingerprint(2);
 const NOW: Millis = Millis(5000);
 
-/// A quarantine that knows requests and the endpoints that were lost with them.
-fn after(losses: &[(Fingerprint, &[u32])]) -> Quarantine {
+/// A quarantine in which each request has lost the given endpoints.
+fn with_losses(losses: &[(Fingerprint, &[u32])]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (fingerprint, endpoints) in losses {
         for endpoint in *endpoints {
@@ -22,29 +22,32 @@
     quarantine
 }
 
-fn is_held(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
+fn is_quarantined(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
     quarantine.remaining(fingerprint, NOW).is_some()
 }
 
 #[gtest]
 fn three_endpoints_lost_with_a_request_are_enough_and_two_are_not() {
-    expect_that!(is_held(&after(&[(CRASHING, &[1, 2])]), CRASHING), eq(false));
-    let held = after(&[(CRASHING, &[1, 2, 3])]);
-    expect_that!(held.remaining(CRASHING, NOW), some(eq(BASE_DURATION)));
-    expect_that!(held.count(), eq(1));
+    expect_that!(
+        is_quarantined(&with_losses(&[(CRASHING, &[1, 2])]), CRASHING),
+        eq(false)
+    );
+    let quarantine = with_losses(&[(CRASHING, &[1, 2, 3])]);
+    expect_that!(quarantine.remaining(CRASHING, NOW), some(eq(BASE_DURATION)));
+    expect_that!(quarantine.count(), eq(1));
 }
 
 #[gtest]
 fn an_endpoint_counts_once_however_many_daemons_lost_it() {
-    let mut quarantine = after(&[(CRASHING, &[1, 1, 1, 2])]);
-    let heard = quarantine.evidence(CRASHING, NOW);
-    quarantine.merge(&heard, NOW);
-    expect_that!(is_held(&quarantine, CRASHING), eq(false));
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 1, 1, 2])]);
+    let evidence = quarantine.evidence(CRASHING, NOW);
+    quarantine.merge(&evidence, NOW);
+    expect_that!(is_quarantined(&quarantine, CRASHING), eq(false));
 }
 
 #[gtest]
 fn a_change_is_told_once_with_whether_this_daemon_had_a_part() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2])]);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2])]);
     let changes = quarantine.record_loss(CRASHING, 3, NOW);
     expect_that!(changes.len(), eq(1));
     expect_that!(changes[0].is_quarantined, eq(true));
@@ -63,67 +66,67 @@
 
 #[gtest]
 fn what_only_ran_beside_is_not_to_blame() {
-    let quarantine = after(&[(CRASHING, &[1, 2, 3, 4]), (BESIDE, &[2, 3, 4])]);
-    expect_that!(is_held(&quarantine, CRASHING), eq(true));
-    expect_that!(is_held(&quarantine, BESIDE), eq(false));
+    let quarantine = with_losses(&[(CRASHING, &[1, 2, 3, 4]), (CONCURRENT, &[2, 3, 4])]);
+    expect_that!(is_quarantined(&quarantine, CRASHING), eq(true));
+    expect_that!(is_quarantined(&quarantine, CONCURRENT), eq(false));
 }
 
 #[gtest]
 fn of_two_that_were_lost_together_each_time_the_next_loss_tells() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[1, 2, 3])]);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2, 3]), (CONCURRENT, &[1, 2, 3])]);
     expect_that!(quarantine.count(), eq(0));
     quarantine.record_loss(CRASHING, 4, NOW);
-    expect_that!(is_held(&quarantine, CRASHING), eq(true));
-    expect_that!(is_held(&quarantine, BESIDE), eq(false));
+    expect_that!(is_quarantined(&quarantine, CRASHING), eq(true));
+    expect_that!(is_quarantined(&quarantine, CONCURRENT), eq(false));
 }
 
 #[gtest]
 fn two_that_end_endpoints_and_met_are_both_held_after_five_at_the_most() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[3, 2, 5])]);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2, 3]), (CONCURRENT, &[3, 2, 5])]);
     expect_that!(quarantine.count(), eq(0));
     quarantine.record_loss(CRASHING, 6, NOW);
     quarantine.record_loss(CRASHING, 7, NOW);
-    expect_that!(is_held(&quarantine, CRASHING), eq(true));
-    quarantine.record_loss(BESIDE, 8, NOW);
-    quarantine.record_loss(BESIDE, 9, NOW);
-    expect_that!(is_held(&quarantine, BESIDE), eq(true));
+    expect_that!(is_quarantined(&quarantine, CRASHING), eq(true));
+    quarantine.record_loss(CONCURRENT, 8, NOW);
+    quarantine.record_loss(CONCURRENT, 9, NOW);
+    expect_that!(is_quarantined(&quarantine, CONCURRENT), eq(true));
 }
 
 #[gtest]
 fn a_whole_answer_clears_a_request_here_and_elsewhere() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2, 3])]);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2, 3])]);
     let mut other = Quarantine::default();
     other.merge(&quarantine.evidence(CRASHING, NOW), NOW);
-    expect_that!(is_held(&other, CRASHING), eq(true));
+    expect_that!(is_quarantined(&other, CRASHING), eq(true));
     quarantine.record_served(CRASHING, NOW);
-    expect_that!(is_held(&quarantine, CRASHING), eq(false));
+    expect_that!(is_quarantined(&quarantine, CRASHING), eq(false));
     other.merge(&quarantine.snapshot(NOW).own, NOW);
-    expect_that!(is_held(&other, CRASHING), eq(false));
+    expect_that!(is_quarantined(&other, CRASHING), eq(false));
 }
 
 #[gtest]
 fn content_that_is_served_often_is_not_blamed_where_many_endpoints_are_lost_at_once() {
     let mut served = Quarantine::default();
-    served.record_served(BESIDE, NOW);
+    served.record_served(CONCURRENT, NOW);
     for endpoint in 1..9 {
-        served.record_loss(BESIDE, endpoint, NOW);
+        served.record_loss(CONCURRENT, endpoint, NOW);
     }
-    expect_that!(is_held(&served, BESIDE), eq(false));
-    // A daemon that never served it hears from one that did.
-    let mut other = after(&[(BESIDE, &[1, 2, 3, 4, 5])]);
-    let heard = other.snapshot(NOW).all;
-    expect_that!(is_held(&other, BESIDE), eq(true));
+    expect_that!(is_quarantined(&served, CONCURRENT), eq(false));
+    // A daemon that never served it receives evidence from one that did.
+    let mut other = with_losses(&[(CONCURRENT, &[1, 2, 3, 4, 5])]);
+    let evidence = other.snapshot(NOW).all;
+    expect_that!(is_quarantined(&other, CONCURRENT), eq(true));
     let mut third = Quarantine::default();
-    third.record_served(BESIDE, NOW);
-    third.merge(&heard, NOW);
-    expect_that!(is_held(&third, BESIDE), eq(false));
+    third.record_served(CONCURRENT, NOW);
+    third.merge(&evidence, NOW);
+    expect_that!(is_quarantined(&third, CONCURRENT), eq(false));
     other.merge(&third.snapshot(NOW).own, NOW);
-    expect_that!(is_held(&other, BESIDE), eq(false));
+    expect_that!(is_quarantined(&other, CONCURRENT), eq(false));
 }
 
 #[gtest]
 fn it_is_tried_again_after_a_while_and_each_further_loss_holds_it_longer() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2, 3])]);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2, 3])]);
     let mut now = NOW;
     for (endpoint, hold) in [(4, 60), (5, 360), (6, 1440)] {
         now += quarantine.remaining(CRASHING, now).expect("held");
@@ -139,16 +142,16 @@
 
 #[gtest]
 fn what_is_not_enough_is_forgotten_sooner() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[4, 5])]);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2, 3]), (CONCURRENT, &[4, 5])]);
     quarantine.expire(NOW + SHORT_RETENTION);
     expect_that!(quarantine.is_suspect(CRASHING), eq(true));
-    expect_that!(quarantine.is_suspect(BESIDE), eq(false));
+    expect_that!(quarantine.is_suspect(CONCURRENT), eq(false));
 }
 
 #[gtest]
 fn all_is_forgotten_in_the_end() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[1])]);
-    quarantine.record_served(BESIDE, NOW);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2, 3]), (CONCURRENT, &[1])]);
+    quarantine.record_served(CONCURRENT, NOW);
     quarantine.expire(NOW + RETENTION);
     expect_that!(
         quarantine.snapshot(NOW + RETENTION).all.is_empty(),
@@ -159,7 +162,7 @@
 
 #[gtest]
 fn a_flood_of_losses_takes_bounded_room_and_frees_nobody() {
-    let mut quarantine = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[4, 5])]);
+    let mut quarantine = with_losses(&[(CRASHING, &[1, 2, 3]), (CONCURRENT, &[4, 5])]);
     for number in 0..20_000 {
         let at = NOW + Millis(1 + number / 100);
         let other = Fingerprint(1000 + number);
@@ -167,9 +170,9 @@
         quarantine.record_served(Fingerprint(1_000_000 + number), at);
     }
     expect_that!(quarantine.snapshot(NOW).all.len(), le(512));
-    expect_that!(is_held(&quarantine, CRASHING), eq(true));
-    quarantine.record_loss(BESIDE, 6, NOW);
-    expect_that!(is_held(&quarantine, BESIDE), eq(true));
+    expect_that!(is_quarantined(&quarantine, CRASHING), eq(true));
+    quarantine.record_loss(CONCURRENT, 6, NOW);
+    expect_that!(is_quarantined(&quarantine, CONCURRENT), eq(true));
 }
 
 #[gtest]
@@ -188,8 +191,8 @@
 
 #[gtest]
 fn those_who_know_the_same_have_the_same_digest_in_whatever_order_they_learnt_it() {
-    let one = after(&[(CRASHING, &[1, 2, 3]), (BESIDE, &[3])]);
-    let mut other = after(&[(BESIDE, &[3])]);
+    let one = with_losses(&[(CRASHING, &[1, 2, 3]), (CONCURRENT, &[3])]);
+    let mut other = with_losses(&[(CONCURRENT, &[3])]);
     expect_that!(
         other.snapshot(NOW).digest,
         not(eq(one.snapshot(NOW).digest))
--- a/crates/core/tests/routing/request.rs
+++ b/crates/core/tests/routing/request.rs
@@ -1,8 +1,10 @@
+//! Which parts of a prompt make up its shared prefix.
+
 use googletest::prelude::*;
 use medlarrill_core::routing::request::{PromptPart, RequestHead};
 use medlarrill_core::units::Tokens;
 
-fn call(model: &str, parts: &[(u64, u64)]) -> RequestHead {
+fn head(model: &str, parts: &[(u64, u64)]) -> RequestHead {
     let part = |(id, tokens): &(u64, u64)| PromptPart {
         id: *id,
         tokens: Tokens(*tokens),
@@ -16,15 +18,15 @@
 
 #[gtest]
 fn the_last_part_is_the_requests_own() {
-    let one = call("m", &[(1, 500), (2, 10_000), (3, 70)]).shared();
-    let other = call("m", &[(1, 500), (2, 10_000), (4, 90)]).shared();
+    let one = head("m", &[(1, 500), (2, 10_000), (3, 70)]).shared();
+    let other = head("m", &[(1, 500), (2, 10_000), (4, 90)]).shared();
     expect_that!(one, eq(other));
     expect_that!(one.expect("shared").tokens, eq(Tokens(10_500)));
 }
 
 #[gtest]
 fn other_parts_another_order_or_another_model_are_another_prefix() {
-    let key = |model, parts: &[(u64, u64)]| call(model, parts).shared().expect("shared").key;
+    let key = |model, parts: &[(u64, u64)]| head(model, parts).shared().expect("shared").key;
     let base = key("m", &[(1, 5), (2, 5), (9, 5)]);
     expect_that!(key("m", &[(2, 5), (1, 5), (9, 5)]), not(eq(base)));
     expect_that!(key("n", &[(1, 5), (2, 5), (9, 5)]), not(eq(base)));
@@ -33,6 +35,6 @@
 
 #[gtest]
 fn a_prompt_of_one_part_shares_nothing() {
-    expect_that!(call("m", &[(1, 5)]).shared(), none());
-    expect_that!(call("m", &[]).shared(), none());
+    expect_that!(head("m", &[(1, 5)]).shared(), none());
+    expect_that!(head("m", &[]).shared(), none());
 }
--- a/crates/core/tests/routing/stop.rs
+++ b/crates/core/tests/routing/stop.rs
@@ -1,3 +1,5 @@
+//! Stages of a daemon's shutdown.
+
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
 use medlarrill_core::routing::stop::{EXIT_MARGIN, SERVE_TIME, Stage, Stop};
@@ -8,7 +10,7 @@
     expect_that!(stop.stage(Millis(5000)), eq(Stage::Serving));
     stop.request(Millis(5000));
     expect_that!(stop.stage(Millis(5000)), eq(Stage::Leaving));
-    // The balancer has asked twice.
+    // The load balancer has probed twice.
     expect_that!(stop.stage(Millis(5000) + Millis(2000)), eq(Stage::Leaving));
     expect_that!(stop.stage(Millis(5000) + Millis(2100)), eq(Stage::Closing));
     expect_that!(stop.stage(Millis(5000) + SERVE_TIME), eq(Stage::Draining));
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -1,3 +1,5 @@
+//! The router's view of its endpoints: restarts of instances, late entries, and moved prefixes.
+
 use std::collections::HashMap;
 
 use googletest::prelude::*;
@@ -33,7 +35,7 @@
     picked.expect("an endpoint")
 }
 
-/// What an endpoint tells whose slots are taken, while so many requests wait.
+/// Report of an endpoint whose slots are all in use, with `waiting` requests queued.
 const fn busy(waiting: u32) -> LoadReport {
     LoadReport {
         running: 8,
@@ -42,8 +44,8 @@
     }
 }
 
-/// A pool of three that has been there for a minute.
-fn settled() -> View {
+/// A pool of three endpoints that have been listed for a minute.
+fn pool_of_three() -> View {
     let mut view = view("near", 7);
     for name in ["a", "b", "c"] {
         view.upsert(instance(born(name, 500)), Millis(0));
@@ -51,16 +53,16 @@
     view
 }
 
-/// A prefix that goes to `a` in a pool of three.
+/// A prefix that ranks `a` first in a pool of three.
 fn key_of_a() -> u64 {
-    let mut view = settled();
+    let mut view = pool_of_three();
     let goes_to_a = |key: &u64| pick(&mut view, *key, START).endpoint.id == born("a", 500);
     (0..64).find(goes_to_a).expect("a prefix")
 }
 
 #[gtest]
 fn an_endpoint_that_starts_again_under_its_id_has_no_work_and_no_failures() {
-    let mut view = settled();
+    let mut view = pool_of_three();
     let old = born("a", 500);
     view.report(&old, busy(30), START);
     for _ in 0..10 {
@@ -82,28 +84,28 @@
 
 #[gtest]
 fn requests_of_the_instance_before_and_word_of_it_do_not_count_for_the_next() {
-    let mut view = settled();
+    let mut view = pool_of_three();
     let key = key_of_a();
     let old = pick(&mut view, key, START).endpoint.id.clone();
     expect_that!(old, eq(&born("a", 500)));
     let new = born("a", 900);
     view.upsert(instance(new.clone()), START);
     pick(&mut view, key, START);
-    // The request at the old instance ends, and fails; other daemons speak of it still.
+    // The request at the old instance fails, and other daemons still report that instance.
     view.end(&old);
     for _ in 0..10 {
         view.record_failure(&old, Fault::Lost, START);
     }
-    let told = PeerCounts {
+    let counts = PeerCounts {
         in_flight: 40,
         good: 0,
         bad: 20,
     };
-    let heard = PeerUpdate {
-        endpoints: HashMap::from([(short_id(&old), told)]),
+    let update = PeerUpdate {
+        endpoints: HashMap::from([(short_id(&old), counts)]),
         ..PeerUpdate::default()
     };
-    view.update_peers(heard, 4, START);
+    view.update_peers(update, 4, START);
     let picked = pick(&mut view, key, START);
     expect_that!(picked.endpoint.id, eq(&new));
     expect_that!(picked.load, eq(1.0), "its own request, no more");
@@ -116,7 +118,7 @@
 
 #[gtest]
 fn prefixes_are_fetched_from_who_had_them_while_their_place_started_again() {
-    let mut view = settled();
+    let mut view = pool_of_three();
     let key = key_of_a();
     view.remove(&id("a").endpoint);
     let meanwhile = pick(&mut view, key, START).endpoint.id.clone();
@@ -144,7 +146,7 @@
 
 #[gtest]
 fn a_late_write_of_the_instance_before_changes_nothing() {
-    let mut view = settled();
+    let mut view = pool_of_three();
     view.upsert(instance(born("a", 900)), START);
     let late = view.upsert(instance(born("a", 500)), START + Millis(3000));
     expect_that!(late, eq(&ListingChange::Ignored(EntryKind::Late)));
@@ -152,39 +154,39 @@
     expect_that!(again, eq(&ListingChange::Same));
 }
 
-/// Brings what one daemon tells to another, as a hub does.
-fn tell(from: &mut View, to: &mut View, now: Millis) {
+/// Delivers the prefix moves of one daemon to another, as a hub does.
+fn deliver_report(from: &mut View, to: &mut View, now: Millis) {
     let report = from.take_report(false);
-    let heard = PeerUpdate {
+    let update = PeerUpdate {
         moved: report.moved,
         ..PeerUpdate::default()
     };
-    to.update_peers(heard, 2, now);
+    to.update_peers(update, 2, now);
 }
 
 #[gtest]
 fn a_prefix_that_was_passed_on_is_fetched_from_where_it_went_by_other_daemons_too() {
-    let (mut one, mut two) = (settled(), settled());
+    let (mut one, mut two) = (pool_of_three(), pool_of_three());
     let key = key_of_a();
     let first = born("a", 500);
     one.report(&first, busy(40), START);
-    let passed = pick(&mut one, key, START);
-    expect_that!(passed.endpoint.id, not(eq(&first)));
-    expect_that!(passed.moved, eq(true));
-    tell(&mut one, &mut two, START);
-    // The first in rank has room again, and has never read the prefix.
+    let diverted = pick(&mut one, key, START);
+    expect_that!(diverted.endpoint.id, not(eq(&first)));
+    expect_that!(diverted.moved, eq(true));
+    deliver_report(&mut one, &mut two, START);
+    // The first in rank has free slots again, but has never read the prefix.
     let back = pick(&mut two, key, START + Millis(2000));
     expect_that!(back.endpoint.id, eq(&first));
     let source = back.source.expect("a source");
-    expect_that!(source.id, eq(&passed.endpoint.id));
+    expect_that!(source.id, eq(&diverted.endpoint.id));
     expect_that!(back.moved, eq(false));
-    // Now it has.
+    // Now it has read it.
     expect_that!(pick(&mut two, key, START + Millis(2100)).source, none());
 }
 
 #[gtest]
 fn what_goes_where_rank_says_is_not_told_and_what_does_not_is_told_once() {
-    let mut view = settled();
+    let mut view = pool_of_three();
     let key = key_of_a();
     pick(&mut view, key, START);
     expect_that!(view.take_report(false).moved.len(), eq(0));
@@ -198,11 +200,11 @@
 
 #[gtest]
 fn a_prefix_is_not_fetched_from_where_an_attempt_with_it_failed() {
-    let mut view = settled();
+    let mut view = pool_of_three();
     let key = key_of_a();
     view.report(&born("a", 500), busy(40), START);
-    let passed = pick(&mut view, key, START).endpoint.id.clone();
-    view.retract_prefix(&prefix(key), &passed);
+    let diverted = pick(&mut view, key, START).endpoint.id.clone();
+    view.retract_prefix(&prefix(key), &diverted);
     let back = pick(&mut view, key, START + Millis(9000));
     expect_that!(back.endpoint.id, eq(&born("a", 500)));
     expect_that!(back.source, none());
