--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -1,8 +1,9 @@
-//! Engines that hold nothing yet, before many daemons: how soon callers get their first event.
+//! Simulates engines with empty prefix caches behind many daemons, and measures the time to the
+//! first event.
 //!
-//! An engine reads prompts one after the other; what it has read of a shared prefix it keeps.
-//! Long summaries, questions and short labels arrive together, as many as keep five or six of them
-//! at each engine.
+//! An engine reads prompts one after the other and caches the shared prefixes that it has read.
+//! Long summaries, questions and short labels arrive together, at rates that keep five or six of
+//! them at each engine.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -21,29 +22,29 @@
 
 const DAEMONS: usize = 60;
 const ENGINES: usize = 60;
-/// Between two reports of a daemon, and between two summaries of the hub, in milliseconds like all
-/// times here.
+/// Interval between reports of a daemon, and between summaries of the hub, in milliseconds like
+/// all times here.
 const TICK: u64 = 200;
-/// Tokens read in a millisecond, beside the streams that run.
-const PACE: f64 = 38.0;
+/// Prompt tokens that an engine reads in a millisecond, besides running its streams.
+const READ_RATE: f64 = 38.0;
 /// Time to fetch a prefix from another engine.
-const FETCH: f64 = 30.0;
-/// Time to the first event that callers want.
+const FETCH_TIME: f64 = 30.0;
+/// Target time to the first event.
 const TARGET: u64 = 1000;
-/// Requests for one prefix.
-const RETURNS: f64 = 4.5;
-/// The first seconds, in which next to nothing is kept.
-const COLD: u64 = 3000;
-const LENGTH: u64 = 20_000;
+/// Mean number of requests for one prefix.
+const REQUESTS_PER_PREFIX: f64 = 4.5;
+/// The first seconds, in which caches are nearly empty.
+const COLD_PERIOD: u64 = 3000;
+const DURATION: u64 = 20_000;
 
 /// A kind of request.
 #[derive(Clone, Copy)]
 struct Kind {
     /// Requests a second for each engine.
     rate: f64,
-    /// Tokens that it shares with a few others.
+    /// Tokens of the prefix that it shares with a few others.
     shared: f64,
-    /// Tokens of its own.
+    /// Tokens that no other request shares.
     own: f64,
     /// Time from the first event to the last.
     stream: u64,
@@ -71,42 +72,42 @@
 ];
 
 struct Run {
-    asked: u64,
+    arrived: u64,
     daemon: usize,
     kind: Kind,
     key: u64,
-    /// Whether the prefix comes from another engine.
+    /// Whether the prefix is fetched from another engine.
     fetched: bool,
-    /// Tokens that are still to be read; unknown before the reading begins.
-    left: Option<f64>,
+    /// Tokens still to be read; unknown before reading begins.
+    remaining: Option<f64>,
 }
 
 struct Engine {
     id: InstanceId,
-    kept: HashSet<u64>,
+    cached: HashSet<u64>,
     waiting: VecDeque<Run>,
     running: Vec<(u64, usize)>,
 }
 
 impl Engine {
-    /// Reads for a millisecond; returns the requests whose first event comes.
+    /// Reads prompts for a millisecond; returns the requests whose first event is due.
     fn read(&mut self) -> Vec<Run> {
-        let mut room = PACE;
+        let mut budget = READ_RATE;
         let mut read = Vec::new();
-        while room > 0.0
+        while budget > 0.0
             && let Some(run) = self.waiting.front_mut()
         {
-            let shared = match (self.kept.contains(&run.key), run.fetched) {
+            let shared = match (self.cached.contains(&run.key), run.fetched) {
                 (true, _) => 0.0,
-                (false, true) => FETCH * PACE,
+                (false, true) => FETCH_TIME * READ_RATE,
                 (false, false) => run.kind.shared,
             };
-            let left = run.left.get_or_insert(run.kind.own + shared);
-            let step = left.min(room);
-            *left -= step;
-            room -= step;
-            if *left <= 0.0 {
-                self.kept.insert(run.key);
+            let remaining = run.remaining.get_or_insert(run.kind.own + shared);
+            let step = remaining.min(budget);
+            *remaining -= step;
+            budget -= step;
+            if *remaining <= 0.0 {
+                self.cached.insert(run.key);
                 read.extend(self.waiting.pop_front());
             }
         }
@@ -114,31 +115,31 @@
     }
 }
 
-/// What callers got.
+/// Measured results.
 #[derive(Clone, Copy, Default, Debug)]
-struct Got {
-    /// Share of first events in time, of requests of the first seconds.
+struct Results {
+    /// Share of first events in time, of requests of the cold period.
     cold: f64,
-    /// The same, of all later ones.
+    /// The same, of all later requests.
     warm: f64,
-    /// Requests whose engine had to read their shared prefix, for each prefix; at least one.
+    /// Mean number of times that engines read each prefix; at least one.
     readings: f64,
 }
 
-struct World {
+struct Simulation {
     rng: Pcg32,
     engines: Vec<Engine>,
     daemons: Vec<View>,
     told: Told,
-    /// Requests, and those in time, that arrived in the first seconds and later.
+    /// Requests, and those of them in time, of the cold period and of the time after it.
     counts: [(f64, f64); 2],
     /// Requests whose engine had to read their shared prefix.
     readings: f64,
-    /// Prefixes that were asked for.
+    /// Requested prefixes.
     prefixes: HashSet<u64>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let name = |number: usize| format!("e{number}");
         let daemon = |number: usize| {
@@ -150,7 +151,7 @@
         };
         let engine = |number: usize| Engine {
             id: endpoint(&name(number)).id,
-            kept: HashSet::new(),
+            cached: HashSet::new(),
             waiting: VecDeque::new(),
             running: Vec::new(),
         };
@@ -165,16 +166,16 @@
         }
     }
 
-    fn run(&mut self, at: usize, now: u64) {
+    fn step_engine(&mut self, at: usize, now: u64) {
         let engine = &mut self.engines[at];
         for run in engine.read() {
             engine.running.push((now + run.kind.stream, run.daemon));
-            let counts = &mut self.counts[usize::from(run.asked >= COLD)];
+            let counts = &mut self.counts[usize::from(run.arrived >= COLD_PERIOD)];
             counts.0 += 1.0;
-            counts.1 += f64::from(u8::from(now - run.asked <= TARGET));
+            counts.1 += f64::from(u8::from(now - run.arrived <= TARGET));
         }
-        let over = |run: &mut (u64, usize)| run.0 <= now;
-        for (_, daemon) in engine.running.extract_if(.., over) {
+        let is_over = |run: &mut (u64, usize)| run.0 <= now;
+        for (_, daemon) in engine.running.extract_if(.., is_over) {
             let view = &mut self.daemons[daemon];
             view.end(&engine.id);
             view.record_success(&engine.id, Millis(now));
@@ -194,7 +195,7 @@
         let choice = choice.expect("an engine");
         let holds = |id: &InstanceId| {
             let mut engines = self.engines.iter();
-            engines.any(|engine| engine.id == *id && engine.kept.contains(&key))
+            engines.any(|engine| engine.id == *id && engine.cached.contains(&key))
         };
         let fetched = choice
             .source
@@ -207,24 +208,24 @@
         let is_picked = |engine: &&mut Engine| engine.id == choice.endpoint.id;
         let engine = self.engines.iter_mut().find(is_picked).expect("an engine");
         engine.waiting.push_back(Run {
-            asked: now,
+            arrived: now,
             daemon,
             kind,
             key,
             fetched,
-            left: None,
+            remaining: None,
         });
     }
 
-    /// So many times the usual requests.
-    fn play(mut self, scale: f64) -> Got {
-        for now in 0..LENGTH {
-            (0..ENGINES).for_each(|at| self.run(at, now));
+    /// Runs the simulation at `scale` times the usual request rates.
+    fn simulate(mut self, scale: f64) -> Results {
+        for now in 0..DURATION {
+            (0..ENGINES).for_each(|at| self.step_engine(at, now));
             self.told.tell(&mut self.daemons, now);
             let mut first = 0;
             for kind in KINDS {
                 let per_ms = scale * kind.rate * ENGINES as f64 / 1000.0;
-                let keys = first..first + (per_ms * LENGTH as f64 / RETURNS) as u64;
+                let keys = first..first + (per_ms * DURATION as f64 / REQUESTS_PER_PREFIX) as u64;
                 first = keys.end;
                 if self.rng.random::<f64>() < per_ms {
                     self.arrive(kind, keys, now);
@@ -232,7 +233,7 @@
             }
         }
         let [cold, warm] = self.counts.map(|(all, in_time)| in_time / all);
-        Got {
+        Results {
             cold,
             warm,
             readings: self.readings / self.prefixes.len() as f64,
@@ -240,11 +241,11 @@
     }
 }
 
-/// At twice the usual load 946 in 1,000 first events of the first three seconds are in time, all
-/// but 2 in 1,000 later on.
+/// At twice the usual load 946 in 1,000 first events of the first three seconds are in time, and
+/// 998 in 1,000 later on.
 #[gtest]
 fn a_cold_pool_at_twice_its_usual_load_keeps_few_callers_waiting() {
-    let got = World::new().play(2.0);
+    let got = Simulation::new().simulate(2.0);
     expect_that!(got.cold, gt(0.93), "{got:?}");
     expect_that!(got.warm, gt(0.99), "{got:?}");
     expect_that!(got.readings, lt(1.15), "{got:?}");
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -1,4 +1,4 @@
-//! Endpoints that bear few requests a second, before daemons that can't hear each other.
+//! Slow start of endpoints that accept few requests a second, with daemons cut off from each other.
 
 use std::net::SocketAddr;
 
@@ -19,15 +19,15 @@
 use super::support::{Starts, endpoint, id, pool, prefix, route, view};
 
 const START: Millis = Millis(60_000);
-const SPAN: Millis = Millis(3000);
+const DURATION: Millis = Millis(3000);
 const RATE: f64 = 8.9;
-/// A second, in which an endpoint counts what it gets.
+/// Window in which an endpoint counts its requests, in milliseconds.
 const SECOND: u64 = 1000;
 
 fn slow(rate: f64) -> SlowStart {
     SlowStart {
         rate: Rate(rate),
-        duration: SPAN,
+        duration: DURATION,
     }
 }
 
@@ -47,12 +47,12 @@
     starts
 }
 
-/// Sends as much as each daemon may for some seconds; returns when.
+/// Sends as much as each daemon may for some seconds; returns the times.
 fn flood(daemons: &mut [Starts], to: &InstanceId, from: Millis, seconds: u64) -> Vec<u64> {
     let mut rng = Pcg32::seed_from_u64(5);
     let mut sent = Vec::new();
     for now in (from.0..from.0 + seconds * SECOND).step_by(20) {
-        // Who comes first differs from one moment to the next.
+        // The first daemon differs from step to step.
         let first = rng.random_range(0..daemons.len());
         for number in 0..daemons.len() {
             let turn = (first + number) % daemons.len();
@@ -67,7 +67,7 @@
 }
 
 /// Most requests in any second.
-fn peak(sent: &[u64]) -> usize {
+fn max_per_second(sent: &[u64]) -> usize {
     let from = |from: &u64| {
         let until = from + SECOND;
         sent.iter()
@@ -97,7 +97,11 @@
                 daemon.begin(&to, Millis(20_000), START);
             }
             let sent = flood(&mut fleet, &to, START, 10);
-            expect_that!(peak(&sent) as f64, le(rate), "{count} daemons, {rate}/s");
+            expect_that!(
+                max_per_second(&sent) as f64,
+                le(rate),
+                "{count} daemons, {rate}/s"
+            );
             let used = sent.len() as f64 / (10.0 * rate);
             expect_that!(used, ge(0.7), "{count} daemons, {rate}/s");
         }
@@ -115,14 +119,14 @@
     }
     let sent = flood(&mut fleet, &to, START, 40);
     expect_that!(sent.len(), all![ge(8), le(10)]);
-    expect_that!(peak(&sent), eq(1));
+    expect_that!(max_per_second(&sent), eq(1));
 }
 
 #[gtest]
 fn a_daemon_that_the_platform_does_not_list_or_that_has_just_started_sends_nothing() {
     let to = id("e-0");
     let mut unlisted = starts(99, listed(9), RATE);
-    unlisted.begin(&to, SPAN, START);
+    unlisted.begin(&to, DURATION, START);
     expect_that!(
         unlisted.allowance(&to, &pool(), START),
         eq(Allowance::Nothing)
@@ -130,7 +134,7 @@
 
     let mut without_list = Starts::new(Millis(0));
     without_list.configure([(pool(), slow(RATE))].into());
-    without_list.begin(&to, SPAN, START);
+    without_list.begin(&to, DURATION, START);
     expect_that!(
         without_list.allowance(&to, &pool(), START),
         eq(Allowance::Nothing)
@@ -169,7 +173,7 @@
         }
     }
     expect_that!(started, gt(START));
-    expect_that!(peak(&sent), le(1));
+    expect_that!(max_per_second(&sent), le(1));
 }
 
 #[gtest]
@@ -178,7 +182,7 @@
         let new = listed(68 + added);
         let mut fleet: Vec<Starts> = (0..68 + added)
             .map(|number| {
-                // One in three of the older daemons knows the old list still.
+                // One in three of the older daemons still has the old list.
                 let old = number < 68 && number % 3 == 0;
                 starts(number, listed(if old { 68 } else { 68 + added }), RATE)
             })
@@ -191,7 +195,7 @@
             }
             let sent = flood(&mut fleet, &to, START, 3);
             let most = RATE as usize + added.min(RATE as usize);
-            expect_that!(peak(&sent), le(most), "{added} added");
+            expect_that!(max_per_second(&sent), le(most), "{added} added");
         }
     }
 }
@@ -202,12 +206,12 @@
         .map(|number| starts(number, listed(68), RATE))
         .collect();
     let shares = |mut daemon: Starts| {
-        let spared = (0..60).map(|number| id(&format!("e-{number}")));
-        let given = spared.filter(|to| {
-            daemon.begin(to, SPAN, START);
+        let endpoints = (0..60).map(|number| id(&format!("e-{number}")));
+        let accepted = endpoints.filter(|to| {
+            daemon.begin(to, DURATION, START);
             daemon.allowance(to, &pool(), START) == Allowance::One
         });
-        given.count()
+        accepted.count()
     };
     let shares: Vec<usize> = fleet.into_iter().map(shares).collect();
     expect_that!(shares.iter().sum::<usize>(), eq(60 * 8));
@@ -220,7 +224,7 @@
     let to = id("e-0");
     let mut daemon = starts(0, listed(1), RATE);
     daemon.deal(address(0), "far", listed(1));
-    daemon.begin(&to, SPAN, START);
+    daemon.begin(&to, DURATION, START);
     let sent = flood(&mut [daemon], &to, START, 1);
     expect_that!(sent.len(), eq(8));
 }
@@ -229,11 +233,11 @@
 fn prefixes_return_over_the_time_of_a_start_and_not_at_once() {
     let mut daemon = starts(0, listed(1), RATE);
     let to = id("e-0");
-    daemon.begin(&to, SPAN, START);
+    daemon.begin(&to, DURATION, START);
     let mut share = |passed: u64| {
-        let allowance = daemon.allowance(&to, &pool(), START + SPAN + Millis(passed));
-        let suits = |key: &u64| allowance.accepts(Some(&prefix(*key)), |_| true);
-        (0..1000).filter(suits).count()
+        let allowance = daemon.allowance(&to, &pool(), START + DURATION + Millis(passed));
+        let is_accepted = |key: &u64| allowance.accepts(Some(&prefix(*key)), |_| true);
+        (0..1000).filter(is_accepted).count()
     };
     expect_that!(share(300), all![ge(60), le(140)]);
     expect_that!(share(1500), all![ge(450), le(550)]);
@@ -244,17 +248,17 @@
 fn a_longer_time_that_was_told_stays() {
     let mut daemon = starts(0, listed(68), RATE);
     let to = id("e-0");
-    daemon.begin(&to, SPAN, START);
+    daemon.begin(&to, DURATION, START);
     daemon.begin(&to, Millis(200), START);
     let later = START + Millis(2900);
     expect_that!(daemon.active(later).count(), eq(1));
-    expect_that!(daemon.active(START + SPAN).count(), eq(0));
+    expect_that!(daemon.active(START + DURATION).count(), eq(0));
 }
 
 #[gtest]
 fn a_pool_without_slow_start_is_not_spared() {
     let mut daemon = Starts::new(Millis(0));
-    daemon.begin(&id("e-0"), SPAN, START);
+    daemon.begin(&id("e-0"), DURATION, START);
     expect_that!(
         daemon.allowance(&id("e-0"), &pool(), START),
         eq(Allowance::All)
@@ -295,7 +299,7 @@
 fn a_starting_endpoint_is_given_long_prefixes_and_the_rest_goes_elsewhere() {
     let mut view = fleet_of(1);
     let key = key_of_a();
-    view.begin_slow_start(&id("a"), SPAN, START);
+    view.begin_slow_start(&id("a"), DURATION, START);
     let long = prefix(key);
     let short = SharedPrefix {
         tokens: Tokens(200),
@@ -320,10 +324,10 @@
 fn where_all_are_starting_a_request_that_none_can_bear_is_refused_at_once() {
     let mut view = fleet_of(1);
     for name in ["a", "b", "c"] {
-        view.begin_slow_start(&id(name), SPAN, START);
+        view.begin_slow_start(&id(name), DURATION, START);
     }
-    let given = (0..60).filter(|key| pick(&mut view, Some(&prefix(*key)), START).is_ok());
-    expect_that!(given.count(), eq(3 * 8));
+    let accepted = (0..60).filter(|key| pick(&mut view, Some(&prefix(*key)), START).is_ok());
+    expect_that!(accepted.count(), eq(3 * 8));
     let plan = RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000));
     expect_that!(view.has_other(&pool(), &plan, &id("a"), START), eq(false));
     expect_that!(
--- a/crates/core/tests/routing/slow_start_ways.rs
+++ b/crates/core/tests/routing/slow_start_ways.rs
@@ -1,5 +1,5 @@
-//! Three ways to share the rate that starting endpoints bear, in model time: an equal part each,
-//! shares drawn by rank, and shares that follow demand as daemons tell it each other.
+//! Compares three schemes that divide the rate of starting endpoints among daemons, in simulated
+//! time: equal shares, shares by rank, and shares by demand as daemons report it to each other.
 
 use std::net::SocketAddr;
 
@@ -17,25 +17,26 @@
 const DAEMONS: usize = 68;
 const ENDPOINTS: usize = 60;
 const RATE: f64 = 8.9;
-/// Requests a second of the whole fleet, twice what all endpoints bear.
+/// Requests a second of the fleet, twice the total rate of all endpoints.
 const OFFERED: f64 = 2.0 * RATE * ENDPOINTS as f64;
 const START: u64 = 60_000;
-const SPAN: u64 = 6000;
+const DURATION: u64 = 6000;
 const SECOND: u64 = 1000;
-/// Between two words on demand, and how old they are when they arrive.
-const TOLD: u64 = 100;
+/// Interval between reports of demand, in milliseconds.
+const REPORT_INTERVAL: u64 = 100;
+/// Age of a report when it arrives, in milliseconds.
 const LAG: u64 = 300;
 
-/// Whether a daemon may send to an endpoint now; notes that it does.
-type May = Box<dyn FnMut(usize, usize, u64) -> bool>;
-/// A way to share the rate.
-type Way = fn(Parts) -> May;
+/// Returns whether a daemon may send to an endpoint now, and records it as sent if so.
+type MaySend = Box<dyn FnMut(usize, usize, u64) -> bool>;
+/// A scheme to divide the rate.
+type Scheme = fn(Partition) -> MaySend;
 
-/// How daemons see each other: all together, or in parts that are cut off from each other.
+/// Number of parts of the fleet that are cut off from each other; one if all are connected.
 #[derive(Clone, Copy)]
-struct Parts(usize);
+struct Partition(usize);
 
-impl Parts {
+impl Partition {
     const fn of(self, daemon: usize) -> usize {
         daemon % self.0
     }
@@ -45,13 +46,13 @@
     }
 }
 
-/// Each daemon sends one request in the time in which as many as it sees may send one each.
-fn equal(parts: Parts) -> May {
-    let gap = (parts.size() as f64 / RATE * 1000.0) as u64;
+/// Each daemon sends one request in the time in which each daemon of its part may send one.
+fn equal(partition: Partition) -> MaySend {
+    let gap = (partition.size() as f64 / RATE * 1000.0) as u64;
     let mut rng = Pcg32::seed_from_u64(3);
     let mut next = vec![[0; ENDPOINTS]; DAEMONS];
     for free in next.iter_mut().flatten() {
-        // Nobody has sent for long, or at a time of its own.
+        // Each daemon starts at a random point of its interval; about half may send at once.
         *free = START + rng.random_range(0..gap) - gap / 2;
     }
     Box::new(move |daemon, endpoint, now| {
@@ -68,8 +69,8 @@
     ([10, 0, 0, number as u8], 7340).into()
 }
 
-/// Shares by rank over the list that the platform keeps, whoever is heard.
-fn drawn(_: Parts) -> May {
+/// Shares by rank over the platform's list, independent of which daemons are reachable.
+fn by_rank(_: Partition) -> MaySend {
     let slow = SlowStart {
         rate: Rate(RATE),
         duration: Millis(3000),
@@ -80,7 +81,7 @@
         daemon.configure([(pool(), slow)].into());
         daemon.deal(address(number), "near", (0..DAEMONS).map(address).collect());
         for id in &ids {
-            daemon.begin(id, Millis(SPAN * 2), Millis(START));
+            daemon.begin(id, Millis(DURATION * 2), Millis(START));
         }
         daemon
     };
@@ -95,37 +96,37 @@
     })
 }
 
-/// Half of the shares by rank, the other half to those that asked for most a moment ago.
-fn by_demand(parts: Parts) -> May {
-    let seats = RATE as usize;
-    let mut asked: Vec<(u64, usize, usize)> = Vec::new();
+/// Half of the shares by rank, the other half to the daemons with the most demand a moment ago.
+fn by_demand(partition: Partition) -> MaySend {
+    let share_count = RATE as usize;
+    let mut demand: Vec<(u64, usize, usize)> = Vec::new();
     let mut last = vec![[0; ENDPOINTS]; DAEMONS];
-    let mut lent = vec![vec![false; ENDPOINTS]; DAEMONS];
-    let mut told = 0;
+    let mut assigned = vec![vec![false; ENDPOINTS]; DAEMONS];
+    let mut last_report = 0;
     let rank = |daemon: usize, endpoint: usize| {
         Node::new((), &daemon.to_string()).rank(key_of(&endpoint.to_string()))
     };
     let mut own = vec![vec![false; ENDPOINTS]; DAEMONS];
-    let mut give = |endpoint: usize| {
+    let mut assign = |endpoint: usize| {
         let mut order: Vec<usize> = (0..DAEMONS).collect();
         order.sort_by_key(|daemon| std::cmp::Reverse(rank(*daemon, endpoint)));
-        for daemon in &order[..seats / 2] {
+        for daemon in &order[..share_count / 2] {
             own[*daemon][endpoint] = true;
         }
     };
-    (0..ENDPOINTS).for_each(&mut give);
+    (0..ENDPOINTS).for_each(&mut assign);
     Box::new(move |daemon, endpoint, now| {
-        asked.push((now, daemon, endpoint));
-        if now >= told + TOLD {
-            told = now;
-            asked.retain(|(at, ..)| now - at < LAG + SECOND);
-            let heard = asked.iter().filter(|(at, ..)| now - at >= LAG);
+        demand.push((now, daemon, endpoint));
+        if now >= last_report + REPORT_INTERVAL {
+            last_report = now;
+            demand.retain(|(at, ..)| now - at < LAG + SECOND);
+            let received = demand.iter().filter(|(at, ..)| now - at >= LAG);
             let mut counts = vec![vec![0; ENDPOINTS]; DAEMONS];
-            heard.for_each(|(_, daemon, endpoint)| counts[*daemon][*endpoint] += 1);
-            lent = lend(&counts, &own, seats - seats / 2, parts);
+            received.for_each(|(_, daemon, endpoint)| counts[*daemon][*endpoint] += 1);
+            assigned = assign_by_demand(&counts, &own, share_count - share_count / 2, partition);
         }
         let free = now >= last[daemon][endpoint] + 1020;
-        let may = free && (own[daemon][endpoint] || lent[daemon][endpoint]);
+        let may = free && (own[daemon][endpoint] || assigned[daemon][endpoint]);
         if may {
             last[daemon][endpoint] = now;
         }
@@ -133,43 +134,48 @@
     })
 }
 
-/// The daemons of each part that asked for most and have no share of their own.
-fn lend(counts: &[Vec<usize>], own: &[Vec<bool>], seats: usize, parts: Parts) -> Vec<Vec<bool>> {
-    let mut lent = vec![vec![false; ENDPOINTS]; DAEMONS];
+/// Assigns shares to the daemons of each part with the most demand and no share by rank.
+fn assign_by_demand(
+    counts: &[Vec<usize>],
+    own: &[Vec<bool>],
+    share_count: usize,
+    partition: Partition,
+) -> Vec<Vec<bool>> {
+    let mut assigned = vec![vec![false; ENDPOINTS]; DAEMONS];
     for endpoint in 0..ENDPOINTS {
-        for part in 0..parts.0 {
-            let here = |daemon: &usize| parts.of(*daemon) == part && !own[*daemon][endpoint];
+        for part in 0..partition.0 {
+            let here = |daemon: &usize| partition.of(*daemon) == part && !own[*daemon][endpoint];
             let mut order: Vec<usize> = (0..DAEMONS).filter(here).collect();
             order.sort_by_key(|daemon| std::cmp::Reverse(counts[*daemon][endpoint]));
-            for daemon in &order[..seats] {
-                lent[*daemon][endpoint] = true;
+            for daemon in &order[..share_count] {
+                assigned[*daemon][endpoint] = true;
             }
         }
     }
-    lent
+    assigned
 }
 
-/// What endpoints got.
+/// Measured results.
 #[derive(Debug)]
-struct Got {
+struct Results {
     /// Most requests in a second at any endpoint.
     peak: usize,
-    /// Share of the rate that was used.
+    /// Used share of the rate.
     used: f64,
-    /// Least and most that an endpoint got, against the mean.
+    /// Least and most requests of an endpoint, relative to the mean.
     spread: (f64, f64),
 }
 
-/// Callers of uneven daemons ask for more than all endpoints bear, each request for the first few
-/// in its rank.
-fn play(mut may: May) -> Got {
+/// Callers, spread unevenly over daemons, send more than all endpoints accept; each request tries
+/// the endpoints in turn from a random first.
+fn simulate(mut may: MaySend) -> Results {
     let mut rng = Pcg32::seed_from_u64(11);
-    // Two callers' connections a daemon in the mean.
+    // Two connections of callers per daemon on average.
     let callers: Vec<usize> = (0..2 * DAEMONS)
         .map(|_| rng.random_range(0..DAEMONS))
         .collect();
     let mut sent: Vec<Vec<u64>> = vec![Vec::new(); ENDPOINTS];
-    for now in START..START + SPAN {
+    for now in START..START + DURATION {
         let mut due = OFFERED / 1000.0;
         while due > 0.0 {
             if due >= 1.0 || rng.random::<f64>() < due {
@@ -197,20 +203,24 @@
     let mean = counts.iter().sum::<f64>() / ENDPOINTS as f64;
     let least = counts.iter().copied().fold(f64::MAX, f64::min);
     let most = counts.iter().copied().fold(0.0, f64::max);
-    Got {
+    Results {
         peak: sent.iter().map(peak).max().unwrap_or_default(),
-        used: mean / (RATE * SPAN as f64 / 1000.0),
+        used: mean / (RATE * DURATION as f64 / 1000.0),
         spread: (least / mean, most / mean),
     }
 }
 
 #[gtest]
 fn only_shares_by_rank_stay_within_the_rate_and_use_most_of_it_also_in_parts() {
-    let ways: [(&str, Way); 3] = [("equal", equal), ("drawn", drawn), ("by demand", by_demand)];
-    for (name, way) in ways {
-        for parts in [Parts(1), Parts(2), Parts(4)] {
-            let got = play(way(parts));
-            println!("{name}, {} parts: {got:?}", parts.0);
+    let schemes: [(&str, Scheme); 3] = [
+        ("equal", equal),
+        ("drawn", by_rank),
+        ("by demand", by_demand),
+    ];
+    for (name, scheme) in schemes {
+        for partition in [Partition(1), Partition(2), Partition(4)] {
+            let got = simulate(scheme(partition));
+            println!("{name}, {} parts: {got:?}", partition.0);
             let is_within = got.peak as f64 <= RATE;
             match name {
                 "drawn" => {
@@ -218,7 +228,7 @@
                     expect_that!(got.used, ge(0.7), "{got:?}");
                     expect_that!(got.spread.0, ge(0.5), "{got:?}");
                 }
-                _ if parts.0 > 1 => expect_that!(is_within, eq(false), "{name}: {got:?}"),
+                _ if partition.0 > 1 => expect_that!(is_within, eq(false), "{name}: {got:?}"),
                 _ => {}
             }
         }
--- a/crates/core/tests/routing_properties.rs
+++ b/crates/core/tests/routing_properties.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons and streams of events, for any input.
+//! Property tests of datagrams between daemons and of event streams.
 
 use std::collections::HashMap;
 
@@ -39,15 +39,15 @@
     })
 }
 
-/// One tick of a board and what becomes of its message.
+/// One tick of the publishing hub, and what happens to its message.
 #[derive(Clone, Debug)]
 struct Tick {
     loads: Vec<(u32, u32)>,
     good: (u32, u32),
     lost: bool,
-    /// Whether the message before comes again after this one.
-    doubled: bool,
-    /// Whether the listener starts anew before this one.
+    /// Whether the previous message arrives again after this one.
+    duplicated: bool,
+    /// Whether the receiver restarts before this one.
     restarts: bool,
 }
 
@@ -55,12 +55,12 @@
     let loads = vec((0..6_u32, 0..20_u32), 0..6);
     let odds = (any::<bool>(), any::<bool>(), proptest::bool::weighted(0.05));
     (loads, (0..6_u32, 0..4_u32), odds).prop_map(|(loads, good, odds)| {
-        let (lost, doubled, restarts) = odds;
+        let (lost, duplicated, restarts) = odds;
         Tick {
             loads,
             good,
             lost,
-            doubled,
+            duplicated,
             restarts,
         }
     })
@@ -81,19 +81,19 @@
         }
     }
 
-    /// Messages are lost and come twice; a listener that hears again knows all, and has counted
-    /// no answer twice and none that it could have heard never.
+    /// Messages are lost and duplicated. A copy that receives messages again equals the published
+    /// sums, and has counted each answer since its first message exactly once.
     #[test]
     fn a_copy_that_hears_again_holds_what_the_board_does(ticks in vec(tick(), 1..40)) {
-        let (mut board, mut copy) = (VersionedSums::new(1), SumsCopy::default());
+        let (mut sums, mut copy) = (VersionedSums::new(1), SumsCopy::default());
         let mut now = Millis(1000);
         let mut loads = HashMap::new();
-        let (mut given, mut counted) = (0, 0);
+        let (mut published, mut counted) = (0, 0);
         let mut earlier: Option<Delta> = None;
-        let end = Tick { loads: Vec::new(), good: (0, 0), lost: false, doubled: false, restarts: false };
+        let end = Tick { loads: Vec::new(), good: (0, 0), lost: false, duplicated: false, restarts: false };
         let first = Tick { loads: Vec::new(), ..end.clone() };
         for tick in std::iter::once(first).chain(ticks).chain([end.clone(), end]) {
-            // Long enough for any difference to be told.
+            // Long enough for any difference to be published.
             now += Millis(2100);
             if tick.restarts {
                 copy = SumsCopy::default();
@@ -101,20 +101,20 @@
             loads.extend(tick.loads);
             let (endpoint, good) = tick.good;
             if !tick.restarts {
-                board.count(endpoint, OutcomeCounts { good, bad: 0 });
-                given += good;
+                sums.count(endpoint, OutcomeCounts { good, bad: 0 });
+                published += good;
             }
-            board.publish(&loads, now);
-            let delta = board.delta_since(copy.reached());
+            sums.publish(&loads, now);
+            let delta = sums.delta_since(copy.reached());
             if !tick.lost {
                 if copy.reached().is_none() {
-                    // A listener that knows nothing takes what was given before as known.
-                    counted = given;
+                    // An empty copy takes all earlier answers as already counted.
+                    counted = published;
                 }
                 let news = copy.apply(&delta).expect("follows");
                 counted += news.iter().map(|(_, answers)| answers.good).sum::<u32>();
             }
-            if let Some(old) = earlier.filter(|_| tick.doubled && !tick.restarts) {
+            if let Some(old) = earlier.filter(|_| tick.duplicated && !tick.restarts) {
                 prop_assert!(tick.lost || copy.apply(&old).is_none());
             }
             earlier = Some(delta).filter(|_| !tick.lost);
@@ -122,7 +122,7 @@
         let held: HashMap<u32, u32> = copy.loads().filter(|(_, load)| *load > 0).collect();
         loads.retain(|_, load| *load > 0);
         prop_assert_eq!(held, loads);
-        prop_assert_eq!(counted, given);
+        prop_assert_eq!(counted, published);
     }
 
     #[test]
@@ -142,22 +142,22 @@
         ends.push(text.len());
         ends.sort_unstable();
         let mut splitter = EventSplitter::new(None);
-        let mut handed = Vec::new();
+        let mut passed_on = Vec::new();
         let mut from = 0;
         for end in ends {
             let piece = Bytes::copy_from_slice(&text.as_bytes()[from..end]);
-            handed.extend_from_slice(&splitter.push(&piece));
+            passed_on.extend_from_slice(&splitter.push(&piece));
             from = end;
         }
-        prop_assert!(text.as_bytes().starts_with(&handed));
-        prop_assert_eq!(splitter.has_partial(), handed.len() < text.len());
+        prop_assert!(text.as_bytes().starts_with(&passed_on));
+        prop_assert_eq!(splitter.has_partial(), passed_on.len() < text.len());
     }
 
     #[test]
     fn any_bytes_of_a_stream_are_taken(pieces in vec(vec(any::<u8>(), 0..64), 0..16)) {
         let mut splitter = EventSplitter::new(None);
         let taken: usize = pieces.iter().map(Vec::len).sum();
-        let handed = pieces.into_iter().map(|piece| splitter.push(&piece.into()).len());
-        prop_assert!(handed.sum::<usize>() <= taken);
+        let passed_on = pieces.into_iter().map(|piece| splitter.push(&piece.into()).len());
+        prop_assert!(passed_on.sum::<usize>() <= taken);
     }
 }
