--- a/crates/core/tests/routing/keeper.rs
+++ b/crates/core/tests/routing/keeper.rs
@@ -27,26 +27,26 @@
 
 #[gtest]
 fn a_hub_reads_once_what_is_kept_and_no_other_daemon_does() {
-    let known = Quarantine::default();
+    let quarantine = Quarantine::default();
     let mut sync = PlatformSync::default();
-    expect_that!(sync.next_step(&known, false), none());
-    expect_that!(sync.next_step(&known, true), some(eq(Step::List)));
+    expect_that!(sync.next_step(&quarantine, false), none());
+    expect_that!(sync.next_step(&quarantine, true), some(eq(Step::List)));
     sync.listed(&[]);
-    expect_that!(sync.next_step(&known, true), none());
+    expect_that!(sync.next_step(&quarantine, true), none());
 }
 
 #[gtest]
 fn whoever_lost_endpoints_has_it_kept_and_hubs_do_and_each_once() {
-    let known = quarantined();
+    let quarantine = quarantined();
     let mut finder = PlatformSync::default();
     expect_that!(
-        finder.next_step(&known, false),
+        finder.next_step(&quarantine, false),
         some(eq(Step::Create(CRASHING)))
     );
     finder.written(&stored());
-    expect_that!(finder.next_step(&known, false), none());
+    expect_that!(finder.next_step(&quarantine, false), none());
     let mut other = Quarantine::default();
-    other.merge(&known.evidence(CRASHING, NOW), NOW);
+    other.merge(&quarantine.evidence(CRASHING, NOW), NOW);
     expect_that!(PlatformSync::default().next_step(&other, false), none());
     let mut hub = PlatformSync::default();
     hub.listed(&[]);
@@ -58,41 +58,44 @@
 
 #[gtest]
 fn a_further_loss_is_kept_too() {
-    let mut known = quarantined();
+    let mut quarantine = quarantined();
     let mut sync = PlatformSync::default();
     sync.written(&stored());
-    known.record_loss(CRASHING, 4, NOW);
-    let step = sync.next_step(&known, false);
+    quarantine.record_loss(CRASHING, 4, NOW);
+    let step = sync.next_step(&quarantine, false);
     expect_that!(step, some(eq(Step::Replace(CRASHING))));
     sync.written(
-        &known
+        &quarantine
             .stored_request(CRASHING, NOW, WALL)
             .expect("quarantined"),
     );
-    expect_that!(sync.next_step(&known, false), none());
+    expect_that!(sync.next_step(&quarantine, false), none());
 }
 
 #[gtest]
 fn two_losses_are_not_kept() {
-    let mut known = Quarantine::default();
-    known.record_loss(CRASHING, 1, NOW);
-    known.record_loss(CRASHING, 2, NOW);
-    expect_that!(PlatformSync::default().next_step(&known, false), none());
-    expect_that!(known.stored_request(CRASHING, NOW, WALL), none());
+    let mut quarantine = Quarantine::default();
+    quarantine.record_loss(CRASHING, 1, NOW);
+    quarantine.record_loss(CRASHING, 2, NOW);
+    expect_that!(
+        PlatformSync::default().next_step(&quarantine, false),
+        none()
+    );
+    expect_that!(quarantine.stored_request(CRASHING, NOW, WALL), none());
 }
 
 #[gtest]
 fn what_was_served_or_is_old_is_removed() {
-    let mut known = quarantined();
+    let mut quarantine = quarantined();
     let mut sync = PlatformSync::default();
     sync.written(&stored());
-    known.record_served(CRASHING, NOW);
+    quarantine.record_served(CRASHING, NOW);
     expect_that!(
-        sync.next_step(&known, false),
+        sync.next_step(&quarantine, false),
         some(eq(Step::Remove(CRASHING)))
     );
     sync.removed(CRASHING);
-    expect_that!(sync.next_step(&known, false), none());
+    expect_that!(sync.next_step(&quarantine, false), none());
     // Evidence as old as the retention time is ignored, and its object removed.
     let mut started = Quarantine::default();
     let evidence: Vec<_> = stored().evidence(WALL + RETENTION).collect();
--- a/crates/core/tests/routing/overload.rs
+++ b/crates/core/tests/routing/overload.rs
@@ -96,10 +96,10 @@
     /// Whether a daemon admits a request.
     fn is_admitted(&mut self, daemon: usize, now: u64) -> bool {
         let lag = self.rng.random_range(LAG.0..LAG.1);
-        let Some(known) = self.history.len().checked_sub(lag) else {
+        let Some(index) = self.history.len().checked_sub(lag) else {
             return true;
         };
-        let load = self.history[known].load;
+        let load = self.history[index].load;
         let (rates, admission) = &mut self.daemons[daemon];
         let Some(time) = rates.response_time(&id("e"), load, Millis(now)) else {
             return true;
@@ -151,7 +151,7 @@
     /// Reports to each daemon the number of answers since its previous report.
     fn report(&mut self, now: u64) {
         let recent = self.history.iter().rev().take(TICK as usize);
-        let answers = recent.map(|known| known.answers).sum();
+        let answers = recent.map(|snapshot| snapshot.answers).sum();
         for (number, (rates, _)) in self.daemons.iter_mut().enumerate() {
             // Daemons tick at different times.
             if (now + number as u64 * 7).is_multiple_of(TICK) {
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -363,6 +363,6 @@
     let later = pick(&mut view, Some(&prefix(key)), START + Millis(4000));
     expect_that!(later.is_ok(), eq(false));
     view.set_live(400, START + Millis(4100));
-    let heard = pick(&mut view, Some(&prefix(key)), START + Millis(4200));
-    expect_that!(heard.expect("a place").endpoint.id, eq(&id("a")));
+    let reconnected = pick(&mut view, Some(&prefix(key)), START + Millis(4200));
+    expect_that!(reconnected.expect("a place").endpoint.id, eq(&id("a")));
 }
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -56,8 +56,8 @@
 /// A prefix that ranks `a` first in a pool of three.
 fn key_of_a() -> u64 {
     let mut view = pool_of_three();
-    let goes_to_a = |key: &u64| pick(&mut view, *key, START).endpoint.id == born("a", 500);
-    (0..64).find(goes_to_a).expect("a prefix")
+    let ranks_a_first = |key: &u64| pick(&mut view, *key, START).endpoint.id == born("a", 500);
+    (0..64).find(ranks_a_first).expect("a prefix")
 }
 
 #[gtest]
