--- a/crates/daemon/src/metrics/control.rs
+++ b/crates/daemon/src/metrics/control.rs
@@ -83,7 +83,7 @@
 
 fn links(sources: &ControlSources, encoder: &mut DescriptorEncoder<'_>) -> fmt::Result {
     let counts = sources.links.counts();
-    let all = [("sent", counts.sent()), ("heard", counts.heard())];
+    let all = [("sent", counts.sent()), ("heard", counts.received())];
     let each = || {
         all.iter().flat_map(|(direction, kinds)| {
             kinds.iter().map(move |(kind, count)| {
--- a/crates/daemon/src/operators/show/traffic.rs
+++ b/crates/daemon/src/operators/show/traffic.rs
@@ -16,7 +16,7 @@
     let columns = ["with", "kind", "sent", "bytes-sent", "heard", "bytes-heard"];
     let mut table = Table::new(&columns);
     let counts = context.peers.links().counts();
-    links(&mut table, &counts.sent(), &counts.heard());
+    links(&mut table, &counts.sent(), &counts.received());
     platform(&mut table, &context.platform.snapshot());
     table
 }
--- a/crates/net/src/link/counts.rs
+++ b/crates/net/src/link/counts.rs
@@ -31,7 +31,7 @@
     }
 
     /// Messages heard, by kind.
-    pub fn heard(&self) -> BTreeMap<&'static str, KindCount> {
+    pub fn received(&self) -> BTreeMap<&'static str, KindCount> {
         snapshot(&self.heard)
     }
 
