--- a/crates/daemon/src/home/dispatch.rs
+++ b/crates/daemon/src/home/dispatch.rs
@@ -142,7 +142,7 @@
             .with_headers(headers)
             .with_body(self.forward.body.clone())
             .with_reuse(reuse)
-            .with_waits(self.pool.first_byte, self.pool.gap)
+            .with_timeouts(self.pool.first_byte, self.pool.gap)
     }
 
     async fn failed(&self, error: &endpoint::Error) -> End {
--- a/crates/net/src/endpoint.rs
+++ b/crates/net/src/endpoint.rs
@@ -90,7 +90,7 @@
 
     /// Sets the longest waits for the first byte and for each later piece.
     #[must_use]
-    pub const fn with_waits(mut self, first: Millis, gap: Millis) -> Self {
+    pub const fn with_timeouts(mut self, first: Millis, gap: Millis) -> Self {
         self.first = first;
         self.gap = gap;
         self
--- a/crates/net/src/endpoint/calls.rs
+++ b/crates/net/src/endpoint/calls.rs
@@ -76,7 +76,7 @@
     ///
     /// As in [`CallError`].
     pub async fn health(&self, address: SocketAddr, wait: Millis) -> CallResult<Health> {
-        let request = Request::new(Method::GET, "/v1/health").with_waits(wait, wait);
+        let request = Request::new(Method::GET, "/v1/health").with_timeouts(wait, wait);
         let answer = self.send(address, request).await?;
         let unavailable = answer.status == StatusCode::SERVICE_UNAVAILABLE;
         if !answer.status.is_success() && !unavailable {
@@ -126,7 +126,7 @@
         let request = Request::new(Method::POST, "/v1/orders")
             .with_headers(json_headers())
             .with_body(body.into())
-            .with_waits(wait, wait);
+            .with_timeouts(wait, wait);
         let answer = self.send(address, request).await?;
         if answer.status == StatusCode::CONFLICT {
             let Fence { fence } = parse(&answer.body.whole(MAX_ANSWER).await?)?;
@@ -154,7 +154,7 @@
         gap: Millis,
     ) -> Result<Answer> {
         let path = format!("{}?from={from}", stream_path(stream)?);
-        let request = Request::new(Method::GET, path).with_waits(first, gap);
+        let request = Request::new(Method::GET, path).with_timeouts(first, gap);
         self.send(address, request).await
     }
 
@@ -169,7 +169,7 @@
         stream: &str,
         wait: Millis,
     ) -> CallResult<bool> {
-        let request = Request::new(Method::DELETE, stream_path(stream)?).with_waits(wait, wait);
+        let request = Request::new(Method::DELETE, stream_path(stream)?).with_timeouts(wait, wait);
         let answer = self.send(address, request).await?;
         if answer.status == StatusCode::NOT_FOUND {
             return Ok(false);
@@ -187,7 +187,7 @@
         path: &str,
         wait: Millis,
     ) -> CallResult<T> {
-        let request = Request::new(Method::GET, path).with_waits(wait, wait);
+        let request = Request::new(Method::GET, path).with_timeouts(wait, wait);
         let answer = self.send(address, request).await?;
         if !answer.status.is_success() {
             return Err(refusal(&answer));
--- a/crates/net/tests/endpoint.rs
+++ b/crates/net/tests/endpoint.rs
@@ -27,7 +27,7 @@
 const SHORT: Millis = Millis(50);
 
 fn get() -> Request {
-    Request::new(Method::GET, "/v1/load").with_waits(LONG, LONG)
+    Request::new(Method::GET, "/v1/load").with_timeouts(LONG, LONG)
 }
 
 fn client() -> Client {
@@ -69,7 +69,7 @@
 async fn silence_after_the_request_is_a_sent_timeout() {
     let peer = Peer::start().await;
     let client = client();
-    let request = get().with_waits(SHORT, SHORT);
+    let request = get().with_timeouts(SHORT, SHORT);
     let hold = async {
         let mut stream = peer.accept().await;
         read_head(&mut stream).await;
@@ -193,7 +193,7 @@
     let client = client();
     let answer = format!("{CHUNKED}{}", chunk("a"));
     let read = async {
-        let request = get().with_waits(LONG, SHORT);
+        let request = get().with_timeouts(LONG, SHORT);
         let mut body = client.send(peer.address, request).await.unwrap().body;
         let first = body.next().await;
         (first, body.next().await, body.next().await)
@@ -210,7 +210,7 @@
     let peer = Peer::start().await;
     let client = client();
     let read = async {
-        let request = get().with_waits(SHORT, SHORT);
+        let request = get().with_timeouts(SHORT, SHORT);
         let mut body = client.send(peer.address, request).await.unwrap().body;
         body.next().await
     };
--- a/crates/net/tests/endpoint_engine.rs
+++ b/crates/net/tests/endpoint_engine.rs
@@ -47,7 +47,7 @@
     let mut request = Request::new(Method::POST, "/v1/chat/completions")
         .with_body(body.to_string().into())
         .with_reuse(Reuse::Fresh)
-        .with_waits(LONG, LONG);
+        .with_timeouts(LONG, LONG);
     let name = name.parse().unwrap();
     request.headers.insert("x-request-id", name);
     request
@@ -242,7 +242,7 @@
             outage: Some(outage),
             ..Faults::default()
         });
-        let request = completion("r1", 5).with_waits(SHORT, SHORT);
+        let request = completion("r1", 5).with_timeouts(SHORT, SHORT);
         let error = client.send(engine.address(), request).await.unwrap_err();
         expect_that!(error.kind(), eq(kind));
         expect_that!(error.outcome(), eq(Outcome::Unknown));
