--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,5 @@
-//! Sockets of the router fleet.
-//!
-//! Peer links between daemons, and clients of the platform and of endpoints.
+//! Network I/O of the router fleet: links between daemons, and HTTP clients for
+//! the platform and for endpoints.
 
 pub mod endpoint;
 pub mod http;
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -1,10 +1,10 @@
 //! Peer links: framed messages between the daemons of one fleet.
 //!
-//! A link carries messages one way, from the daemon that dialled it; answers
-//! travel on the other daemon's own link. Both sides prove that they know the
-//! fleet key before the first message. A link is dialled when it is first
-//! needed, and a failed dial is remembered for a moment so that a lost peer
-//! costs its callers nothing.
+//! A link carries messages one way, from the daemon that dialled it; replies use
+//! a link that the peer dials. Both sides prove that they know the fleet key
+//! before the first message. A link is dialled on first use. After a failed
+//! dial, further calls fail at once for `REDIAL_DELAY`, so that callers don't
+//! wait for a lost peer.
 
 mod counts;
 mod handshake;
@@ -27,16 +27,16 @@
 
 use outgoing::Slot;
 
-/// Longest time to connect and prove the fleet key.
+/// Timeout for connecting and for the handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a failed dial is remembered.
-pub const REDIAL_AFTER: Duration = Duration::from_millis(250);
-/// Messages that may wait for one link's socket.
-pub const QUEUE: usize = 1024;
-/// How long unacknowledged bytes may stay so before the link is given up.
-pub const SILENCE: Duration = Duration::from_secs(5);
-
-/// Result of using a link.
+/// Time after a failed dial before the next attempt.
+pub const REDIAL_DELAY: Duration = Duration::from_millis(250);
+/// Capacity of a link's send queue, in messages.
+pub const QUEUE_LEN: usize = 1024;
+/// How long sent bytes may stay unacknowledged before the link is closed.
+pub const ACK_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Result of a link operation.
 pub type Result<T> = std::result::Result<T, LinkError>;
 
 /// Why a message could not be sent.
@@ -45,54 +45,55 @@
     /// The socket failed.
     #[display("socket: {_0}")]
     Io(std::io::Error),
-    /// The other side did not answer in time.
+    /// The peer did not respond in time.
     #[display("no answer within {} ms", HANDSHAKE_TIMEOUT.as_millis())]
     Timeout,
-    /// The other side is not of this fleet.
-    #[display("the other side did not prove the fleet key")]
+    /// The peer is not a member of this fleet.
+    #[display("the peer did not prove that it knows the fleet key")]
     Proof,
-    /// The other side broke the protocol.
-    #[display("unexpected message while opening the link")]
+    /// The peer broke the handshake protocol.
+    #[display("unexpected message during the handshake")]
     Protocol,
-    /// The other side gave a name that can't be used.
-    #[display("name of the other side: {_0}")]
+    /// The peer sent an invalid name.
+    #[display("invalid peer name: {_0}")]
     Name(IdError),
     /// The address belongs to another daemon.
-    #[display("the address answers as another daemon")]
+    #[display("another daemon listens at this address")]
     OtherDaemon,
-    /// A dial failed a moment ago.
-    #[display("the last dial failed a moment ago")]
+    /// The last dial failed less than `REDIAL_DELAY` ago.
+    #[display("not dialled again so soon after a failure")]
     Resting,
     /// The link was closed.
     #[display("the link was closed")]
     Closed,
-    /// Too many messages wait for the link.
-    #[display("too many messages wait for the link")]
+    /// The link's send queue is full.
+    #[display("the send queue of the link is full")]
     Full,
 }
 
 impl LinkError {
-    /// Whether nothing listens at the address; a timeout may have other causes.
+    /// Whether the connection was refused: nothing listens at the address. A
+    /// timeout may have other causes.
     pub fn is_refusal(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// A daemon as its peers see it.
+/// Identifies a daemon and its process to its peers.
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(Debug, Display)]
 #[display("{daemon}@{incarnation}")]
 pub struct PeerId {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// What happens on links.
+/// An event on a link.
 #[derive(Debug)]
 pub enum Event {
-    /// A message came in.
+    /// A message was received.
     Message(PeerId, Box<Body>),
     /// A link to or from this peer was opened.
     Opened(PeerId),
@@ -102,10 +103,10 @@
     Refused(SocketAddr),
 }
 
-/// Takes the events of all links; must not block.
+/// Callback for the events of all links; must not block.
 pub type Handler = Arc<dyn Fn(Event) + Send + Sync>;
 
-/// Who this daemon is on its links.
+/// Identity that this daemon presents in handshakes.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Identity {
@@ -116,11 +117,11 @@
     pub key: FleetKey,
     /// This daemon and process.
     pub me: PeerId,
-    /// Where it takes links.
+    /// Address on which it accepts links.
     pub address: SocketAddr,
 }
 
-/// All links of this daemon.
+/// The links of this daemon. Cheap to clone.
 #[derive(Clone)]
 pub struct Links {
     shared: Arc<Shared>,
@@ -135,7 +136,7 @@
 }
 
 impl Shared {
-    fn note_address(&self, daemon: &DaemonId, address: SocketAddr) {
+    fn record_address(&self, daemon: &DaemonId, address: SocketAddr) {
         self.addresses
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -144,7 +145,7 @@
 }
 
 impl Links {
-    /// Takes links on `listener` and hands their events to `handler`.
+    /// Accepts links on `listener` and passes the events of all links to `handler`.
     pub fn start(listener: TcpListener, identity: Identity, handler: Handler) -> Self {
         let shared = Arc::new(Shared {
             identity,
@@ -157,7 +158,7 @@
         Self { shared }
     }
 
-    /// The link to a daemon, dialled if need be.
+    /// The link to a daemon; dials it unless one is open.
     ///
     /// # Errors
     ///
@@ -170,24 +171,24 @@
         Ok(link)
     }
 
-    /// The link to whichever daemon listens at an address, dialled if need be.
+    /// The link to whichever daemon listens at an address; dials it unless one is open.
     ///
     /// # Errors
     ///
-    /// As `to`.
+    /// As for `to`.
     pub async fn at(&self, address: SocketAddr) -> Result<Link> {
         let slot = self.slot(address);
         slot.link(&self.shared, address).await
     }
 
-    /// Where a daemon that has dialled this one takes links itself.
+    /// The address on which a daemon accepts links, if it has dialled this one.
     pub fn address_of(&self, daemon: &DaemonId) -> Option<SocketAddr> {
         let addresses = &self.shared.addresses;
         let addresses = addresses.lock().unwrap_or_else(PoisonError::into_inner);
         addresses.get(daemon).copied()
     }
 
-    /// Bytes and messages so far, by kind.
+    /// Traffic counters.
     pub fn counts(&self) -> &Counts {
         &self.shared.counts
     }
--- a/crates/net/src/link/counts.rs
+++ b/crates/net/src/link/counts.rs
@@ -1,46 +1,46 @@
-//! Bytes and messages on links, by kind.
+//! Traffic counters of links, by message kind.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Counters of all links of one daemon.
+/// Counters over all of a daemon's links.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Links refused for a wrong fleet or key.
+    /// Incoming connections refused in the handshake.
     pub refused: AtomicU64,
-    /// Links closed for a message that can't be read.
+    /// Links closed because a message could not be decoded.
     pub malformed: AtomicU64,
     sent: Mutex<BTreeMap<&'static str, KindCount>>,
-    heard: Mutex<BTreeMap<&'static str, KindCount>>,
+    received: Mutex<BTreeMap<&'static str, KindCount>>,
 }
 
-/// Traffic of one kind of message.
+/// Traffic of one message kind.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct KindCount {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Bytes, with framing.
+    /// Bytes, including the length prefixes.
     pub bytes: u64,
 }
 
 impl Counts {
-    /// Messages sent, by kind.
+    /// Traffic sent, by message kind.
     pub fn sent(&self) -> BTreeMap<&'static str, KindCount> {
         snapshot(&self.sent)
     }
 
-    /// Messages heard, by kind.
+    /// Traffic received, by message kind.
     pub fn received(&self) -> BTreeMap<&'static str, KindCount> {
-        snapshot(&self.heard)
+        snapshot(&self.received)
     }
 
     pub(super) fn add_sent(&self, kind: &'static str, bytes: usize) {
         add(&self.sent, kind, bytes);
     }
 
-    pub(super) fn add_heard(&self, kind: &'static str, bytes: usize) {
-        add(&self.heard, kind, bytes);
+    pub(super) fn add_received(&self, kind: &'static str, bytes: usize) {
+        add(&self.received, kind, bytes);
     }
 
     pub(super) fn add_refused(&self) {
--- a/crates/net/src/link/handshake.rs
+++ b/crates/net/src/link/handshake.rs
@@ -1,8 +1,8 @@
-//! Opening a link: both sides name themselves and prove the fleet key.
+//! Handshake of a link: mutual authentication with the fleet key.
 //!
-//! The dialling side sends its `Hello`, the other side answers with a bare
-//! nonce, and only after the dialler's proof does it name and prove itself. A
-//! stranger therefore learns a random number and nothing else.
+//! The dialler sends its `Hello`, and the listener replies with only a nonce. The
+//! listener sends its own name and proof after it has verified the dialler's
+//! proof, so that a stranger learns nothing but a random number.
 
 use std::net::SocketAddr;
 
@@ -18,89 +18,95 @@
 
 use super::{Identity, LinkError, PeerId, Result};
 
-/// Largest message before the proof, in bytes.
+/// Largest message during the handshake, in bytes.
 const MAX_HELLO: usize = 1024;
-const NONCE: usize = 32;
+/// Length of a nonce, in bytes.
+const NONCE_LEN: usize = 32;
 const DIALLER: u8 = 1;
 const LISTENER: u8 = 2;
 
-/// Key that all daemons of a fleet share.
+/// Secret key shared by all daemons of a fleet.
 #[derive(Clone, Copy)]
 #[derive(From)]
 pub struct FleetKey([u8; 32]);
 
 impl FleetKey {
-    /// Derives the key from a secret text.
+    /// Derives the key from a secret with the KDF of BLAKE3.
     pub fn of(secret: &[u8]) -> Self {
         Self(blake3::derive_key("medlarrill peer link 1", secret))
     }
 }
 
-pub(super) type Wire = Framed<TcpStream, LengthDelimitedCodec>;
+pub(super) type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// A link whose sides have proved themselves.
+/// An authenticated link.
 pub(super) struct Opened {
-    /// The other side.
+    /// The peer.
     pub(super) peer: PeerId,
-    /// Where it takes links.
+    /// Address on which the peer accepts links.
     pub(super) address: SocketAddr,
-    /// The socket.
-    pub(super) wire: Wire,
+    /// The framed socket.
+    pub(super) stream: FramedStream,
 }
 
-/// Opens a link as its dialler; returns who answered.
+/// Runs the handshake as the dialler.
 pub(super) async fn dial(socket: TcpStream, identity: &Identity) -> Result<Opened> {
-    let mut wire = framed(socket);
+    let mut stream = framed(socket);
     let mine = hello(identity);
-    send(&mut wire, Body::Hello(mine.clone())).await?;
-    let challenge = expect_hello(&mut wire).await?;
-    let proof = prove(identity, DIALLER, &mine, &challenge);
-    send(&mut wire, Body::Proof(proof)).await?;
-    let theirs = expect_hello(&mut wire).await?;
-    let proof = expect_proof(&mut wire).await?;
+    send(&mut stream, Body::Hello(mine.clone())).await?;
+    let challenge = expect_hello(&mut stream).await?;
+    let proof = compute_proof(identity, DIALLER, &mine, &challenge);
+    send(&mut stream, Body::Proof(proof)).await?;
+    let theirs = expect_hello(&mut stream).await?;
+    let proof = expect_proof(&mut stream).await?;
     let same_nonce = theirs.nonce == challenge.nonce;
-    if !same_nonce || !matches(&proof, &prove(identity, LISTENER, &theirs, &mine)) {
+    if !same_nonce || !proofs_match(&proof, &compute_proof(identity, LISTENER, &theirs, &mine)) {
         return Err(LinkError::Proof);
     }
-    finish(&mut wire);
-    other_side(&theirs, wire)
+    lift_frame_limit(&mut stream);
+    opened(&theirs, stream)
 }
 
-/// Opens a link as its listener; returns who dialled.
+/// Runs the handshake as the listener.
 pub(super) async fn answer(socket: TcpStream, identity: &Identity) -> Result<Opened> {
-    let mut wire = framed(socket);
-    let theirs = expect_hello(&mut wire).await?;
+    let mut stream = framed(socket);
+    let theirs = expect_hello(&mut stream).await?;
     let mine = hello(identity);
     let challenge = Hello {
         nonce: mine.nonce.clone(),
         ..Hello::default()
     };
-    send(&mut wire, Body::Hello(challenge.clone())).await?;
-    let proof = expect_proof(&mut wire).await?;
+    send(&mut stream, Body::Hello(challenge.clone())).await?;
+    let proof = expect_proof(&mut stream).await?;
     let known = theirs.fleet == identity.fleet;
-    if !known || !matches(&proof, &prove(identity, DIALLER, &theirs, &challenge)) {
+    if !known
+        || !proofs_match(
+            &proof,
+            &compute_proof(identity, DIALLER, &theirs, &challenge),
+        )
+    {
         return Err(LinkError::Proof);
     }
-    let proof = prove(identity, LISTENER, &mine, &theirs);
-    send(&mut wire, Body::Hello(mine)).await?;
-    send(&mut wire, Body::Proof(proof)).await?;
-    finish(&mut wire);
-    other_side(&theirs, wire)
+    let proof = compute_proof(identity, LISTENER, &mine, &theirs);
+    send(&mut stream, Body::Hello(mine)).await?;
+    send(&mut stream, Body::Proof(proof)).await?;
+    lift_frame_limit(&mut stream);
+    opened(&theirs, stream)
 }
 
-fn framed(socket: TcpStream) -> Wire {
+fn framed(socket: TcpStream) -> FramedStream {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_HELLO)
         .new_framed(socket)
 }
 
-/// Lifts the limit that holds before the proof.
-fn finish(wire: &mut Wire) {
-    wire.codec_mut().set_max_frame_length(MAX_FRAME);
+/// Raises the frame limit from `MAX_HELLO` to `MAX_FRAME` after the handshake.
+fn lift_frame_limit(stream: &mut FramedStream) {
+    stream.codec_mut().set_max_frame_length(MAX_FRAME);
 }
 
 fn hello(identity: &Identity) -> Hello {
-    let nonce: [u8; NONCE] = rand::random();
+    let nonce: [u8; NONCE_LEN] = rand::random();
     Hello {
         fleet: identity.fleet.clone(),
         daemon: identity.me.daemon.to_string(),
@@ -110,7 +116,7 @@
     }
 }
 
-fn other_side(hello: &Hello, wire: Wire) -> Result<Opened> {
+fn opened(hello: &Hello, stream: FramedStream) -> Result<Opened> {
     let peer = PeerId {
         daemon: hello.daemon.parse::<DaemonId>()?,
         incarnation: Incarnation(hello.incarnation),
@@ -119,11 +125,11 @@
     Ok(Opened {
         peer,
         address,
-        wire,
+        stream,
     })
 }
 
-fn prove(identity: &Identity, side: u8, own: &Hello, other: &Hello) -> Proof {
+fn compute_proof(identity: &Identity, side: u8, own: &Hello, other: &Hello) -> Proof {
     let mut hasher = blake3::Hasher::new_keyed(&identity.key.0);
     hasher.update(&[side]);
     hasher.update(&own.encode_length_delimited_to_vec());
@@ -133,31 +139,31 @@
     }
 }
 
-fn matches(given: &Proof, wanted: &Proof) -> bool {
+fn proofs_match(given: &Proof, wanted: &Proof) -> bool {
     given.mac.ct_eq(&wanted.mac).into()
 }
 
-async fn send(wire: &mut Wire, body: Body) -> Result<()> {
+async fn send(stream: &mut FramedStream, body: Body) -> Result<()> {
     let bytes = Frame::from(body).encode_to_vec();
-    wire.send(Bytes::from(bytes)).await?;
+    stream.send(Bytes::from(bytes)).await?;
     Ok(())
 }
 
-async fn receive(wire: &mut Wire) -> Result<Body> {
-    let bytes = wire.next().await.ok_or(LinkError::Closed)??;
+async fn receive(stream: &mut FramedStream) -> Result<Body> {
+    let bytes = stream.next().await.ok_or(LinkError::Closed)??;
     let frame = Frame::decode(bytes).map_err(|_| LinkError::Protocol)?;
     frame.body.ok_or(LinkError::Protocol)
 }
 
-async fn expect_hello(wire: &mut Wire) -> Result<Hello> {
-    match receive(wire).await? {
-        Body::Hello(hello) if hello.nonce.len() == NONCE => Ok(hello),
+async fn expect_hello(stream: &mut FramedStream) -> Result<Hello> {
+    match receive(stream).await? {
+        Body::Hello(hello) if hello.nonce.len() == NONCE_LEN => Ok(hello),
         _ => Err(LinkError::Protocol),
     }
 }
 
-async fn expect_proof(wire: &mut Wire) -> Result<Proof> {
-    match receive(wire).await? {
+async fn expect_proof(stream: &mut FramedStream) -> Result<Proof> {
+    match receive(stream).await? {
         Body::Proof(proof) => Ok(proof),
         _ => Err(LinkError::Protocol),
     }
--- a/crates/net/src/link/incoming.rs
+++ b/crates/net/src/link/incoming.rs
@@ -1,4 +1,4 @@
-//! Links that others dial: one task a link, which owns its socket.
+//! Incoming links: one task per link owns its socket.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use super::handshake::{Opened, answer};
 use super::{Event, HANDSHAKE_TIMEOUT, Shared};
 
-/// Links that may be opening at once; strangers can't take more.
-const OPENING: usize = 128;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Bytes of the length before each message.
-const LENGTH: usize = 4;
+/// Handshakes allowed at once; bounds what unauthenticated peers can occupy.
+const MAX_HANDSHAKES: usize = 128;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Size of the length prefix of each message, in bytes.
+const LENGTH_PREFIX: usize = 4;
 
 pub(super) async fn listen(listener: TcpListener, shared: Arc<Shared>) {
-    let opening = Arc::new(Semaphore::new(OPENING));
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
     loop {
-        let Ok(permit) = Arc::clone(&opening).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&handshakes).acquire_owned().await else {
             return;
         };
         match listener.accept().await {
@@ -38,7 +38,7 @@
             }
             Err(error) => {
                 log::warn!(target: "link", "link: accept failed: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -56,7 +56,7 @@
         }
         Err(_) => {
             shared.counts.add_refused();
-            log::warn!(target: "link", "link: refused {from}: no proof in time");
+            log::warn!(target: "link", "link: refused {from}: handshake timed out");
             None
         }
     }
@@ -66,31 +66,31 @@
     let Opened {
         peer,
         address,
-        mut wire,
+        mut stream,
     } = opened;
-    shared.note_address(&peer.daemon, address);
+    shared.record_address(&peer.daemon, address);
     (shared.handler)(Event::Opened(peer.clone()));
-    while let Some(read) = wire.next().await {
+    while let Some(read) = stream.next().await {
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(error) => {
                 shared.counts.add_malformed();
-                log::warn!(target: "link", "link: {peer} sent what can't be read: {error}");
+                log::warn!(target: "link", "link: can't read a frame from {peer}: {error}");
                 break;
             }
         };
-        let size = bytes.len() + LENGTH;
+        let size = bytes.len() + LENGTH_PREFIX;
         let Ok(frame) = Frame::decode(bytes.freeze()) else {
             shared.counts.add_malformed();
-            log::warn!(target: "link", "link: {peer} sent a message that can't be decoded");
+            log::warn!(target: "link", "link: can't decode a message from {peer}");
             break;
         };
-        // A newer daemon may send kinds that this one doesn't know.
+        // A newer daemon may send message kinds that this one doesn't know.
         let Some(body) = frame.body else {
-            shared.counts.add_heard("unknown", size);
+            shared.counts.add_received("unknown", size);
             continue;
         };
-        shared.counts.add_heard(body.kind(), size);
+        shared.counts.add_received(body.kind(), size);
         (shared.handler)(Event::Message(peer.clone(), Box::new(body)));
     }
     (shared.handler)(Event::Closed(peer));
--- a/crates/net/src/link/outgoing.rs
+++ b/crates/net/src/link/outgoing.rs
@@ -1,4 +1,4 @@
-//! Links that this daemon dials: one task a link, which owns its socket.
+//! Outgoing links: one task per link owns its socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,36 +12,38 @@
 use tokio::sync::{Mutex, mpsc};
 use tokio::time::{Instant, timeout};
 
-use super::handshake::{Opened, Wire, dial};
+use super::handshake::{FramedStream, Opened, dial};
 use super::{
-    Event, HANDSHAKE_TIMEOUT, LinkError, PeerId, QUEUE, REDIAL_AFTER, Result, SILENCE, Shared,
+    ACK_TIMEOUT, Event, HANDSHAKE_TIMEOUT, LinkError, PeerId, QUEUE_LEN, REDIAL_DELAY, Result,
+    Shared,
 };
 
-const LENGTH: usize = 4;
+/// Size of the length prefix of each message, in bytes.
+const LENGTH_PREFIX: usize = 4;
 
-/// An open link to one process.
+/// Sending half of a link to one process. Cheap to clone.
 #[derive(Clone)]
 pub struct Link {
-    /// Who answered.
+    /// The peer that accepted the link.
     pub peer: PeerId,
     sender: mpsc::Sender<Body>,
 }
 
 impl Link {
-    /// Queues a message, waiting for room.
+    /// Queues a message; waits while the queue is full.
     ///
     /// # Errors
     ///
-    /// When the link is closed; then this message was not sent.
+    /// When the link is closed; the message was not sent.
     pub async fn send(&self, body: Body) -> Result<()> {
         self.sender.send(body).await.map_err(|_| LinkError::Closed)
     }
 
-    /// Queues a message if there is room now.
+    /// Queues a message without waiting.
     ///
     /// # Errors
     ///
-    /// When the link is closed or its queue is full; then it was not sent.
+    /// When the link is closed or its queue is full; the message was not sent.
     pub fn try_send(&self, body: Body) -> Result<()> {
         self.sender.try_send(body).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => LinkError::Full,
@@ -55,7 +57,7 @@
     }
 }
 
-/// The place for the link to one address.
+/// The link to one address, or the time of the last failed dial.
 #[derive(Default)]
 pub(super) struct Slot {
     state: Mutex<State>,
@@ -64,7 +66,7 @@
 #[derive(Default)]
 struct State {
     link: Option<Link>,
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 impl Slot {
@@ -73,18 +75,18 @@
         if let Some(link) = state.usable() {
             return Ok(link);
         }
-        if state.resting() {
+        if state.is_backing_off() {
             return Err(LinkError::Resting);
         }
         match open(shared, address).await {
             Ok(link) => {
                 state.link = Some(link.clone());
-                state.failed = None;
+                state.failed_at = None;
                 Ok(link)
             }
             Err(error) => {
                 state.link = None;
-                state.failed = Some(Instant::now());
+                state.failed_at = Some(Instant::now());
                 log::debug!(target: "link", "link: to {address}: {error}");
                 if error.is_refusal() {
                     (shared.handler)(Event::Refused(address));
@@ -100,22 +102,22 @@
         self.link.clone().filter(Link::is_open)
     }
 
-    fn resting(&self) -> bool {
-        let recent = |failed: Instant| failed.elapsed() < REDIAL_AFTER;
-        self.failed.is_some_and(recent)
+    fn is_backing_off(&self) -> bool {
+        let recent = |failed_at: Instant| failed_at.elapsed() < REDIAL_DELAY;
+        self.failed_at.is_some_and(recent)
     }
 }
 
 async fn open(shared: &Arc<Shared>, address: SocketAddr) -> Result<Link> {
     let dialled = timeout(HANDSHAKE_TIMEOUT, connect(shared, address));
-    let Opened { peer, wire, .. } = dialled.await.map_err(|_| LinkError::Timeout)??;
-    let (sender, receiver) = mpsc::channel(QUEUE);
+    let Opened { peer, stream, .. } = dialled.await.map_err(|_| LinkError::Timeout)??;
+    let (sender, receiver) = mpsc::channel(QUEUE_LEN);
     let link = Link {
         peer: peer.clone(),
         sender,
     };
     (shared.handler)(Event::Opened(peer.clone()));
-    tokio::spawn(write(peer, wire, receiver, Arc::clone(shared)));
+    tokio::spawn(write(peer, stream, receiver, Arc::clone(shared)));
     Ok(link)
 }
 
@@ -123,28 +125,28 @@
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
     let raw = SockRef::from(&socket);
-    raw.set_tcp_user_timeout(Some(SILENCE))?;
+    raw.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
     raw.set_tcp_keepalive(
         &TcpKeepalive::new()
-            .with_time(SILENCE)
-            .with_interval(SILENCE),
+            .with_time(ACK_TIMEOUT)
+            .with_interval(ACK_TIMEOUT),
     )?;
     dial(socket, &shared.identity).await
 }
 
 async fn write(
     peer: PeerId,
-    mut wire: Wire,
+    mut stream: FramedStream,
     mut receiver: mpsc::Receiver<Body>,
     shared: Arc<Shared>,
 ) {
     loop {
         tokio::select! {
-            // The other side never sends on this link, so any read is its end.
-            _ = wire.next() => break,
+            // The peer never sends on this link, so a completed read means that it closed.
+            _ = stream.next() => break,
             body = receiver.recv() => {
                 let Some(body) = body else { break };
-                if write_batch(&mut wire, body, &mut receiver, &shared).await.is_err() {
+                if write_batch(&mut stream, body, &mut receiver, &shared).await.is_err() {
                     break;
                 }
             }
@@ -155,24 +157,24 @@
     (shared.handler)(Event::Closed(peer));
 }
 
-/// Writes what is queued in one go, so that many small messages cost one call.
+/// Writes all queued messages with one flush, which saves system calls.
 async fn write_batch(
-    wire: &mut Wire,
+    stream: &mut FramedStream,
     first: Body,
     receiver: &mut mpsc::Receiver<Body>,
     shared: &Shared,
 ) -> Result<()> {
-    wire.feed(encode(first, shared)).await?;
+    stream.feed(encode(first, shared)).await?;
     while let Ok(body) = receiver.try_recv() {
-        wire.feed(encode(body, shared)).await?;
+        stream.feed(encode(body, shared)).await?;
     }
-    SinkExt::<Bytes>::flush(wire).await?;
+    SinkExt::<Bytes>::flush(stream).await?;
     Ok(())
 }
 
 fn encode(body: Body, shared: &Shared) -> Bytes {
     let kind = body.kind();
     let bytes = Frame::from(body).encode_to_vec();
-    shared.counts.add_sent(kind, bytes.len() + LENGTH);
+    shared.counts.add_sent(kind, bytes.len() + LENGTH_PREFIX);
     bytes.into()
 }
--- a/crates/net/src/now.rs
+++ b/crates/net/src/now.rs
@@ -1,4 +1,4 @@
-//! The clocks of this process.
+//! Monotonic and wall-clock time in milliseconds.
 
 use std::sync::LazyLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -7,7 +7,7 @@
 
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
-/// Monotonic time since this process first asked, in milliseconds.
+/// Monotonic time since the first call in this process, in milliseconds.
 pub fn now() -> Millis {
     START.elapsed().into()
 }
