--- a/crates/net/src/endpoint.rs
+++ b/crates/net/src/endpoint.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints: model engines and plain services.
 //!
-//! A request goes out once. Its errors say whether it certainly did not run,
-//! and its answer is read piece by piece, as fast as the reader takes it.
+//! A request is sent at most once. Errors say whether it certainly did not run.
+//! The response is read chunk by chunk, at the pace of its reader.
 
 mod calls;
 mod events;
@@ -26,10 +26,10 @@
     OrderKind, State,
 };
 
-/// Longest wait for the first byte unless set.
-const FIRST_BYTE: Millis = Millis::from_secs(30);
-/// Longest gap between two pieces unless set.
-const GAP: Millis = Millis::from_secs(30);
+/// Default timeout for the first byte of the body.
+const FIRST_BYTE_TIMEOUT: Millis = Millis::from_secs(30);
+/// Default timeout between two chunks.
+const GAP_TIMEOUT: Millis = Millis::from_secs(30);
 
 /// One request to an endpoint.
 #[derive(Clone)]
@@ -39,21 +39,21 @@
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers; those of one connection are left out when sending.
+    /// Headers; hop-by-hop headers are removed when sending.
     pub headers: HeaderMap,
     /// Body.
     #[debug("{} bytes", body.len())]
     pub body: Bytes,
-    /// Which connection it may use.
+    /// Whether it may use a pooled connection.
     pub reuse: Reuse,
-    /// Longest wait for the first byte of the answer's body.
+    /// Timeout for the first byte of the response's body.
     pub first: Millis,
-    /// Longest wait for each later piece.
+    /// Timeout for each later chunk.
     pub gap: Millis,
 }
 
 impl Request {
-    /// A request without headers or body, with the usual limits.
+    /// A request without headers or body, with the default timeouts.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -61,8 +61,8 @@
             headers: HeaderMap::new(),
             body: Bytes::new(),
             reuse: Reuse::Pooled,
-            first: FIRST_BYTE,
-            gap: GAP,
+            first: FIRST_BYTE_TIMEOUT,
+            gap: GAP_TIMEOUT,
         }
     }
 
@@ -80,15 +80,16 @@
         self
     }
 
-    /// Chooses the connection. `Fresh` suits requests that may not be
-    /// repeated, as a kept connection can close while a request goes out.
+    /// Sets whether a pooled connection may be used. Use `Fresh` for requests
+    /// that must not be retried, as a pooled connection can close while the
+    /// request is sent.
     #[must_use]
     pub const fn with_reuse(mut self, reuse: Reuse) -> Self {
         self.reuse = reuse;
         self
     }
 
-    /// Sets the longest waits for the first byte and for each later piece.
+    /// Sets the timeouts for the first byte and for each later chunk.
     #[must_use]
     pub const fn with_timeouts(mut self, first: Millis, gap: Millis) -> Self {
         self.first = first;
@@ -108,18 +109,18 @@
     }
 }
 
-/// The answer of an endpoint.
+/// The response of an endpoint.
 #[derive(Debug)]
 pub struct Answer {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers that travel on.
+    /// Headers without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body, still to be read.
+    /// The unread body.
     pub body: Body,
 }
 
-/// Sends requests to endpoints over kept connections. Cheap to clone.
+/// HTTP client for endpoints. Cheap to clone.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Client {
@@ -127,15 +128,15 @@
 }
 
 impl Client {
-    /// A client with its own connections.
+    /// A client with its own connection pool.
     pub fn new(limits: &Limits) -> Self {
         Self {
             http: Http::new(limits),
         }
     }
 
-    /// Sends one request, once, and waits for the head of its answer.
-    /// Dropping the future, or the answer's body, closes the connection.
+    /// Sends one request, without retries, and waits for the response head.
+    /// Dropping the future, or the response's body, closes the connection.
     ///
     /// # Errors
     ///
--- a/crates/net/src/endpoint/calls.rs
+++ b/crates/net/src/endpoint/calls.rs
@@ -1,4 +1,4 @@
-//! Typed calls to endpoints, each with a bounded answer.
+//! Typed calls to endpoints, with limited response sizes.
 
 use std::net::SocketAddr;
 
@@ -13,9 +13,9 @@
 use super::{Answer, Client, Error, Request, Result};
 use crate::http::retry_after;
 
-/// Largest answer to a typed call, in bytes.
+/// Largest response to a typed call, in bytes.
 const MAX_ANSWER: u64 = 1 << 20;
-/// Time allowed beyond the wait that a long poll asks for.
+/// Time allowed for a long poll beyond its wait.
 const POLL_GRACE: Millis = Millis::from_secs(5);
 
 /// Result of a typed call.
@@ -25,36 +25,36 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error, From)]
 pub enum CallError {
-    /// No whole answer came.
+    /// No complete response arrived.
     #[display("{_0}")]
     Transport(Error),
-    /// The answer was a refusal.
+    /// The response has an error status.
     #[display("the endpoint answered {status}")]
     #[from(skip)]
     Status {
         /// HTTP status.
         status: u16,
-        /// When to come back, if it said so.
+        /// Delay from `Retry-After`, if given.
         after: Option<Millis>,
     },
-    /// The answer can't be read.
+    /// The response can't be parsed.
     #[display("the endpoint's answer can't be read: {cause}")]
     #[from(skip)]
     Malformed {
-        /// What is wrong with it.
+        /// Error of the parser.
         cause: String,
     },
 }
 
-/// The number that an engine holds, in its refusal of an order.
+/// Body of an engine's refusal of an order: its current fencing number.
 #[derive(serde::Deserialize)]
-struct Fence {
+struct FenceRefusal {
     fence: u64,
 }
 
-/// An order with its fencing number.
+/// Request body of an order with its fencing number.
 #[derive(Serialize)]
-struct Fenced<'a> {
+struct FencedOrder<'a> {
     fence: u64,
     order: &'a Order,
 }
@@ -69,8 +69,8 @@
         self.read(address, "/v1/load", wait).await
     }
 
-    /// Asks whether an endpoint takes new work. An answer of 503 that names a
-    /// state is an answer.
+    /// Reads whether an endpoint accepts new work. A response with status 503
+    /// and a state in its body is not an error.
     ///
     /// # Errors
     ///
@@ -82,7 +82,7 @@
         if !answer.status.is_success() && !unavailable {
             return Err(refusal(&answer));
         }
-        parse(&answer.body.whole(MAX_ANSWER).await?)
+        parse(&answer.body.read_all(MAX_ANSWER).await?)
     }
 
     /// Reads an engine's model, adapters, version and role.
@@ -94,7 +94,7 @@
         self.read(address, "/v1/state", wait).await
     }
 
-    /// Waits up to `poll` for cache events after `after`.
+    /// Waits up to `poll` for cache events with a sequence number above `after`.
     ///
     /// # Errors
     ///
@@ -109,12 +109,12 @@
         self.read(address, &path, poll + POLL_GRACE).await
     }
 
-    /// Gives an engine an order, once.
+    /// Sends an order to an engine, without retries.
     ///
     /// # Errors
     ///
-    /// As in [`CallError`]; after `Transport` the order may have been taken
-    /// unless its outcome says otherwise.
+    /// As in [`CallError`]; after `Transport` the order may have been accepted
+    /// unless the error's outcome is `NotRun`.
     pub async fn order(
         &self,
         address: SocketAddr,
@@ -122,29 +122,29 @@
         order: &Order,
         wait: Millis,
     ) -> CallResult<OrderAnswer> {
-        let body = serde_json::to_vec(&Fenced { fence, order }).map_err(malformed)?;
+        let body = serde_json::to_vec(&FencedOrder { fence, order }).map_err(malformed)?;
         let request = Request::new(Method::POST, "/v1/orders")
             .with_headers(json_headers())
             .with_body(body.into())
             .with_timeouts(wait, wait);
         let answer = self.send(address, request).await?;
         if answer.status == StatusCode::CONFLICT {
-            let Fence { fence } = parse(&answer.body.whole(MAX_ANSWER).await?)?;
+            let FenceRefusal { fence } = parse(&answer.body.read_all(MAX_ANSWER).await?)?;
             return Ok(OrderAnswer::Fenced { fence });
         }
         if !answer.status.is_success() {
             return Err(refusal(&answer));
         }
-        answer.body.whole(MAX_ANSWER).await?;
+        answer.body.read_all(MAX_ANSWER).await?;
         Ok(OrderAnswer::Taken)
     }
 
-    /// Takes up a stream after token `from`; the answer is 404 if it is no
-    /// longer held.
+    /// Resumes a stream after token `from`; the response has status 404 if the
+    /// engine no longer holds the stream.
     ///
     /// # Errors
     ///
-    /// As `send`.
+    /// As for `send`.
     pub async fn resume(
         &self,
         address: SocketAddr,
@@ -158,7 +158,7 @@
         self.send(address, request).await
     }
 
-    /// Cancels a stream; `false` if it was not held.
+    /// Cancels a stream; returns `false` if the engine does not hold it.
     ///
     /// # Errors
     ///
@@ -177,7 +177,7 @@
         if !answer.status.is_success() {
             return Err(refusal(&answer));
         }
-        answer.body.whole(MAX_ANSWER).await?;
+        answer.body.read_all(MAX_ANSWER).await?;
         Ok(true)
     }
 
@@ -192,7 +192,7 @@
         if !answer.status.is_success() {
             return Err(refusal(&answer));
         }
-        parse(&answer.body.whole(MAX_ANSWER).await?)
+        parse(&answer.body.read_all(MAX_ANSWER).await?)
     }
 }
 
@@ -200,11 +200,11 @@
 ///
 /// # Errors
 ///
-/// `NotSent` if the name can't stand in a path.
+/// `NotSent` if the name has characters that are not allowed in the path.
 fn stream_path(stream: &str) -> Result<String> {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if stream.is_empty() || !stream.chars().all(plain) {
-        return Err(Error::not_sent("the stream's name can't stand in a path"));
+        return Err(Error::not_sent("the stream's name is not valid in a path"));
     }
     Ok(format!("/v1/streams/{stream}"))
 }
--- a/crates/net/src/endpoint/events.rs
+++ b/crates/net/src/endpoint/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of an answer, one by one.
+//! Reader of the server-sent events in a response.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use super::Body;
 use crate::http::{Error, Result};
 
-/// The data of the last event of a whole stream.
+/// Data of the event that ends a complete stream.
 const DONE: &str = "[DONE]";
 
 /// Result of reading an event.
@@ -22,46 +22,46 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error, From)]
 pub enum EventError {
-    /// The answer was cut, timed out or has an event that is too large.
+    /// The response was cut off, timed out or has an event that is too large.
     #[display("{_0}")]
     Transport(Error),
-    /// The bytes are not events.
+    /// The bytes are not valid events.
     #[display("the events can't be read: {cause}")]
     #[from(skip)]
     Malformed {
-        /// What is wrong with them.
+        /// Error of the parser.
         cause: String,
     },
 }
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Event {
-    /// Its id, if it has one.
+    /// The `id` field.
     pub id: Option<String>,
-    /// Its kind, if it names one.
+    /// The `event` field.
     pub name: Option<String>,
-    /// Its data.
+    /// The `data` field.
     pub data: Bytes,
 }
 
 impl Event {
-    /// Tokens of the answer up to and with this event, if its id says so.
+    /// Number of tokens up to and including this event, if its id is a number.
     pub fn tokens(&self) -> Option<u64> {
         self.id.as_ref()?.parse().ok()
     }
 
-    /// Whether this is the mark that ends a whole stream.
+    /// Whether this event ends a complete stream.
     pub fn is_done(&self) -> bool {
         self.data == DONE.as_bytes()
     }
 
-    /// The event as it goes over a connection.
+    /// Encodes the event for the wire.
     ///
     /// # Errors
     ///
-    /// `Malformed` if it can't be written, which no event that was read is.
+    /// `Malformed` if it can't be encoded; never for an event that was read.
     pub fn encode(&self) -> EventResult<Bytes> {
         let data = std::str::from_utf8(&self.data).map_err(malformed)?;
         let sse = Sse {
@@ -90,65 +90,65 @@
     }
 }
 
-type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes>> + Send>>;
+type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes>> + Send>>;
 
-/// Reads events from an answer's body.
+/// Reads events from a response's body.
 ///
-/// The end of the body is not the end of the stream: a whole stream has an
-/// event that `is_done`. Dropping the reader drops the body.
+/// The end of the body alone does not mean that the stream is complete: a complete
+/// stream ends with an event that `is_done`. Dropping the reader drops the body.
 #[derive(Debug)]
 pub struct Events {
     #[debug(skip)]
-    inner: SseByteStream<Pieces>,
-    /// Bytes taken in since the last event.
-    held: Arc<AtomicUsize>,
+    inner: SseByteStream<ChunkStream>,
+    /// Bytes read since the last event.
+    buffered_len: Arc<AtomicUsize>,
 }
 
 impl Events {
-    /// Reads events that have at most `limit` bytes. As a piece of the body can
-    /// hold many events, an event may be larger by one piece.
+    /// Reads events of at most `limit` bytes. As a chunk of the body can hold
+    /// many events, an event may exceed the limit by one chunk.
     pub fn new(body: Body, limit: usize) -> Self {
-        let held = Arc::new(AtomicUsize::new(0));
-        let pieces = bounded(body, held.clone(), limit);
+        let buffered_len = Arc::new(AtomicUsize::new(0));
+        let chunks = limit_event_size(body, buffered_len.clone(), limit);
         Self {
-            inner: SseByteStream::new(pieces),
-            held,
+            inner: SseByteStream::new(chunks),
+            buffered_len,
         }
     }
 
-    /// The next event; `None` after the end of the body. Can be dropped while
-    /// waiting without losing an event.
+    /// The next event; `None` after the end of the body. Cancel safe: no event
+    /// is lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// As in [`EventError`]; nothing comes after an error.
+    /// As in [`EventError`]; no event follows an error.
     pub async fn next(&mut self) -> Option<EventResult<Event>> {
         let event = self.inner.next().await?;
-        self.held.store(0, Ordering::Relaxed);
-        Some(event.map(Event::from).map_err(from_reader))
+        self.buffered_len.store(0, Ordering::Relaxed);
+        Some(event.map(Event::from).map_err(from_sse_error))
     }
 }
 
-/// The pieces of a body, ending with an error when too many bytes have come in
-/// without an event.
-fn bounded(body: Body, held: Arc<AtomicUsize>, limit: usize) -> Pieces {
+/// The chunks of a body; ends with `TooLarge` when more than `limit` bytes have
+/// arrived without a complete event.
+fn limit_event_size(body: Body, buffered_len: Arc<AtomicUsize>, limit: usize) -> ChunkStream {
     let next = move |mut body: Body| {
-        let held = held.clone();
+        let buffered_len = buffered_len.clone();
         async move {
-            if held.load(Ordering::Relaxed) > limit {
+            if buffered_len.load(Ordering::Relaxed) > limit {
                 let limit = limit as u64;
                 return Some((Err(Error::TooLarge { limit }), body));
             }
-            let piece = body.next().await?;
-            let len = piece.as_ref().map_or(0, Bytes::len);
-            held.fetch_add(len, Ordering::Relaxed);
-            Some((piece, body))
+            let chunk = body.next().await?;
+            let len = chunk.as_ref().map_or(0, Bytes::len);
+            buffered_len.fetch_add(len, Ordering::Relaxed);
+            Some((chunk, body))
         }
     };
     Box::pin(unfold(body, next))
 }
 
-fn from_reader(error: sse_stream::Error) -> EventError {
+fn from_sse_error(error: sse_stream::Error) -> EventError {
     let cause = error.to_string();
     if let sse_stream::Error::Body(source) = error
         && let Ok(error) = source.downcast::<Error>()
--- a/crates/net/src/endpoint/model.rs
+++ b/crates/net/src/endpoint/model.rs
@@ -1,68 +1,68 @@
-//! What endpoints say of themselves, and the orders they take.
+//! Reports of endpoints, and orders to engines.
 
 use derive_more::{Debug, Display};
 use medlarrill_core::clock::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug, Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It does.
+    /// It accepts work.
     #[display("ready")]
     Ready,
-    /// It does not, and will stop.
+    /// It accepts none and will stop.
     #[display("leaving")]
     Leaving,
-    /// A word not known here; not ready.
+    /// A value not known to this version; treated as not ready.
     #[default]
     #[display("unknown")]
     #[serde(other)]
     Unknown,
 }
 
-/// An endpoint's answer about its health.
+/// An endpoint's health report.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Health {
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: State,
 }
 
-/// An endpoint's report of its load, which lags.
+/// An endpoint's load report; it lags behind the actual load.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Load {
-    /// When it was taken, by the endpoint's wall clock.
+    /// Time of the measurement, by the endpoint's wall clock.
     #[serde(with = "crate::http::plain_millis")]
     pub as_of: Millis,
     /// Requests running.
     pub running: u64,
     /// Requests waiting.
     pub waiting: u64,
-    /// Estimated work in hand, in tokens.
+    /// Estimated outstanding work, in tokens.
     #[serde(default)]
     pub tokens: u64,
-    /// Requests that it runs at once.
+    /// Requests that it can run at once.
     #[serde(default)]
     pub slots: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: State,
-    /// Its prefix cache, for a model engine.
+    /// Prefix cache; model engines only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cache: Option<CacheLoad>,
 }
 
-/// A model engine's report of its prefix cache.
+/// Usage of a model engine's prefix cache.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CacheLoad {
-    /// Cached, in tokens.
+    /// Cached tokens.
     pub used: u64,
-    /// Room, in tokens.
+    /// Capacity, in tokens.
     pub capacity: u64,
-    /// Age of the entry evicted last, in milliseconds; absent if none was.
+    /// Age of the last evicted entry, in milliseconds; absent if none was evicted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub eviction_age: Option<u64>,
 }
@@ -71,17 +71,17 @@
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// In the order of their numbers, with gaps.
+    /// In the order of their sequence numbers, which may have gaps.
     pub events: Vec<CacheEvent>,
 }
 
-/// A prefix that was cached or evicted.
+/// Event of one prefix in the cache.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CacheEvent {
     /// Sequence number.
     pub seq: u64,
-    /// What happened.
+    /// Kind of event.
     pub kind: CacheKind,
     /// Hash of the prefix, in hexadecimal.
     pub prefix: String,
@@ -89,16 +89,16 @@
     pub tokens: u64,
 }
 
-/// What happened to a prefix.
+/// Kind of a cache event.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheKind {
-    /// It was cached.
+    /// The prefix was cached.
     Stored,
-    /// It was evicted.
+    /// The prefix was evicted.
     Evicted,
-    /// A word not known here.
+    /// A value not known to this version.
     #[serde(other)]
     Unknown,
 }
@@ -108,15 +108,15 @@
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EndpointState {
-    /// Model loaded.
+    /// Loaded model.
     pub model: String,
-    /// Adapters loaded.
+    /// Loaded adapters.
     pub adapters: Vec<String>,
     /// Version of the model.
     pub version: String,
     /// Role, such as `prefill`, `decode` or `both`.
     pub role: String,
-    /// Fencing number of the last order.
+    /// Fencing number of the last accepted order.
     pub fence: u64,
 }
 
@@ -149,15 +149,15 @@
     pub name: String,
 }
 
-/// An engine's answer to an order.
+/// An engine's response to an order.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum OrderAnswer {
-    /// It was taken.
+    /// The engine accepted it.
     Taken,
-    /// Its number was older than the one the engine holds.
+    /// The engine has accepted an order with a higher fencing number.
     Fenced {
-        /// The number that the engine holds.
+        /// The engine's current fencing number.
         fence: u64,
     },
 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 requests over pooled connections, with errors that say whether a
-//! request was sent.
+//! HTTP/1.1 client over pooled connections, whose errors say whether a request
+//! was sent.
 //!
-//! The client library never sends a request a second time by itself. A request
-//! counts as not sent only if it was never handed to a connection.
+//! The client library's automatic retries are off. A request counts as not sent
+//! only if it was never handed to a connection.
 
 mod body;
 pub(crate) mod plain_millis;
@@ -23,8 +23,8 @@
 
 pub use body::Body;
 
-/// Headers of one connection, which don't travel on.
-const HOP_HEADERS: [HeaderName; 9] = [
+/// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -39,31 +39,31 @@
 /// Result of an HTTP call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why an HTTP call has no whole answer.
+/// Why an HTTP call got no complete response.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// It was never handed to a connection: certainly not run.
+    /// The request was never handed to a connection: certainly not run.
     #[display("the request was not sent: {cause}")]
     NotSent {
         /// What went wrong, in words.
         cause: String,
-        /// Whether a kept connection had been closed by the other side.
+        /// Whether the peer had closed the pooled connection.
         stale: bool,
     },
-    /// It was sent, and no whole answer came: it may have run.
+    /// The request was sent, but no complete response arrived: it may have run.
     #[display("the answer was lost: {cause}")]
     Lost {
         /// What went wrong, in words.
         cause: String,
     },
-    /// Nothing came in time.
+    /// No response arrived in time.
     #[display("no answer came in time")]
     Timeout {
-        /// Whether it was handed to a connection.
+        /// Whether the request was handed to a connection.
         sent: bool,
     },
-    /// The answer is over the limit; reading stopped.
+    /// The response is larger than the limit; reading stopped.
     #[display("the answer is larger than {limit} bytes")]
     TooLarge {
         /// The limit, in bytes.
@@ -72,7 +72,7 @@
 }
 
 impl Error {
-    /// What the error says of the request.
+    /// Whether the request may have run.
     pub const fn outcome(&self) -> Outcome {
         match self {
             Self::NotSent { .. } | Self::Timeout { sent: false } => Outcome::NotRun,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A short name for counters.
+    /// Short name of the error, for counters.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::NotSent { .. } => "not-sent",
@@ -108,7 +108,7 @@
 
     fn from_client(error: &hyper_util::client::legacy::Error) -> Self {
         let cause = describe(error);
-        // The library says "canceled" only where it gives the request back.
+        // The library reports "canceled" only if it hands the request back.
         let stale = source(error).is_some_and(hyper::Error::is_canceled);
         if stale || error.is_connect() {
             Self::NotSent { cause, stale }
@@ -118,12 +118,12 @@
     }
 }
 
-/// The cause in the client library, if it was reached.
+/// The underlying hyper error, if there is one.
 fn source(error: &hyper_util::client::legacy::Error) -> Option<&hyper::Error> {
     std::error::Error::source(error)?.downcast_ref()
 }
 
-/// An error and its causes in one line.
+/// An error and its chain of causes in one line.
 pub(crate) fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut next = error.source();
@@ -139,13 +139,13 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Limits {
-    /// Longest time to connect.
+    /// Connect timeout.
     pub connect: Millis,
-    /// How long an unused connection is kept.
+    /// How long an idle connection is kept.
     pub idle: Millis,
-    /// Unused connections kept for one address.
-    pub spare: usize,
-    /// Bytes read ahead on one connection, at least 8 KiB.
+    /// Most idle connections per address.
+    pub max_idle: usize,
+    /// Read buffer of one connection, in bytes; at least 8 KiB.
     pub buffer: usize,
 }
 
@@ -154,7 +154,7 @@
         Self {
             connect: Millis(1000),
             idle: Millis::from_secs(5),
-            spare: 32,
+            max_idle: 32,
             buffer: 64 << 10,
         }
     }
@@ -164,15 +164,16 @@
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub enum Reuse {
-    /// A kept connection if there is one. The other side may close it just
-    /// then, which loses the answer to a request that it never read.
+    /// A pooled connection if there is one. The peer may close it while the
+    /// request is sent, which loses the response although it never read the
+    /// request.
     #[default]
     Pooled,
     /// A new connection, closed afterwards.
     Fresh,
 }
 
-/// Sends requests over kept and over new connections.
+/// HTTP client with pooled and one-off connections.
 #[derive(Clone)]
 #[derive(Debug)]
 pub(crate) struct Http {
@@ -185,12 +186,12 @@
 impl Http {
     pub(crate) fn new(limits: &Limits) -> Self {
         Self {
-            pooled: client(limits, limits.spare),
+            pooled: client(limits, limits.max_idle),
             fresh: client(limits, 0),
         }
     }
 
-    /// Sends one request and waits for the head of its answer.
+    /// Sends one request and waits for the response head.
     ///
     /// # Errors
     ///
@@ -199,14 +200,14 @@
         &self,
         mut request: Request<Full<Bytes>>,
         reuse: Reuse,
-        wait: Millis,
+        timeout: Millis,
     ) -> Result<Response<Incoming>> {
         let connection = capture_connection(&mut request);
         let client = match reuse {
             Reuse::Pooled => &self.pooled,
             Reuse::Fresh => &self.fresh,
         };
-        let answer = tokio::time::timeout(wait.as_duration(), client.request(request)).await;
+        let answer = tokio::time::timeout(timeout.as_duration(), client.request(request)).await;
         match answer {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(Error::from_client(&error)),
@@ -217,24 +218,24 @@
     }
 }
 
-fn client(limits: &Limits, spare: usize) -> Client<HttpConnector, Full<Bytes>> {
+fn client(limits: &Limits, max_idle: usize) -> Client<HttpConnector, Full<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(limits.connect.as_duration()));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(limits.idle.as_duration())
-        .pool_max_idle_per_host(spare)
+        .pool_max_idle_per_host(max_idle)
         .http1_max_buf_size(limits.buffer)
         .retry_canceled_requests(false)
         .build(connector)
 }
 
-/// The address and path as one URI.
+/// Builds a URI from an address and a path.
 ///
 /// # Errors
 ///
-/// `NotSent` if the path can't stand in a request.
+/// `NotSent` if the path is not valid in a URI.
 pub(crate) fn uri(address: SocketAddr, path: &str) -> Result<Uri> {
     Uri::builder()
         .scheme("http")
@@ -244,7 +245,7 @@
         .map_err(Error::not_sent)
 }
 
-/// Removes the headers that belong to one connection.
+/// Removes the hop-by-hop headers and those that `Connection` names.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -253,12 +254,12 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
 
-/// The span in a `Retry-After` header, if it is given in seconds.
+/// The delay in a `Retry-After` header, if it is given in seconds.
 pub fn retry_after(headers: &HeaderMap) -> Option<Millis> {
     let text = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(Millis::from_secs)
--- a/crates/net/src/http/body.rs
+++ b/crates/net/src/http/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, read piece by piece.
+//! The body of a response, read chunk by chunk.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::Debug;
@@ -11,43 +11,43 @@
 
 use super::{Error, Result, describe};
 
-/// The body of an answer.
+/// The body of a response, read on demand.
 ///
-/// Nothing is read ahead of `next` but what the connection's buffer holds.
-/// Dropping it before its end closes the connection, which cancels the request
-/// at an engine.
+/// Nothing is read ahead of `next` beyond the connection's buffer. Dropping the
+/// body before its end closes the connection, which cancels the request at an
+/// engine.
 #[derive(Debug)]
 pub struct Body {
-    /// The rest of the answer; none after its end or an error.
+    /// The unread rest of the response; `None` after its end or an error.
     #[debug(skip)]
-    rest: Option<Incoming>,
-    /// Whether the end of the answer can be told from a cut.
-    framed: bool,
-    /// When the first piece has to be here.
+    incoming: Option<Incoming>,
+    /// Whether the end of the body can be distinguished from a lost connection.
+    has_marked_end: bool,
+    /// Deadline for the first chunk.
     #[debug(skip)]
-    first: Option<Instant>,
-    /// Longest wait for each later piece.
+    first_deadline: Option<Instant>,
+    /// Timeout for each later chunk.
     gap: Millis,
-    /// Most bytes of the whole body.
+    /// Size limit of the body, in bytes.
     limit: u64,
-    /// Bytes read.
+    /// Bytes read so far.
     read: u64,
 }
 
 impl Body {
-    pub(crate) fn new(response: Response<Incoming>, first: Instant, gap: Millis) -> Self {
-        let framed = is_framed(response.headers()) || response.body().is_end_stream();
+    pub(crate) fn new(response: Response<Incoming>, first_deadline: Instant, gap: Millis) -> Self {
+        let has_marked_end = is_framed(response.headers()) || response.body().is_end_stream();
         Self {
-            rest: Some(response.into_body()),
-            framed,
-            first: Some(first),
+            incoming: Some(response.into_body()),
+            has_marked_end,
+            first_deadline: Some(first_deadline),
             gap,
             limit: u64::MAX,
             read: 0,
         }
     }
 
-    /// Bounds the whole body, in bytes.
+    /// Limits the size of the body, in bytes.
     #[must_use]
     pub const fn with_limit(mut self, limit: u64) -> Self {
         self.limit = limit;
@@ -59,60 +59,61 @@
         self.read
     }
 
-    /// The next piece; `None` after the end of a whole body. Can be dropped
-    /// while waiting without losing a piece.
+    /// The next chunk; `None` after the end of a complete body. Cancel safe: no
+    /// chunk is lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// `Lost` if the body was cut or its end can't be told from a cut,
-    /// `Timeout` and `TooLarge`. Nothing comes after an error, and the
-    /// connection is closed.
+    /// `Lost` if the body was cut off or its end is not marked, `Timeout` and
+    /// `TooLarge`. An error ends the body and closes the connection.
     pub async fn next(&mut self) -> Option<Result<Bytes>> {
-        let rest = self.rest.as_mut()?;
+        let incoming = self.incoming.as_mut()?;
         let gap = Instant::now() + self.gap.as_duration();
-        let until = self.first.map_or(gap, |first| first.max(gap));
-        let piece = match timeout_at(until, data(rest)).await {
-            Ok(piece) => piece,
+        let until = self
+            .first_deadline
+            .map_or(gap, |first_deadline| first_deadline.max(gap));
+        let chunk = match timeout_at(until, data(incoming)).await {
+            Ok(chunk) => chunk,
             Err(_) => Some(Err(Error::Timeout { sent: true })),
         };
-        self.first = None;
-        self.take(piece)
+        self.first_deadline = None;
+        self.account(chunk)
     }
 
-    fn take(&mut self, piece: Option<Result<Bytes>>) -> Option<Result<Bytes>> {
-        let result = match piece {
+    fn account(&mut self, chunk: Option<Result<Bytes>>) -> Option<Result<Bytes>> {
+        let result = match chunk {
             Some(Ok(data)) if self.read + data.len() as u64 <= self.limit => {
                 self.read += data.len() as u64;
                 return Some(Ok(data));
             }
             Some(Ok(_)) => Some(Err(Error::TooLarge { limit: self.limit })),
             Some(Err(error)) => Some(Err(error)),
-            None if self.framed => None,
+            None if self.has_marked_end => None,
             None => Some(Err(Error::lost("the end of the answer is not marked"))),
         };
-        self.rest = None;
+        self.incoming = None;
         result
     }
 
-    /// Reads the whole body.
+    /// Reads the complete body.
     ///
     /// # Errors
     ///
-    /// As `next`; `TooLarge` if it has more than `limit` bytes.
-    pub async fn whole(mut self, limit: u64) -> Result<Bytes> {
+    /// As for `next`; `TooLarge` if it has more than `limit` bytes.
+    pub async fn read_all(mut self, limit: u64) -> Result<Bytes> {
         self.limit = self.limit.min(limit);
         let mut all = BytesMut::new();
-        while let Some(piece) = self.next().await {
-            all.extend_from_slice(&piece?);
+        while let Some(chunk) = self.next().await {
+            all.extend_from_slice(&chunk?);
         }
         Ok(all.freeze())
     }
 }
 
-/// The next piece of data, passing over trailers and empty pieces.
-async fn data(rest: &mut Incoming) -> Option<Result<Bytes>> {
+/// The next chunk of data; skips trailers and empty chunks.
+async fn data(incoming: &mut Incoming) -> Option<Result<Bytes>> {
     loop {
-        match rest.frame().await? {
+        match incoming.frame().await? {
             Err(error) => return Some(Err(Error::lost(describe(&error)))),
             Ok(frame) => match frame.into_data() {
                 Ok(data) if !data.is_empty() => return Some(Ok(data)),
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -1,9 +1,9 @@
 //! Calls to the platform's object API.
 //!
-//! Each call names the role that spends it, keeps to that role's budget, and
-//! ends in one typed way that says whether a write took effect. While the
-//! platform looks down, one call per role finds out whether it is back, and
-//! the others fail at once without being sent.
+//! Each call is made in a role, within the rate budget of that role. Its result
+//! says whether a write took effect. Each role has a circuit breaker: while the
+//! platform seems down, one call per role probes it, and the others fail at once
+//! without being sent.
 
 mod backoff;
 mod calls;
@@ -29,34 +29,34 @@
 pub use backoff::Backoff;
 pub use counts::{ByteCount, CallCount, Snapshot};
 pub use error::{Error, Refusal, Result};
-pub use follow::{Follow, Followed, Follower, Heard};
+pub use follow::{Follow, FollowEvent, Follower, LastContact};
 pub use model::{
     Change, Changes, Entry, Listing, MAX_OBJECT, Object, Read, Revision, Version, Vm, VmKind,
     VmList, VmState,
 };
-pub use retry::Repeat;
+pub use retry::RetryOn;
 pub use role::{Budget, Ending, Kind, Role};
 
-/// Where the platform is, and what this daemon may spend there.
+/// Settings of a platform client.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub struct Settings {
-    /// Where it listens.
+    /// The platform's address.
     pub address: SocketAddr,
-    /// The VM that calls, named in each call.
+    /// The VM that calls, sent as a header of each call.
     pub vm: Option<VmId>,
-    /// Budgets, in the order of `Role::ALL`.
+    /// Rate budgets, in the order of `Role::ALL`.
     budgets: [Budget; Role::ALL.len()],
-    /// Waits between tries.
+    /// Delays between attempts.
     pub backoff: Backoff,
-    /// Limits of the connections.
+    /// Connection limits.
     pub limits: Limits,
-    /// Seed of the jitter; different in each process.
+    /// Seed of the jitter; must differ between processes.
     pub seed: u64,
 }
 
 impl Settings {
-    /// The usual budgets and limits.
+    /// Settings with the default budgets and limits.
     pub fn new(address: SocketAddr, seed: u64) -> Self {
         Self {
             address,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Names the VM that calls.
+    /// Sets the VM that calls.
     #[must_use]
     pub fn with_vm(mut self, vm: VmId) -> Self {
         self.vm = Some(vm);
@@ -82,14 +82,14 @@
         self
     }
 
-    /// Sets the waits between tries.
+    /// Sets the delays between attempts.
     #[must_use]
     pub const fn with_backoff(mut self, backoff: Backoff) -> Self {
         self.backoff = backoff;
         self
     }
 
-    /// Sets the limits of the connections.
+    /// Sets the connection limits.
     #[must_use]
     pub const fn with_limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Calls the platform. Cheap to clone; clones share budgets and counters.
+/// Client of the platform. Cheap to clone; clones share budgets and counters.
 #[derive(Clone)]
 #[derive(Debug)]
 pub struct Client {
@@ -109,13 +109,13 @@
     http: Http,
     address: SocketAddr,
     vm: Option<VmId>,
-    /// In the order of `Role::ALL`; held for a few instructions at a time.
+    /// In the order of `Role::ALL`. Each is locked only for a few instructions.
     gates: [Mutex<Gate>; Role::ALL.len()],
     counts: Counts,
 }
 
 impl Client {
-    /// A client with its own connections.
+    /// A client with its own connection pool.
     pub fn new(settings: Settings) -> Self {
         let gate = |role: Role| {
             let budget = settings.budgets[role as usize];
@@ -134,14 +134,14 @@
         }
     }
 
-    /// The counters as they stand.
+    /// The current values of the counters.
     pub fn snapshot(&self) -> Snapshot {
         self.shared.counts.snapshot()
     }
 
-    /// Whether the platform looks down to a role.
-    pub fn looks_down(&self, role: Role) -> bool {
-        self.shared.gate(role).looks_down()
+    /// Whether the role's circuit breaker considers the platform down.
+    pub fn is_down(&self, role: Role) -> bool {
+        self.shared.gate(role).is_down()
     }
 }
 
--- a/crates/net/src/platform/calls.rs
+++ b/crates/net/src/platform/calls.rs
@@ -1,4 +1,4 @@
-//! The calls, typed.
+//! Typed calls of the object API.
 
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, IF_MATCH, IF_NONE_MATCH};
@@ -15,8 +15,8 @@
 
 /// Longest key, in bytes.
 const MAX_KEY: usize = 1024;
-/// What stands unescaped in keys.
-const KEY: &AsciiSet = &NON_ALPHANUMERIC
+/// Characters percent-encoded in keys: all but alphanumerics and these.
+const KEY_ESCAPES: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'/')
     .remove(b'-')
     .remove(b'_')
@@ -42,7 +42,7 @@
             body: value,
             ..object_call(role, Kind::Create, Method::PUT, key, timeout)?
         };
-        self.run(call, written).await
+        self.run(call, parse_version).await
     }
 
     /// Replaces an object that still has `version`, and returns the new one.
@@ -64,7 +64,7 @@
             body: value,
             ..object_call(role, Kind::Update, Method::PUT, key, timeout)?
         };
-        self.run(call, written).await
+        self.run(call, parse_version).await
     }
 
     /// Deletes an object that still has `version`.
@@ -86,12 +86,12 @@
         let deleted = |reply: Reply| match reply.status {
             status if status.is_success() => Ok(()),
             StatusCode::NOT_FOUND => Err(Error::NotFound),
-            _ => Err(unwritten(&reply)),
+            _ => Err(write_error(&reply)),
         };
         self.run(call, deleted).await
     }
 
-    /// Reads an object, or finds that it still has the version `known`.
+    /// Reads an object; returns `NotModified` if it still has the version `known`.
     ///
     /// # Errors
     ///
@@ -133,7 +133,7 @@
     }
 
     /// Waits up to `poll` for changes under `prefix` after a revision. The
-    /// timeout counts from the end of the poll.
+    /// timeout starts at the end of the poll.
     ///
     /// # Errors
     ///
@@ -156,7 +156,7 @@
         self.run(call, changes).await
     }
 
-    /// Reads the lagging list of VMs.
+    /// Reads the list of VMs, which may lag behind.
     ///
     /// # Errors
     ///
@@ -195,7 +195,7 @@
 }
 
 fn escape(text: &str) -> String {
-    utf8_percent_encode(text, KEY).to_string()
+    utf8_percent_encode(text, KEY_ESCAPES).to_string()
 }
 
 fn tag(version: Version) -> String {
@@ -219,17 +219,17 @@
     Ok(())
 }
 
-fn written(reply: Reply) -> Result<Version> {
+fn parse_version(reply: Reply) -> Result<Version> {
     if !reply.status.is_success() {
-        return Err(unwritten(&reply));
+        return Err(write_error(&reply));
     }
     reply.version.ok_or_else(|| Error::Unknown {
         cause: "the answer to a write names no version".into(),
     })
 }
 
-/// The error for a write that was refused.
-fn unwritten(reply: &Reply) -> Error {
+/// The error for a refused write.
+fn write_error(reply: &Reply) -> Error {
     match reply.status {
         StatusCode::PRECONDITION_FAILED => Error::Precondition {
             present: reply.version,
--- a/crates/net/src/platform/counts.rs
+++ b/crates/net/src/platform/counts.rs
@@ -1,4 +1,4 @@
-//! Counters of calls by role, kind and ending.
+//! Counters of calls to the platform, by role, kind and ending.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -6,7 +6,7 @@
 
 use super::role::{Ending, Kind, Role};
 
-/// Counters that never go down.
+/// Monotonic counters.
 #[derive(Debug)]
 pub(super) struct Counts {
     calls: [[[AtomicU64; Ending::ALL.len()]; Kind::ALL.len()]; Role::ALL.len()],
@@ -24,7 +24,7 @@
     pub kind: Kind,
     /// How they ended.
     pub ending: Ending,
-    /// How many did.
+    /// Number of calls.
     pub count: u64,
 }
 
@@ -44,14 +44,14 @@
 #[derive(Clone, PartialEq, Eq, Default)]
 #[derive(Debug)]
 pub struct Snapshot {
-    /// Calls, without those that have not happened yet.
+    /// Calls; combinations with a count of zero are left out.
     pub calls: Vec<CallCount>,
     /// Bytes, by role.
     pub bytes: Vec<ByteCount>,
 }
 
 impl Snapshot {
-    /// How many calls of a role ended so, of whatever kind.
+    /// Number of calls of a role with an ending, over all kinds.
     pub fn ended(&self, role: Role, ending: Ending) -> u64 {
         self.calls
             .iter()
--- a/crates/net/src/platform/error.rs
+++ b/crates/net/src/platform/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to the platform did not do what was asked.
+//! Errors of calls to the platform.
 
 use derive_more::{Debug, Display, Error};
 use medlarrill_core::clock::Millis;
@@ -9,65 +9,65 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a call did not do what was asked.
+/// Why a call failed.
 ///
-/// Only `Unknown` leaves open whether a write took effect, and it may do so
-/// late: read the object back before writing again.
+/// After `Unknown` alone, a write may have taken effect or may do so later: read
+/// the object back before writing again.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// The condition did not hold; nothing was written.
+    /// The precondition failed; nothing was written.
     #[display("the object has another version")]
     Precondition {
-        /// The present version; none if the object is absent.
+        /// The current version; `None` if the object does not exist.
         present: Option<Version>,
     },
-    /// There is no such object.
+    /// The object does not exist.
     #[display("there is no such object")]
     NotFound,
-    /// The revision asked for is no longer held: list again.
+    /// The platform no longer holds the revision: list again.
     #[display("the revision is no longer held")]
     Gone,
-    /// The object, or the answer to a read, is too large; nothing was written.
+    /// The object, or the response to a read, is too large; nothing was written.
     #[display("more than {limit} bytes")]
     TooLarge {
         /// The limit, in bytes.
         limit: u64,
     },
-    /// Certainly not done.
+    /// The call certainly had no effect.
     #[display("not done: {why}")]
     NotDone {
-        /// What stood against it.
+        /// The reason.
         #[error(not(source))]
         why: Refusal,
-        /// When a retry may help, if that is known.
+        /// Delay before a retry, if known.
         after: Option<Millis>,
     },
-    /// Sent, with no whole answer: it may have taken effect or still may.
+    /// Sent without a complete response: it may have taken effect, or may later.
     #[display("it may have been done: {cause}")]
     Unknown {
         /// What went wrong, in words.
         cause: String,
     },
-    /// The answer to a read can't be read.
+    /// The response to a read can't be parsed.
     #[display("the platform's answer can't be read: {cause}")]
     Malformed {
-        /// What is wrong with it.
+        /// Error of the parser.
         cause: String,
     },
 }
 
-/// What stood against a call that was certainly not done.
+/// Why a call certainly had no effect.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Debug, Display)]
 pub enum Refusal {
-    /// The role's budget here is spent.
+    /// The role's budget is exhausted.
     #[display("the role's budget is spent")]
     Budget,
-    /// The platform looks down, and another call is finding out.
-    #[display("the platform looks down")]
+    /// The circuit breaker is open, or another call is probing the platform.
+    #[display("the platform is considered down")]
     Down,
-    /// No connection could be made in time.
+    /// No connection could be established in time.
     #[display("the platform can't be reached")]
     Unreachable,
     /// The platform answered 503.
@@ -76,7 +76,7 @@
     /// The platform answered 429.
     #[display("the platform's budget is spent")]
     Throttled,
-    /// The call is wrong and would be refused again.
+    /// The call is invalid and would be rejected again.
     #[display("the platform rejects the call with status {_0}")]
     Rejected(u16),
 }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The name that counters give it.
+    /// The ending under which it is counted.
     pub const fn ending(&self) -> Ending {
         match self {
             Self::Precondition { .. } => Ending::Precondition,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether the platform itself, or the way to it, failed.
+    /// Whether the platform, or the network to it, failed.
     pub(super) const fn is_outage(&self) -> bool {
         matches!(
             self.ending(),
--- a/crates/net/src/platform/exchange.rs
+++ b/crates/net/src/platform/exchange.rs
@@ -1,4 +1,4 @@
-//! One call: through the gate, over the connection, into the counters.
+//! Execution of one call: budget and circuit breaker, request, counters.
 
 use bytes::Bytes;
 use http::header::ETAG;
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::error::{Error, Refusal, Result};
-use super::gate::{Permit, Turn, Verdict};
+use super::gate::{Permit, Signal, Transition};
 use super::model::{MAX_OBJECT, Version};
 use super::role::{Ending, Kind, Role};
 use super::{Client, Shared};
@@ -18,10 +18,10 @@
 
 const ROLE_HEADER: HeaderName = HeaderName::from_static("x-caller-role");
 const VM_HEADER: HeaderName = HeaderName::from_static("x-caller-vm");
-/// Most bytes that an answer may have beside an object.
-const ANSWER_ROOM: u64 = 64 << 10;
+/// Bytes that a response may have beyond the largest object.
+const MAX_OVERHEAD: u64 = 64 << 10;
 
-/// What is asked.
+/// A call to the platform.
 pub(super) struct Call {
     pub(super) role: Role,
     pub(super) kind: Kind,
@@ -29,11 +29,11 @@
     pub(super) path: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Longest time for all of it, with the wait for the budget.
+    /// Timeout of the call, including the wait for the budget.
     pub(super) timeout: Millis,
 }
 
-/// What was answered.
+/// A response of the platform.
 pub(super) struct Reply {
     pub(super) status: StatusCode,
     pub(super) version: Option<Version>,
@@ -47,33 +47,33 @@
 }
 
 impl Client {
-    /// Makes a call and reads its answer with `read`.
+    /// Makes a call and converts its response with `read`.
     pub(super) async fn run<T>(
         &self,
         call: Call,
         read: impl FnOnce(Reply) -> Result<T>,
     ) -> Result<T> {
-        let mut record = Record::new(&self.shared, &call);
-        let result = self.exchange(&mut record, call).await.and_then(read);
-        record.end(result.as_ref().err());
+        let mut call_record = CallRecord::new(&self.shared, &call);
+        let result = self.exchange(&mut call_record, call).await.and_then(read);
+        call_record.end(result.as_ref().err());
         result
     }
 
-    async fn exchange(&self, record: &mut Record<'_>, call: Call) -> Result<Reply> {
+    async fn exchange(&self, call_record: &mut CallRecord<'_>, call: Call) -> Result<Reply> {
         let until = Instant::now() + call.timeout.as_duration();
-        self.pass(record, &call).await?;
+        self.acquire_permit(call_record, &call).await?;
         let shared = &*self.shared;
         let is_write = call.is_write();
         let role = call.role;
         let request = shared.request(call)?;
         let response = shared.send(request, until).await.map_err(from_transport)?;
         let (status, headers) = (response.status(), response.headers().clone());
-        refuse(status, &headers)?;
+        check_status(status, &headers)?;
         let body = timeout_at(until, read_body(response, until)).await;
         let body = body
             .unwrap_or(Err(transport::Error::Timeout { sent: true }))
             .map_err(from_transport);
-        // The status alone says what became of a write.
+        // The outcome of a write depends on the status alone.
         let body = if is_write {
             Ok(body.unwrap_or_default())
         } else {
@@ -87,23 +87,23 @@
         })
     }
 
-    /// Waits for the budget and passes the circuit.
-    async fn pass(&self, record: &mut Record<'_>, call: &Call) -> Result<()> {
+    /// Waits for the budget and obtains a permit from the circuit breaker.
+    async fn acquire_permit(&self, call_record: &mut CallRecord<'_>, call: &Call) -> Result<()> {
         let down = |after| Error::not_done(Refusal::Down, after);
         let wait = {
             let mut gate = self.shared.gate(call.role);
-            let closed = gate.closed_for(now());
-            if closed > Millis::ZERO {
-                return Err(down(closed));
+            let open_for = gate.open_for(now());
+            if open_for > Millis::ZERO {
+                return Err(down(open_for));
             }
-            gate.take(now(), call.timeout)
+            gate.reserve(now(), call.timeout)
                 .map_err(|after| Error::not_done(Refusal::Budget, after))?
         };
         if wait > Millis::ZERO {
             tokio::time::sleep(wait.as_duration()).await;
         }
         let permit = self.shared.gate(call.role).admit(now()).map_err(down)?;
-        record.permit = Some(permit);
+        call_record.permit = Some(permit);
         Ok(())
     }
 }
@@ -130,7 +130,7 @@
         Ok(request)
     }
 
-    /// Sends a request, again only if it certainly was not sent at first.
+    /// Sends a request; retries it only if it was certainly not sent.
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -150,12 +150,12 @@
 async fn read_body(response: http::Response<Incoming>, until: Instant) -> transport::Result<Bytes> {
     let gap = Millis::from(until - Instant::now());
     Body::new(response, until, gap)
-        .whole(MAX_OBJECT + ANSWER_ROOM)
+        .read_all(MAX_OBJECT + MAX_OVERHEAD)
         .await
 }
 
-/// Errors for the refusals that any call may meet.
-fn refuse(status: StatusCode, headers: &HeaderMap) -> Result<()> {
+/// Converts the error statuses that any call may receive.
+fn check_status(status: StatusCode, headers: &HeaderMap) -> Result<()> {
     let after = retry_after(headers);
     let not_done = |why| Err(Error::NotDone { why, after });
     match status {
@@ -189,17 +189,17 @@
     }
 }
 
-/// Counts a call once, also if its caller goes away.
-struct Record<'a> {
+/// Counts a call when dropped, so also if its caller abandons it.
+struct CallRecord<'a> {
     shared: &'a Shared,
     role: Role,
     kind: Kind,
     permit: Option<Permit>,
     ending: Ending,
-    verdict: Verdict,
+    signal: Signal,
 }
 
-impl<'a> Record<'a> {
+impl<'a> CallRecord<'a> {
     const fn new(shared: &'a Shared, call: &Call) -> Self {
         Self {
             shared,
@@ -207,48 +207,48 @@
             kind: call.kind,
             permit: None,
             ending: Ending::Dropped,
-            verdict: Verdict::Nothing,
+            signal: Signal::Nothing,
         }
     }
 
     fn end(mut self, error: Option<&Error>) {
         self.ending = error.map_or(Ending::Done, Error::ending);
-        self.verdict = verdict(error);
+        self.signal = signal(error);
     }
 }
 
-impl Drop for Record<'_> {
+impl Drop for CallRecord<'_> {
     fn drop(&mut self) {
         self.shared.counts.add(self.role, self.kind, self.ending);
         if let Some(permit) = self.permit {
             let mut gate = self.shared.gate(self.role);
-            let turn = gate.settle(now(), permit, self.verdict);
+            let transition = gate.record(now(), permit, self.signal);
             drop(gate);
-            report(self.role, turn);
+            log_transition(self.role, transition);
         }
     }
 }
 
-fn report(role: Role, turn: Option<Turn>) {
-    match turn {
-        Some(Turn::Down { wait }) => {
-            log::warn!(target: "platform", "platform: it looks down to {role}; next call in {wait}");
+fn log_transition(role: Role, transition: Option<Transition>) {
+    match transition {
+        Some(Transition::Down { wait }) => {
+            log::warn!(target: "platform", "platform: considered down for {role}; next call in {wait}");
         }
-        Some(Turn::Up) => log::info!(target: "platform", "platform: it is back for {role}"),
+        Some(Transition::Up) => log::info!(target: "platform", "platform: recovered for {role}"),
         None => {}
     }
 }
 
-fn verdict(error: Option<&Error>) -> Verdict {
+fn signal(error: Option<&Error>) -> Signal {
     match error {
         Some(Error::NotDone {
             why: Refusal::Throttled,
             after,
-        }) => Verdict::Throttled { after: *after },
+        }) => Signal::Throttled { after: *after },
         Some(Error::NotDone { after, .. }) if error.is_some_and(Error::is_outage) => {
-            Verdict::Failed { after: *after }
+            Signal::Failed { after: *after }
         }
-        Some(error) if error.is_outage() => Verdict::Failed { after: None },
-        _ => Verdict::Up,
+        Some(error) if error.is_outage() => Signal::Failed { after: None },
+        _ => Signal::Up,
     }
 }
--- a/crates/net/src/platform/follow.rs
+++ b/crates/net/src/platform/follow.rs
@@ -1,5 +1,5 @@
-//! Following the objects under a prefix: a list, then long polls, and a list
-//! again when the platform no longer holds the revision.
+//! Follows the objects under a prefix: lists them, then long-polls for changes, and
+//! lists them again when the platform no longer holds the revision.
 
 use derive_more::Debug;
 use medlarrill_core::clock::Millis;
@@ -12,27 +12,27 @@
 use super::role::Role;
 use crate::now::now;
 
-/// Pieces of news that wait for their reader; the follower then waits too.
-const WAITING: usize = 16;
+/// Events queued for the reader; the follower waits while the queue is full.
+const EVENT_QUEUE_LEN: usize = 16;
 
-/// What to follow, and how.
+/// Settings of a follower.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Follow {
-    /// Who spends the calls.
+    /// Role of the calls.
     pub role: Role,
-    /// Prefix of the keys.
+    /// Key prefix.
     pub prefix: String,
-    /// How long one poll may wait for a change.
+    /// Longest wait of one long poll.
     pub poll: Millis,
-    /// Longest time for each call beyond that wait.
+    /// Timeout of each call beyond that wait.
     pub timeout: Millis,
-    /// Keys in one page of a list.
+    /// Page size of the list, in keys.
     pub page: u32,
 }
 
 impl Follow {
-    /// Follows a prefix with the usual limits.
+    /// Settings for a prefix with the default limits.
     pub fn new(role: Role, prefix: impl Into<String>) -> Self {
         Self {
             role,
@@ -43,21 +43,21 @@
         }
     }
 
-    /// Sets how long one poll may wait for a change.
+    /// Sets the longest wait of one long poll.
     #[must_use]
     pub const fn with_poll(mut self, poll: Millis) -> Self {
         self.poll = poll;
         self
     }
 
-    /// Sets the longest time for each call beyond its wait.
+    /// Sets the timeout of each call beyond its wait.
     #[must_use]
     pub const fn with_timeout(mut self, timeout: Millis) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Sets the keys in one page of a list.
+    /// Sets the page size of the list, in keys.
     #[must_use]
     pub const fn with_page(mut self, page: u32) -> Self {
         self.page = page;
@@ -65,84 +65,84 @@
     }
 }
 
-/// News of the objects under a prefix.
+/// An update of the objects under a prefix.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
-pub enum Followed {
-    /// All objects there are; what is known and not listed is gone.
+pub enum FollowEvent {
+    /// All present objects; any other object that the reader knows was deleted.
     Listed {
-        /// The revision from which changes follow. Some of them may show in
-        /// the list already.
+        /// Later changes are reported from this revision on. Some of them may
+        /// be contained in the list already.
         revision: Revision,
         /// The objects, in key order.
         entries: Vec<Entry>,
     },
-    /// Changes since the news before.
+    /// Changes since the previous event.
     Changed {
-        /// The revision up to which they are told.
+        /// The revision up to which changes are reported.
         revision: Revision,
         /// The changes.
         changes: Vec<Change>,
     },
 }
 
-/// When the platform was last heard, on the monotonic clock of this process.
+/// Times of the last successful call, on the monotonic clock of this process.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Debug)]
-pub struct Heard {
-    /// When the last call that was answered was made; none before the first.
-    /// An answer may have waited unread while the process was paused.
-    pub asked: Option<Millis>,
-    /// When its answer was read; none before the first.
-    pub answered: Option<Millis>,
+pub struct LastContact {
+    /// When the last answered call was sent; `None` before the first. Older than
+    /// `received` if the response waited unread while the process was paused.
+    pub sent: Option<Millis>,
+    /// When its response was read; `None` before the first.
+    pub received: Option<Millis>,
 }
 
-impl Heard {
-    /// How old the news is; `Millis::MAX` before the first answer.
+impl LastContact {
+    /// Time since the last response; `Millis::MAX` before the first.
     pub fn age(&self, now: Millis) -> Millis {
-        self.answered.map_or(Millis::MAX, |at| now.since(at))
+        self.received.map_or(Millis::MAX, |at| now.since(at))
     }
 }
 
-/// Follows a prefix until dropped.
+/// Receives the events of a prefix; dropping it ends the background task.
 #[derive(Debug)]
 pub struct Follower {
     #[debug(skip)]
-    news: mpsc::Receiver<Followed>,
+    events: mpsc::Receiver<FollowEvent>,
     #[debug(skip)]
-    heard: watch::Receiver<Heard>,
+    last_contact: watch::Receiver<LastContact>,
     #[debug(skip)]
     _task: AbortOnDropHandle<()>,
 }
 
 impl Follower {
-    /// The next news; `None` only if the runtime stops. Can be dropped while
-    /// waiting without losing news.
-    pub async fn next(&mut self) -> Option<Followed> {
-        self.news.recv().await
+    /// The next event; `None` only if the runtime stops. Cancel safe: no event
+    /// is lost if the future is dropped.
+    pub async fn next(&mut self) -> Option<FollowEvent> {
+        self.events.recv().await
     }
 
-    /// When the platform was last heard, also if there was no news.
-    pub fn heard(&self) -> Heard {
-        *self.heard.borrow()
+    /// Times of the last successful call, also if it reported no change.
+    pub fn last_contact(&self) -> LastContact {
+        *self.last_contact.borrow()
     }
 }
 
 impl Client {
-    /// Starts to follow a prefix.
+    /// Starts a task that follows a prefix.
     pub fn follow(&self, follow: Follow) -> Follower {
-        let (news, receiver) = mpsc::channel(WAITING);
-        let (heard, hearing) = watch::channel(Heard::default());
+        let (events, event_receiver) = mpsc::channel(EVENT_QUEUE_LEN);
+        let (last_contact, contact_receiver) = watch::channel(LastContact::default());
         let task = Task {
             client: self.clone(),
             follow,
-            news,
-            heard,
-            tries: 0,
+            events,
+            last_contact,
+            failures: 0,
         };
         Follower {
-            news: receiver,
-            heard: hearing,
+            events: event_receiver,
+            last_contact: contact_receiver,
             _task: AbortOnDropHandle::new(tokio::spawn(task.run())),
         }
     }
@@ -151,16 +151,16 @@
 struct Task {
     client: Client,
     follow: Follow,
-    news: mpsc::Sender<Followed>,
-    heard: watch::Sender<Heard>,
-    /// Failures since the last poll that was answered.
-    tries: u32,
+    events: mpsc::Sender<FollowEvent>,
+    last_contact: watch::Sender<LastContact>,
+    /// Failed calls since the last successful poll.
+    failures: u32,
 }
 
 impl Task {
     async fn run(mut self) {
         let mut from = None;
-        while !self.news.is_closed() {
+        while !self.events.is_closed() {
             let step = match from {
                 None => self.list().await,
                 Some(revision) => self.poll(revision).await,
@@ -178,21 +178,21 @@
     }
 
     async fn back_off(&mut self, error: &Error) {
-        self.tries = self.tries.saturating_add(1);
+        self.failures = self.failures.saturating_add(1);
         let role = self.follow.role;
         log::debug!(target: "platform", "platform: following `{}`: {error}", self.follow.prefix);
-        let wait = self.client.wait(role, self.tries, error);
+        let wait = self.client.wait(role, self.failures, error);
         tokio::time::sleep(wait.as_duration()).await;
     }
 
-    /// Lists everything; changes made meanwhile are told after the list.
+    /// Lists all objects; changes made meanwhile are reported after the list.
     async fn list(&self) -> Result<Revision> {
         let follow = &self.follow;
         let mut entries: Vec<Entry> = Vec::new();
         let mut first = None;
         loop {
             let after = entries.last().map_or("", |entry| entry.key.as_str());
-            let asked = now();
+            let sent = now();
             let page = self
                 .client
                 .list(
@@ -203,12 +203,13 @@
                     follow.timeout,
                 )
                 .await?;
-            self.hear(asked);
+            self.record_contact(sent);
             let revision = *first.get_or_insert(page.revision);
             let more = page.more && !page.entries.is_empty();
             entries.extend(page.entries);
             if !more {
-                self.tell(Followed::Listed { revision, entries }).await;
+                self.send_event(FollowEvent::Listed { revision, entries })
+                    .await;
                 return Ok(revision);
             }
         }
@@ -216,39 +217,41 @@
 
     async fn poll(&mut self, after: Revision) -> Result<Revision> {
         let follow = &self.follow;
-        // After a failure, an answer at once shows that the platform is back.
-        let poll = if self.tries == 0 {
+        // After a failure, poll without waiting: a prompt response shows that the
+        // platform has recovered.
+        let poll = if self.failures == 0 {
             follow.poll
         } else {
             Millis::ZERO
         };
-        let asked = now();
-        let news = self
+        let sent = now();
+        let update = self
             .client
             .watch(follow.role, &follow.prefix, after, poll, follow.timeout)
             .await?;
-        if news.revision < after {
+        if update.revision < after {
             // The platform was restored to an earlier state.
             return Err(Error::Gone);
         }
-        self.hear(asked);
-        self.tries = 0;
-        if !news.changes.is_empty() {
-            let (revision, changes) = (news.revision, news.changes);
-            self.tell(Followed::Changed { revision, changes }).await;
+        self.record_contact(sent);
+        self.failures = 0;
+        if !update.changes.is_empty() {
+            let (revision, changes) = (update.revision, update.changes);
+            self.send_event(FollowEvent::Changed { revision, changes })
+                .await;
         }
-        Ok(news.revision)
+        Ok(update.revision)
     }
 
-    fn hear(&self, asked: Millis) {
-        self.heard.send_replace(Heard {
-            asked: Some(asked),
-            answered: Some(now()),
+    fn record_contact(&self, sent: Millis) {
+        self.last_contact.send_replace(LastContact {
+            sent: Some(sent),
+            received: Some(now()),
         });
     }
 
-    async fn tell(&self, news: Followed) {
-        // A reader that has gone away ends the loop at its next turn.
-        let _ = self.news.send(news).await;
+    async fn send_event(&self, event: FollowEvent) {
+        // If the reader was dropped, `run` ends at its next iteration.
+        let _ = self.events.send(event).await;
     }
 }
--- a/crates/net/src/platform/gate.rs
+++ b/crates/net/src/platform/gate.rs
@@ -1,6 +1,6 @@
-//! Whether a role may call the platform now: its budget and its circuit.
+//! Rate budget and circuit breaker of one role.
 //!
-//! No input or output: the time is passed in.
+//! Performs no I/O; the time is passed in.
 
 use derive_more::Debug;
 use medlarrill_core::clock::Millis;
@@ -10,97 +10,97 @@
 use super::backoff::Backoff;
 use super::role::Budget;
 
-/// Failures in a row after which the platform looks down.
-const FAILURES: u32 = 3;
-/// Lowest rate told from none, in calls a second.
-const SLOWEST: f64 = 1e-6;
-/// Longest wait that an answer's `Retry-After` may ask for.
-const MAX_AFTER: Millis = Millis::from_secs(60);
+/// Consecutive failures after which the circuit opens.
+const FAILURE_THRESHOLD: u32 = 3;
+/// Lower bound of non-zero rates, in calls per second.
+const MIN_RATE: f64 = 1e-6;
+/// Longest `Retry-After` that is honoured; longer ones are cut to it.
+const MAX_RETRY_AFTER: Millis = Millis::from_secs(60);
 
-/// Calls a second, spaced by their due times.
+/// Rate limiter that schedules calls by their due times (GCRA).
 #[derive(Debug)]
 struct Bucket {
-    /// Time that one call takes up, in milliseconds.
+    /// Interval between calls at the even rate, in milliseconds.
     interval: f64,
-    /// How far the due time may run behind, in milliseconds.
-    slack: f64,
-    /// When the next call is due at an even rate.
+    /// How much before its due time a call may go, in milliseconds.
+    burst_time: f64,
+    /// Due time of the next call at the even rate, in milliseconds.
     due: f64,
 }
 
 impl Bucket {
     fn new(budget: Budget) -> Self {
         let rate = budget.rate.0;
-        let interval = 1000.0 / rate.max(SLOWEST);
+        let interval = 1000.0 / rate.max(MIN_RATE);
         Self {
             interval,
-            slack: interval * f64::from(budget.burst.saturating_sub(1)),
+            burst_time: interval * f64::from(budget.burst.saturating_sub(1)),
             due: if rate > 0.0 { 0.0 } else { f64::INFINITY },
         }
     }
 
-    /// Takes a call and returns how long to wait for it, or refuses and
-    /// returns how long that would be.
-    fn take(&mut self, now: Millis, patience: Millis) -> Result<Millis, Millis> {
+    /// Reserves a call and returns the delay before it. Fails with that delay if
+    /// it exceeds `max_wait`; then nothing is reserved.
+    fn reserve(&mut self, now: Millis, max_wait: Millis) -> Result<Millis, Millis> {
         let now = now.0 as f64;
         let due = self.due.max(now);
-        let wait = Millis((due - self.slack - now).max(0.0).ceil() as u64);
-        if wait > patience {
+        let wait = Millis((due - self.burst_time - now).max(0.0).ceil() as u64);
+        if wait > max_wait {
             return Err(wait);
         }
         self.due = due + self.interval;
         Ok(wait)
     }
 
-    /// Lets one call go at `until`, and the others after it at an even rate.
-    fn hold(&mut self, until: Millis) {
-        self.due = self.due.max(until.0 as f64 + self.slack);
+    /// Delays the next call to `until`; later ones follow at the even rate.
+    fn delay_until(&mut self, until: Millis) {
+        self.due = self.due.max(until.0 as f64 + self.burst_time);
     }
 }
 
 #[derive(Debug)]
 enum Circuit {
-    /// Calls pass.
+    /// Calls are allowed.
     Up { failures: u32 },
-    /// No call passes before `until`; then one does.
-    Down { until: Millis, tries: u32 },
-    /// One call is finding out.
-    Probing { tries: u32 },
+    /// No call is allowed before `until`, and then a single probe.
+    Down { until: Millis, openings: u32 },
+    /// One call is probing the platform.
+    Probing { openings: u32 },
 }
 
-/// A call that may go.
+/// Permission for one call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub(super) struct Permit {
-    /// Whether it finds out if the platform is back.
+    /// Whether the call is a probe.
     probe: bool,
 }
 
-/// What a call says of the platform.
+/// What the result of a call shows about the platform.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-pub(super) enum Verdict {
-    /// It answers.
+pub(super) enum Signal {
+    /// It responds.
     Up,
-    /// It answers, and asks to be spared.
+    /// It responds and asks for fewer calls.
     Throttled { after: Option<Millis> },
-    /// It failed, or asks to be spared as it is failing.
+    /// The call failed; `after` is the `Retry-After`, if given.
     Failed { after: Option<Millis> },
-    /// Nothing.
+    /// Nothing, as the call was abandoned.
     Nothing,
 }
 
-/// A change of how the platform looks to a role.
+/// A state change of the circuit.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
-pub(super) enum Turn {
-    /// It looks down; no call goes for this long.
+pub(super) enum Transition {
+    /// The circuit opened; no call is allowed for `wait`.
     Down { wait: Millis },
-    /// It is back.
+    /// The platform has recovered.
     Up,
 }
 
-/// The budget and the circuit of one role.
+/// Rate limiter and circuit breaker of one role.
 #[derive(Debug)]
 pub(super) struct Gate {
     bucket: Bucket,
@@ -120,14 +120,14 @@
         }
     }
 
-    /// Takes a call from the budget and returns how long to wait for it, or
-    /// returns how long that would be if that is over `patience`.
-    pub(super) fn take(&mut self, now: Millis, patience: Millis) -> Result<Millis, Millis> {
-        self.bucket.take(now, patience)
+    /// Reserves a call in the budget and returns the delay before it. Fails with
+    /// that delay if it exceeds `max_wait`.
+    pub(super) fn reserve(&mut self, now: Millis, max_wait: Millis) -> Result<Millis, Millis> {
+        self.bucket.reserve(now, max_wait)
     }
 
-    /// How long until the circuit lets a call pass; zero if it does now.
-    pub(super) fn closed_for(&self, now: Millis) -> Millis {
+    /// How long the circuit stays open; zero if a call is allowed now.
+    pub(super) fn open_for(&self, now: Millis) -> Millis {
         match self.circuit {
             Circuit::Up { .. } => Millis::ZERO,
             Circuit::Down { until, .. } => until.since(now),
@@ -135,80 +135,92 @@
         }
     }
 
-    /// Lets a call pass, or returns how long the circuit stays closed.
+    /// Permits a call, or fails with the time that the circuit stays open.
     pub(super) fn admit(&mut self, now: Millis) -> Result<Permit, Millis> {
-        let wait = self.closed_for(now);
+        let wait = self.open_for(now);
         if wait > Millis::ZERO {
             return Err(wait);
         }
-        let Circuit::Down { tries, .. } = self.circuit else {
+        let Circuit::Down { openings, .. } = self.circuit else {
             return Ok(Permit { probe: false });
         };
-        self.circuit = Circuit::Probing { tries };
+        self.circuit = Circuit::Probing { openings };
         Ok(Permit { probe: true })
     }
 
-    /// Whether the platform looks down.
-    pub(super) const fn looks_down(&self) -> bool {
+    /// Whether the platform is considered down.
+    pub(super) const fn is_down(&self) -> bool {
         !matches!(self.circuit, Circuit::Up { .. })
     }
 
-    /// Takes in what a call that passed says of the platform, and returns how
-    /// that changes its looks.
-    pub(super) fn settle(&mut self, now: Millis, permit: Permit, verdict: Verdict) -> Option<Turn> {
-        match verdict {
-            Verdict::Up => self.rise(),
-            Verdict::Throttled { after } => {
+    /// Records the result of a permitted call; returns the state change, if any.
+    pub(super) fn record(
+        &mut self,
+        now: Millis,
+        permit: Permit,
+        signal: Signal,
+    ) -> Option<Transition> {
+        match signal {
+            Signal::Up => self.close(),
+            Signal::Throttled { after } => {
                 let wait = self.wait(1, after);
-                self.bucket.hold(now + wait);
-                self.rise()
+                self.bucket.delay_until(now + wait);
+                self.close()
             }
-            Verdict::Failed { after } => self.fail(now, permit, after),
-            Verdict::Nothing => {
-                self.release(now, permit);
+            Signal::Failed { after } => self.record_failure(now, permit, after),
+            Signal::Nothing => {
+                self.return_probe(now, permit);
                 None
             }
         }
     }
 
-    /// A random wait for a retry after `tries` failures, at least `after`.
-    pub(super) fn wait(&mut self, tries: u32, after: Option<Millis>) -> Millis {
-        let jitter = self.backoff.wait(tries, &mut self.rng);
-        // Added to, not replaced: all callers are told the same time.
-        after.unwrap_or_default().min(MAX_AFTER) + jitter
+    /// Random delay before a retry after a number of failures, at least `after`.
+    pub(super) fn wait(&mut self, failures: u32, after: Option<Millis>) -> Millis {
+        let jitter = self.backoff.wait(failures, &mut self.rng);
+        // The jitter is added because all callers receive the same `Retry-After`.
+        after.unwrap_or_default().min(MAX_RETRY_AFTER) + jitter
     }
 
-    fn rise(&mut self) -> Option<Turn> {
-        let was_down = self.looks_down();
+    fn close(&mut self) -> Option<Transition> {
+        let was_down = self.is_down();
         self.circuit = Circuit::Up { failures: 0 };
-        was_down.then_some(Turn::Up)
+        was_down.then_some(Transition::Up)
     }
 
-    fn fail(&mut self, now: Millis, permit: Permit, after: Option<Millis>) -> Option<Turn> {
-        let tries = match &mut self.circuit {
+    fn record_failure(
+        &mut self,
+        now: Millis,
+        permit: Permit,
+        after: Option<Millis>,
+    ) -> Option<Transition> {
+        let openings = match &mut self.circuit {
             Circuit::Up { failures } => {
                 *failures += 1;
-                if *failures < FAILURES && after.is_none() {
+                if *failures < FAILURE_THRESHOLD && after.is_none() {
                     return None;
                 }
                 1
             }
-            Circuit::Probing { tries } if permit.probe => tries.saturating_add(1),
-            // Calls that were under way when it went down say nothing new.
+            Circuit::Probing { openings } if permit.probe => openings.saturating_add(1),
+            // The results of calls sent before the circuit opened are ignored.
             Circuit::Down { .. } | Circuit::Probing { .. } => return None,
         };
-        let wait = self.wait(tries, after);
+        let wait = self.wait(openings, after);
         let until = now + wait;
-        self.circuit = Circuit::Down { until, tries };
-        (tries == 1).then_some(Turn::Down { wait })
+        self.circuit = Circuit::Down { until, openings };
+        (openings == 1).then_some(Transition::Down { wait })
     }
 
-    /// Gives the probe to the next call if this one had it.
-    fn release(&mut self, now: Millis, permit: Permit) {
-        if let Circuit::Probing { tries } = self.circuit
+    /// Lets the next call probe if this one was an abandoned probe.
+    fn return_probe(&mut self, now: Millis, permit: Permit) {
+        if let Circuit::Probing { openings } = self.circuit
             && permit.probe
         {
-            self.circuit = Circuit::Down { until: now, tries };
+            self.circuit = Circuit::Down {
+                until: now,
+                openings,
+            };
         }
     }
 }
--- a/crates/net/src/platform/model.rs
+++ b/crates/net/src/platform/model.rs
@@ -1,4 +1,4 @@
-//! What the platform holds and lists.
+//! Objects of the platform and its list of VMs.
 
 use std::net::SocketAddr;
 
@@ -17,43 +17,43 @@
 #[serde(transparent)]
 pub struct Version(pub u64);
 
-/// A number that every change raises.
+/// Revision of the store, raised by every change.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Debug, Display, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// An object as it was read.
+/// An object with its version.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct Object {
     /// Its version.
     pub version: Version,
-    /// Its bytes.
+    /// Its content.
     #[debug("{} bytes", value.len())]
     pub value: Bytes,
 }
 
-/// The answer to a read of one object.
+/// Result of reading one object.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub enum Read {
     /// The object.
     Object(Object),
-    /// It still has the version that the caller knows.
+    /// The object still has the version that the caller knows.
     NotModified,
 }
 
-/// One page of keys.
+/// One page of a list.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Deserialize)]
 pub struct Listing {
-    /// The revision as of which it holds.
+    /// The revision at which the page was read.
     pub revision: Revision,
     /// Objects in key order.
     #[serde(rename = "objects")]
     pub entries: Vec<Entry>,
-    /// Whether further pages follow the last key.
+    /// Whether there are keys after the last one.
     #[serde(default)]
     pub more: bool,
 }
@@ -75,9 +75,9 @@
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug, Deserialize)]
 pub struct Changes {
-    /// The revision up to which they are told.
+    /// The revision up to which changes are reported.
     pub revision: Revision,
-    /// The changes; none if the wait passed without one.
+    /// The changes; empty if none happened during the wait.
     #[serde(rename = "events")]
     pub changes: Vec<Change>,
 }
@@ -95,15 +95,15 @@
     pub deleted: bool,
 }
 
-/// The lagging list of VMs.
+/// The list of VMs, which may lag behind.
 #[derive(Clone, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct VmList {
-    /// When it was true, by the platform's wall clock.
+    /// Time of the list, by the platform's wall clock.
     pub as_of: Millis,
-    /// The VMs that could be read.
+    /// The VMs that could be parsed.
     pub vms: Vec<Vm>,
-    /// What could not be read, each with its place in the list.
+    /// Errors of items that could not be parsed, each with its index in the list.
     pub findings: Vec<String>,
 }
 
@@ -119,7 +119,7 @@
     pub data_centre: DataCentreId,
     /// Its region.
     pub region: RegionId,
-    /// Where its daemon takes peer links, or its endpoint requests.
+    /// Address for peer links if it runs a daemon, for requests if an endpoint.
     pub address: SocketAddr,
     /// Whether it is leaving.
     pub state: VmState,
@@ -134,7 +134,7 @@
     Router,
     /// An endpoint.
     Endpoint,
-    /// A word not known here.
+    /// A value not known to this version.
     #[serde(other)]
     Unknown,
 }
@@ -144,11 +144,11 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It runs.
+    /// It is running.
     Live,
     /// It will stop soon.
     Leaving,
-    /// A word not known here.
+    /// A value not known to this version.
     #[serde(other)]
     Unknown,
 }
@@ -161,7 +161,7 @@
 }
 
 impl VmList {
-    /// Reads a list, keeping what can be read of it.
+    /// Parses a list; items that can't be parsed become findings.
     pub(super) fn parse(body: &[u8]) -> serde_json::Result<Self> {
         let raw: RawList = serde_json::from_slice(body)?;
         let mut list = Self {
--- a/crates/net/src/platform/retry.rs
+++ b/crates/net/src/platform/retry.rs
@@ -1,4 +1,4 @@
-//! Retries that back off and end.
+//! Retries with backoff and a deadline.
 
 use medlarrill_core::clock::Millis;
 
@@ -7,16 +7,16 @@
 use super::role::{Ending, Role};
 use crate::now::now;
 
-/// Which failures are tried again.
+/// Which failures are retried.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Repeat {
-    /// Only calls that were certainly not done: for writes.
+pub enum RetryOn {
+    /// Only calls that certainly had no effect: for writes.
     NotDone,
-    /// Also calls that may have been done: for reads.
+    /// Also calls that may have taken effect: for reads.
     Any,
 }
 
-impl Repeat {
+impl RetryOn {
     const fn covers(self, error: &Error) -> bool {
         match error.ending() {
             Ending::Budget
@@ -31,28 +31,27 @@
 }
 
 impl Client {
-    /// Makes a call until it ends in another way than `repeat` covers, or the
-    /// next try would come after `until` on the monotonic clock of this
-    /// process.
+    /// Retries a call while it fails in a way that `retry_on` covers and the next
+    /// attempt would start by `until`, on the monotonic clock of this process.
     ///
     /// # Errors
     ///
-    /// That of the last try.
+    /// The error of the last attempt.
     pub async fn retry<T>(
         &self,
         role: Role,
         until: Millis,
-        repeat: Repeat,
+        retry_on: RetryOn,
         mut call: impl AsyncFnMut() -> Result<T>,
     ) -> Result<T> {
-        let mut tries = 0;
+        let mut failures = 0;
         loop {
             let error = match call().await {
-                Err(error) if repeat.covers(&error) => error,
+                Err(error) if retry_on.covers(&error) => error,
                 result => return result,
             };
-            tries += 1;
-            let wait = self.wait(role, tries, &error);
+            failures += 1;
+            let wait = self.wait(role, failures, &error);
             if now() + wait > until {
                 return Err(error);
             }
@@ -60,17 +59,17 @@
         }
     }
 
-    /// A random wait before the next try, no shorter than the error asks for.
-    pub fn wait(&self, role: Role, tries: u32, error: &Error) -> Millis {
-        let (tries, after) = match error {
-            // The circuit and the budget have set the time; only spread it.
+    /// Random delay before the next attempt, at least what the error asks for.
+    pub fn wait(&self, role: Role, failures: u32, error: &Error) -> Millis {
+        let (failures, after) = match error {
+            // The circuit or the budget has set the delay; add only jitter.
             Error::NotDone {
                 why: Refusal::Down | Refusal::Budget,
                 after,
             } => (1, *after),
-            Error::NotDone { after, .. } => (tries, *after),
-            _ => (tries, None),
+            Error::NotDone { after, .. } => (failures, *after),
+            _ => (failures, None),
         };
-        self.shared.gate(role).wait(tries, after)
+        self.shared.gate(role).wait(failures, after)
     }
 }
--- a/crates/net/src/platform/role.rs
+++ b/crates/net/src/platform/role.rs
@@ -1,16 +1,16 @@
-//! Who spends the platform's calls, on what, and how they end.
+//! Roles, kinds and outcomes of calls to the platform.
 
 use derive_more::{Debug, Display};
 use medlarrill_core::units::Rate;
 
-/// What a daemon spends a call for.
+/// Purpose of a call; each has its own rate budget.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 pub enum Role {
     /// Reading and changing the configuration.
     #[display("config")]
     Config,
-    /// Claims of non-idempotent requests.
+    /// Claiming non-idempotent requests.
     #[display("claims")]
     Claims,
     /// Watching for changes.
@@ -22,7 +22,7 @@
     /// Orders to engines.
     #[display("orders")]
     Orders,
-    /// Tickets of a daemon that stops.
+    /// Tickets of a stopping daemon.
     #[display("tickets")]
     Tickets,
 }
@@ -38,7 +38,7 @@
         Self::Tickets,
     ];
 
-    /// The budget unless set: what one daemon may spend in this role.
+    /// Default budget of one daemon in this role.
     pub const fn default_budget(self) -> Budget {
         let (rate, burst) = match self {
             Self::Claims => (8.0, 8),
@@ -55,13 +55,13 @@
     }
 }
 
-/// Calls that one role may spend.
+/// Rate limit of one role.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(Debug)]
 pub struct Budget {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: Rate,
-    /// Calls at once after a pause, at least one.
+    /// Burst size, in calls; at least one.
     pub burst: u32,
 }
 
@@ -109,28 +109,28 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug, Display)]
 pub enum Ending {
-    /// It did what was asked.
+    /// It succeeded.
     #[display("done")]
     Done,
     /// Its condition did not hold.
     #[display("precondition")]
     Precondition,
-    /// The object is not there.
+    /// The object does not exist.
     #[display("not-found")]
     NotFound,
-    /// The revision asked for is no longer held.
+    /// The platform no longer holds the revision.
     #[display("gone")]
     Gone,
-    /// The object or the answer is too large.
+    /// The object or the response is too large.
     #[display("too-large")]
     TooLarge,
-    /// The role's budget here is spent; not sent.
+    /// The role's budget is exhausted; not sent.
     #[display("budget")]
     Budget,
-    /// The platform looks down; not sent.
+    /// The circuit breaker is open; not sent.
     #[display("down")]
     Down,
-    /// No connection could be made in time.
+    /// No connection could be established in time.
     #[display("unreachable")]
     Unreachable,
     /// The platform answered 503.
@@ -139,16 +139,16 @@
     /// The platform answered 429.
     #[display("throttled")]
     Throttled,
-    /// The platform refused the call as wrong.
+    /// The platform rejected the call as invalid.
     #[display("rejected")]
     Rejected,
-    /// It was sent and no whole answer came.
+    /// It was sent and no complete response arrived.
     #[display("unknown")]
     Unknown,
-    /// The answer can't be read.
+    /// The response can't be parsed.
     #[display("malformed")]
     Malformed,
-    /// The caller went away first.
+    /// The caller abandoned it.
     #[display("dropped")]
     Dropped,
 }
--- a/crates/net/tests/endpoint.rs
+++ b/crates/net/tests/endpoint.rs
@@ -100,7 +100,7 @@
         other.write_all(answer).await.unwrap();
     });
     let body = client.send(address, get()).await.unwrap().body;
-    expect_that!(body.whole(10).await, ok(eq(&Bytes::from_static(b"ok"))));
+    expect_that!(body.read_all(10).await, ok(eq(&Bytes::from_static(b"ok"))));
     let error = client.send(address, get()).await.unwrap_err();
     expect_that!(error.outcome(), eq(Outcome::Unknown));
     let fresh = Request::new(Method::GET, "/fresh").with_reuse(Reuse::Fresh);
@@ -257,7 +257,7 @@
         };
         let read = async {
             let answer = client.send(peer.address, get()).await.unwrap();
-            answer.body.whole(100).await
+            answer.body.read_all(100).await
         };
         let (whole, ()) = tokio::join!(read, serve);
         expect_that!(whole, err(matches_pattern!(Error::Lost { .. })), "{head}");
@@ -273,7 +273,7 @@
     let client = client();
     let read = async {
         let answer = client.send(peer.address, get()).await.unwrap();
-        answer.body.whole(1500).await
+        answer.body.read_all(1500).await
     };
     let (whole, ()) = tokio::join!(read, serve_once(&peer, &answer));
     expect_that!(whole, err(eq(&Error::TooLarge { limit: 1500 })));
--- a/crates/net/tests/link_hostile.rs
+++ b/crates/net/tests/link_hostile.rs
@@ -167,7 +167,10 @@
         }
     };
     timeout(GUARD, heard).await.unwrap();
-    expect_that!(scene.node.links.counts().received()["unknown"].messages, eq(2));
+    expect_that!(
+        scene.node.links.counts().received()["unknown"].messages,
+        eq(2)
+    );
     expect_that!(scene.malformed(), eq(0));
     scene.expect_unharmed().await;
 }
--- a/crates/net/tests/platform.rs
+++ b/crates/net/tests/platform.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_net::now::now;
 use medlarrill_net::platform::{
-    Backoff, Client, Ending, Error, MAX_OBJECT, Object, Read, Refusal, Repeat, Role,
+    Backoff, Client, Ending, Error, MAX_OBJECT, Object, Read, Refusal, RetryOn, Role,
 };
 use medlarrill_testkit::http::Outage;
 use medlarrill_testkit::platform::Faults;
@@ -171,7 +171,7 @@
     expect_that!(tried(&client), eq(first + 5));
     expect_that!(reached(&platform), le(first + 5));
     platform.set_faults(Faults::default());
-    let found = client.retry(ROLE, until, Repeat::Any, async || get(&client, LONG).await);
+    let found = client.retry(ROLE, until, RetryOn::Any, async || get(&client, LONG).await);
     expect_that!(found.await, err(eq(&Error::NotFound)));
 }
 
@@ -184,8 +184,8 @@
     let (first, second, ()) = tokio::join!(get(&client, LONG), get(&client, LONG), serve);
     expect_that!(first.unwrap_err().ending(), eq(Ending::Unavailable));
     expect_that!(second.unwrap_err().ending(), eq(Ending::Down));
-    expect_that!(client.looks_down(ROLE), eq(true));
-    expect_that!(client.looks_down(Role::Vms), eq(false));
+    expect_that!(client.is_down(ROLE), eq(true));
+    expect_that!(client.is_down(Role::Vms), eq(false));
 }
 
 #[gtest]
@@ -223,7 +223,7 @@
     }
     platform.set_faults(Faults::default());
     let until = now() + LONG;
-    let found = client.retry(ROLE, until, Repeat::Any, async || get(&client, LONG).await);
+    let found = client.retry(ROLE, until, RetryOn::Any, async || get(&client, LONG).await);
     expect_that!(found.await, err(eq(&Error::NotFound)));
     expect_that!(client.snapshot().ended(ROLE, Ending::Dropped), ge(1));
 }
@@ -306,7 +306,7 @@
     });
     let until = now() + LONG;
     let create = async || client.create(ROLE, "a", text("1"), LONG).await;
-    let result = client.retry(ROLE, until, Repeat::NotDone, create).await;
+    let result = client.retry(ROLE, until, RetryOn::NotDone, create).await;
     expect_that!(result, err(matches_pattern!(Error::Unknown { .. })));
     expect_that!(reached(&platform), eq(1));
 }
--- a/crates/net/tests/platform_follow.rs
+++ b/crates/net/tests/platform_follow.rs
@@ -5,7 +5,7 @@
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
-use medlarrill_net::platform::{Follow, Followed, Follower, Revision, Role, Version};
+use medlarrill_net::platform::{Follow, FollowEvent, Follower, Revision, Role, Version};
 use medlarrill_testkit::http::Outage;
 use medlarrill_testkit::platform::Faults;
 
@@ -16,15 +16,15 @@
 /// A wait that a hanging platform never meets.
 const SHORT: Millis = Millis(100);
 
-async fn next(follower: &mut Follower) -> Followed {
+async fn next(follower: &mut Follower) -> FollowEvent {
     let news = tokio::time::timeout(LONG.as_duration(), follower.next());
     news.await.unwrap().unwrap()
 }
 
-fn listed(news: &Followed) -> Vec<&str> {
+fn listed(news: &FollowEvent) -> Vec<&str> {
     match news {
-        Followed::Listed { entries, .. } => entries.iter().map(|e| e.key.as_str()).collect(),
-        Followed::Changed { .. } => panic!("{news:?}"),
+        FollowEvent::Listed { entries, .. } => entries.iter().map(|e| e.key.as_str()).collect(),
+        FollowEvent::Changed { .. } => panic!("{news:?}"),
     }
 }
 
@@ -45,20 +45,20 @@
         elements_are![eq(&"p/1"), eq(&"p/2"), eq(&"p/3")]
     );
     platform.set_faults(outage(Outage::Cut));
-    let heard = follower.heard();
+    let last_contact = follower.last_contact();
     platform.put("q", "y");
     let version = Version(platform.put("p/2", "y"));
     platform.set_faults(Faults::default());
     match next(&mut follower).await {
-        Followed::Changed { changes, revision } => {
+        FollowEvent::Changed { changes, revision } => {
             expect_that!(changes.len(), eq(1));
             expect_that!(changes[0].version, eq(version));
             expect_that!(revision, ge(Revision(version.0)));
         }
         news => panic!("{news:?}"),
     }
-    expect_that!(follower.heard().asked, ge(heard.asked));
-    expect_that!(follower.heard().answered, gt(None));
+    expect_that!(follower.last_contact().sent, ge(last_contact.sent));
+    expect_that!(follower.last_contact().received, gt(None));
 }
 
 #[gtest]
