--- a/crates/client/src/args.rs
+++ b/crates/client/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
@@ -8,10 +8,10 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{ChangeId, Generation};
 
-/// Server unless one is named.
+/// Default server.
 const DEFAULT_SERVER: &str = "http://127.0.0.1:7100";
 
-/// Exit codes, for `--help`.
+/// Exit codes, shown by `--help`.
 const EXIT_CODES: &str = "Exit codes:
   0  everything was done
   1  something was refused or in conflict; that change was not made
@@ -20,97 +20,97 @@
   4  the change may have been accepted: ask again with --change
   5  accepted, but with --wait some daemon doesn't have it yet";
 
-/// Asks a router fleet what is true, and changes it.
+/// Queries and changes a router fleet.
 #[derive(Debug)]
 #[derive(Parser)]
 #[command(name = "medlarrill", version, after_help = EXIT_CODES)]
 pub(crate) struct Args {
-    /// Daemon to ask; the next one is tried if it can't be reached.
+    /// Daemon to call; if it can't be reached, the next one is tried.
     #[arg(long = "server", value_name = "URL", env = "MEDLARRILL_SERVER", value_delimiter = ',', default_value = DEFAULT_SERVER, global = true)]
     pub(crate) servers: Vec<Uri>,
-    /// File with the operator's key; else the variable MEDLARRILL_KEY holds it.
+    /// File with the operator's key; by default it is read from the variable MEDLARRILL_KEY.
     #[arg(long, value_name = "FILE", global = true)]
     pub(crate) key_file: Option<PathBuf>,
-    /// How to print answers.
+    /// Output format.
     #[arg(long, value_name = "FORM", default_value = "text", global = true)]
     pub(crate) output: Output,
-    /// Wait until every live daemon has the change.
+    /// Wait until every live daemon has applied the change.
     #[arg(long, global = true)]
     pub(crate) wait: bool,
-    /// How long to try in all.
+    /// Overall time limit, including retries.
     #[arg(long, value_name = "TIME", default_value = "10s", global = true)]
     pub(crate) timeout: Millis,
-    /// Generation that you have seen: what changed since is a conflict.
+    /// Generation that you have seen; later changes of the same item are a conflict.
     #[arg(long, value_name = "GENERATION", global = true)]
     pub(crate) base: Option<Generation>,
-    /// Ask again for a change whose outcome was unknown; within ten minutes.
+    /// Retry a change whose outcome was unknown; possible for ten minutes.
     #[arg(long, value_name = "ID", global = true)]
     pub(crate) change: Option<ChangeId>,
-    /// What to do.
+    /// Subcommand.
     #[command(subcommand)]
     pub(crate) verb: Verb,
 }
 
-/// How answers are printed.
+/// Output formats.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 #[derive(ValueEnum)]
 pub(crate) enum Output {
-    /// Tables and sentences.
+    /// Tables and messages.
     Text,
-    /// The daemon's answer.
+    /// The daemon's response as JSON.
     Json,
 }
 
-/// What to do.
+/// Subcommands.
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub(crate) enum Verb {
-    /// Send statements, parted by `;` or lines.
+    /// Send statements, separated by `;` or line breaks.
     Run {
-        /// The statements; from standard input if there are none.
+        /// The statements; read from standard input if none are given.
         statements: Vec<String>,
         /// File with statements.
         #[arg(long, short, value_name = "FILE", conflicts_with = "statements")]
         file: Option<PathBuf>,
     },
-    /// Ask what is true now, such as `show endpoints of chat`.
+    /// Query the current state, such as `show endpoints of chat`.
     Show(Words),
-    /// Make an institution, account, pool, endpoint or rule.
+    /// Create an institution, account, pool, endpoint or rule.
     Create(Words),
-    /// Change terms of one.
+    /// Change settings of an institution, account, pool, endpoint or rule.
     Alter(Words),
-    /// Remove one.
+    /// Remove an institution, account, pool, endpoint or rule.
     Drop(Words),
-    /// Let an endpoint finish and give it no new work.
+    /// Stop sending new work to an endpoint and let it finish its requests.
     Drain(Words),
-    /// Give a drained endpoint work again.
+    /// Send work to a drained endpoint again.
     Undrain(Words),
-    /// Tell an engine what to serve, such as `order engine e1 load-model m2`.
+    /// Change what an engine serves, such as `order engine e1 load-model m2`.
     Order(Words),
-    /// Show daemons and the generations they have.
+    /// Show daemons and their configuration generations.
     Status,
     /// Read a key from standard input and print its hash.
     KeyHash,
-    /// Print a script that completes this command line in a shell.
+    /// Print a completion script for a shell.
     Completions {
         /// The shell.
         shell: Shell,
     },
-    /// Check a file of statements without asking any daemon.
+    /// Check a file of statements without contacting a daemon.
     Check {
         /// The file; `-` is standard input.
         file: PathBuf,
-        /// File that `medlarrill show config` has printed; else nothing exists yet.
+        /// Configuration to check against, as printed by `medlarrill show config`; empty by default.
         #[arg(long, value_name = "FILE")]
         against: Option<PathBuf>,
     },
 }
 
-/// The rest of a statement.
+/// The words of a statement after its verb.
 #[derive(Debug)]
 #[derive(clap::Args)]
 pub(crate) struct Words {
-    /// The words of the statement.
+    /// Words of the statement.
     #[arg(required = true)]
     pub(crate) words: Vec<String>,
 }
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one daemon after the other until one answers.
+//! Sends a request to the daemons in turn until one gives a definite answer.
 
 use std::time::{Duration, Instant};
 
@@ -19,41 +19,41 @@
 use crate::args::Args;
 use crate::{Error, Result, script};
 
-/// Environment variable with the operator's key.
+/// Environment variable that holds the operator's key.
 const KEY_VARIABLE: &str = "MEDLARRILL_KEY";
-/// Longest time to connect.
+/// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an answer may be late after the daemon's own time.
-const GRACE: Duration = Duration::from_secs(2);
-/// Pause after all daemons have been tried.
-const PAUSE: Duration = Duration::from_millis(300);
-/// Longest time to try, within which a change can be repeated.
+/// Time allowed for a response beyond the daemon's own timeout.
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
+/// Delay after each round over all daemons.
+const ROUND_DELAY: Duration = Duration::from_millis(300);
+/// Largest `--timeout`; short enough that a change can still be retried.
 const MAX_TIMEOUT: Millis = Millis::from_secs(300);
-/// Largest answer, in bytes.
+/// Largest response, in bytes.
 const MAX_ANSWER: usize = 64 << 20;
 
-/// A text on its way to the fleet.
+/// A request to the fleet.
 pub(crate) struct Call {
     servers: Vec<Uri>,
     bearer: HeaderValue,
     request: Request,
-    /// Whether it may change anything.
+    /// Whether the statements may change anything.
     changes: bool,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// How one try ended.
-enum Try {
+/// Result of one attempt.
+enum Attempt {
     Answered(Answer),
-    /// The daemon doesn't take it, and no other would.
+    /// The daemon rejected it, as any other would.
     Rejected(String),
     /// It was not sent.
-    Unsent(String),
-    /// It was sent; what became of it isn't known.
+    NotSent(String),
+    /// It was sent; its outcome is unknown.
     Lost(String),
 }
 
-/// What a daemon says with an error status.
+/// Body of a response with an error status.
 #[derive(Default)]
 #[derive(Deserialize)]
 #[serde(default)]
@@ -65,18 +65,19 @@
 }
 
 impl Call {
-    /// A call of a text as the command line asks for it.
+    /// A call of a text as the command line is_query for it.
     pub(crate) fn new(args: &Args, text: &str) -> Result<Self> {
         if args.timeout > MAX_TIMEOUT {
             let message = format!("--timeout is at most {}", MAX_TIMEOUT.0 / 1000);
             return Err(Error::Usage(format!("{message}s")));
         }
-        let servers = args.servers.iter().map(endpoint);
+        let servers = args.servers.iter().map(operator_uri);
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let mut client = Client::builder(TokioExecutor::new());
-        // Only this module decides what is sent again, for it counts as a repeat.
+        // The client library must not retry: only this module marks retries with
+        // `repeat`.
         client.retry_canceled_requests(false);
         client.pool_max_idle_per_host(0);
         Ok(Self {
@@ -95,17 +96,17 @@
         })
     }
 
-    /// What names the change.
+    /// Identifier of the change.
     pub(crate) const fn change(&self) -> ChangeId {
         self.request.change
     }
 
-    /// Sends it until a daemon has said what became of it, or time is up.
+    /// Sends the request until a daemon reports its outcome or the time is up.
     pub(crate) async fn send(&self) -> Result<Answer> {
         let end = Instant::now() + self.request.timeout.as_duration();
         let mut repeat = self.request.repeat;
         let mut sent = false;
-        let mut unsettled = None;
+        let mut unknown_answer = None;
         let mut reasons = Vec::new();
         for index in 0.. {
             if index > 0 && Instant::now() >= end {
@@ -113,33 +114,34 @@
             }
             let server = &self.servers[index % self.servers.len()];
             match self.attempt(server, repeat, end).await {
-                Try::Rejected(reason) if !sent => return Err(Error::Refused(reason)),
-                Try::Answered(answer) if !is_unknown(&answer) => {
-                    return Ok(self.settle(answer, repeat));
+                Attempt::Rejected(reason) if !sent => return Err(Error::Refused(reason)),
+                Attempt::Answered(answer) if !is_unknown(&answer) => {
+                    return Ok(self.mark_unknown(answer, repeat));
                 }
-                Try::Answered(answer) => {
-                    unsettled = Some(answer);
+                Attempt::Answered(answer) => {
+                    unknown_answer = Some(answer);
                     (sent, repeat) = (true, true);
                 }
-                Try::Lost(reason) | Try::Rejected(reason) => {
+                Attempt::Lost(reason) | Attempt::Rejected(reason) => {
                     reasons.push(format!("{server}: {reason}"));
                     (sent, repeat) = (true, true);
                 }
-                Try::Unsent(reason) => reasons.push(format!("{server}: {reason}")),
+                Attempt::NotSent(reason) => reasons.push(format!("{server}: {reason}")),
             }
             if (index + 1) % self.servers.len() == 0 {
                 let left = end.saturating_duration_since(Instant::now());
-                tokio::time::sleep(left.min(PAUSE)).await;
+                tokio::time::sleep(left.min(ROUND_DELAY)).await;
             }
         }
-        match unsettled {
+        match unknown_answer {
             Some(answer) => Ok(answer),
             None => Err(self.failure(sent, reasons)),
         }
     }
 
-    /// Nothing that was sent before may be reported as surely not done.
-    fn settle(&self, mut answer: Answer, repeat: bool) -> Answer {
+    /// Reports `unavailable` as `unknown` for a change that was sent before: the
+    /// earlier attempt may have taken effect.
+    fn mark_unknown(&self, mut answer: Answer, repeat: bool) -> Answer {
         for result in &mut answer.results {
             if repeat && self.changes && result.verdict == Verdict::Unavailable {
                 result.verdict = Verdict::Unknown;
@@ -161,7 +163,7 @@
         Error::Unreachable(reasons)
     }
 
-    async fn attempt(&self, server: &Uri, repeat: bool, end: Instant) -> Try {
+    async fn attempt(&self, server: &Uri, repeat: bool, end: Instant) -> Attempt {
         let left = end.saturating_duration_since(Instant::now());
         let request = Request {
             repeat,
@@ -169,16 +171,16 @@
             ..self.request.clone()
         };
         let exchange = self.exchange(server, &request);
-        match tokio::time::timeout(left + GRACE, exchange).await {
+        match tokio::time::timeout(left + ANSWER_GRACE, exchange).await {
             Ok(tried) => tried,
-            Err(_) => Try::Lost("no answer in time".into()),
+            Err(_) => Attempt::Lost("no answer in time".into()),
         }
     }
 
-    async fn exchange(&self, server: &Uri, request: &Request) -> Try {
+    async fn exchange(&self, server: &Uri, request: &Request) -> Attempt {
         let body = match serde_json::to_vec(request) {
             Ok(body) => Full::from(body),
-            Err(error) => return Try::Unsent(error.to_string()),
+            Err(error) => return Attempt::NotSent(error.to_string()),
         };
         let built = hyper::Request::builder()
             .method(Method::POST)
@@ -188,12 +190,12 @@
             .body(body);
         let request = match built {
             Ok(request) => request,
-            Err(error) => return Try::Unsent(error.to_string()),
+            Err(error) => return Attempt::NotSent(error.to_string()),
         };
         let response = match self.client.request(request).await {
             Ok(response) => response,
-            Err(error) if error.is_connect() => return Try::Unsent(chain(&error)),
-            Err(error) => return Try::Lost(chain(&error)),
+            Err(error) if error.is_connect() => return Attempt::NotSent(error_chain(&error)),
+            Err(error) => return Attempt::Lost(error_chain(&error)),
         };
         let status = response.status();
         match Limited::new(response.into_body(), MAX_ANSWER)
@@ -201,27 +203,27 @@
             .await
         {
             Ok(body) => read(status, &body.to_bytes()),
-            Err(error) => Try::Lost(format!("the answer was cut short: {error}")),
+            Err(error) => Attempt::Lost(format!("the answer was cut short: {error}")),
         }
     }
 }
 
-fn read(status: StatusCode, body: &[u8]) -> Try {
+fn read(status: StatusCode, body: &[u8]) -> Attempt {
     if status == StatusCode::OK {
         return match serde_json::from_slice(body) {
-            Ok(answer) => Try::Answered(answer),
-            Err(error) => Try::Lost(format!("the answer can't be read: {error}")),
+            Ok(answer) => Attempt::Answered(answer),
+            Err(error) => Attempt::Lost(format!("the answer can't be read: {error}")),
         };
     }
     let problem: Problem = serde_json::from_slice(body).unwrap_or_default();
     let reason = format!("{status}. {} {}", problem.title, problem.detail);
     let reason = reason.trim_end().to_owned();
     if status.is_client_error() {
-        return Try::Rejected(reason);
+        return Attempt::Rejected(reason);
     }
     match problem.ran == Outcome::NotRun.to_string() {
-        true => Try::Unsent(reason),
-        false => Try::Lost(reason),
+        true => Attempt::NotSent(reason),
+        false => Attempt::Lost(reason),
     }
 }
 
@@ -230,16 +232,18 @@
     answer.results.iter().any(|r| unknown(r.verdict))
 }
 
-/// Whether a text may change anything; one that can't be read here may.
+/// Whether a text may change anything; one that can't be parsed here may.
 fn may_change(text: &str) -> bool {
     let Ok(sentences) = parse(text) else {
         return true;
     };
-    let asks = |statement: &Statement| matches!(statement, Statement::Show(_));
-    !sentences.iter().all(|sentence| asks(&sentence.statement))
+    let is_query = |statement: &Statement| matches!(statement, Statement::Show(_));
+    !sentences
+        .iter()
+        .all(|sentence| is_query(&sentence.statement))
 }
 
-fn endpoint(server: &Uri) -> Result<Uri> {
+fn operator_uri(server: &Uri) -> Result<Uri> {
     let usage = || Error::Usage(format!("`{server}` is no server: write http://host:port"));
     let authority = server.authority().ok_or_else(usage)?;
     if server.scheme_str().is_some_and(|scheme| scheme != "http") {
@@ -270,8 +274,8 @@
     Ok(value)
 }
 
-/// An error with its causes.
-fn chain(error: &dyn std::error::Error) -> String {
+/// An error and its chain of causes in one line.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/client/src/check.rs
+++ b/crates/client/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks statements without a daemon.
+//! Offline check of statements.
 
 use std::io::Write;
 
@@ -11,13 +11,13 @@
 use crate::render::write_findings;
 use crate::{Error, Result};
 
-/// Checks a text against what an export says, and prints all findings.
-pub(crate) fn check(text: &str, before: Option<&str>, err: &mut impl Write) -> Result<Exit> {
-    let config = match before {
-        Some(before) => read(before)?,
+/// Checks a text against an exported configuration and prints all findings.
+pub(crate) fn check(text: &str, export: Option<&str>, err: &mut impl Write) -> Result<Exit> {
+    let config = match export {
+        Some(export) => parse_export(export)?,
         None => Config::default(),
     };
-    let findings = match run(&config, text) {
+    let findings = match apply_text(&config, text) {
         Ok(_) => return Ok(Exit::Done),
         Err(findings) => findings,
     };
@@ -25,15 +25,15 @@
     Ok(Exit::Refused)
 }
 
-fn read(text: &str) -> Result<Config> {
-    run(&Config::default(), text).map_err(|findings| {
+fn parse_export(text: &str) -> Result<Config> {
+    apply_text(&Config::default(), text).map_err(|findings| {
         let first = findings.first().map(Finding::to_string);
         let first = first.unwrap_or_default();
         Error::Usage(format!("the export is wrong: {first}"))
     })
 }
 
-fn run(config: &Config, text: &str) -> std::result::Result<Config, Vec<Finding>> {
+fn apply_text(config: &Config, text: &str) -> std::result::Result<Config, Vec<Finding>> {
     let sentences = parse(text).map_err(|errors| {
         let results = answer::unreadable(text, &errors).into_iter();
         results
--- a/crates/client/src/exit.rs
+++ b/crates/client/src/exit.rs
@@ -1,10 +1,10 @@
-//! Exit codes.
+//! Exit codes of the client.
 
 use std::process::ExitCode;
 
 use medlarrill_core::operator::answer::{Answer, Verdict};
 
-/// How a run of the client ended.
+/// Exit code of the client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Exit {
     /// Everything was done.
@@ -15,14 +15,14 @@
     Usage = 2,
     /// No daemon, or the platform, could be reached; nothing was changed.
     Unreachable = 3,
-    /// The change may have been accepted, or may be yet.
+    /// The change may have been accepted, or may be accepted later.
     Unknown = 4,
-    /// The change is accepted, and some daemon doesn't have it yet.
+    /// The change is accepted, but some daemon hasn't applied it yet.
     Lagging = 5,
 }
 
 impl Exit {
-    /// The code of an answer; what is worst to overlook comes first.
+    /// The exit code for an answer: that of its most serious verdict.
     pub fn of(answer: &Answer, waited: bool) -> Self {
         let has = |wanted| answer.results.iter().any(|r| r.verdict == wanted);
         if has(Verdict::Unknown) {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' client: sends statements to any daemon of the fleet.
+//! Command-line client for operators: sends statements to any daemon of the fleet.
 //!
-//! A change is named by an identifier that the client draws, so that it can be
-//! sent again, to the same daemon or another, and still takes effect once.
+//! The client gives each change a random identifier, so that the change can be
+//! retried at the same daemon or another and still takes effect only once.
 
 mod args;
 mod call;
@@ -23,14 +23,14 @@
 
 pub use exit::Exit;
 
-/// Result of one step of the client.
+/// Result with the client's error.
 type Result<T> = std::result::Result<T, Error>;
 
-/// Why the client can't go on.
+/// Why the client failed.
 #[derive(Debug)]
 #[derive(Display, Error, From)]
 enum Error {
-    /// The command line asks for something impossible.
+    /// The command line or an input is invalid.
     #[display("{_0}")]
     #[from(ignore)]
     Usage(#[error(not(source))] String),
@@ -38,11 +38,11 @@
     #[display("no daemon could be reached: {_0}")]
     #[from(ignore)]
     Unreachable(#[error(not(source))] String),
-    /// A daemon answered that it doesn't take the request.
+    /// A daemon rejected the request.
     #[display("{_0}")]
     #[from(ignore)]
     Refused(#[error(not(source))] String),
-    /// The request was sent, and no daemon said what became of it.
+    /// The request was sent, but no daemon reported its outcome.
     #[display("{_0}")]
     #[from(ignore)]
     Unknown(#[error(not(source))] String),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Runs the client with a command line, the program's name first.
+/// Runs the client. The first argument is the name of the program.
 pub async fn run(
     args: impl IntoIterator<Item = OsString>,
     out: &mut impl Write,
@@ -70,20 +70,20 @@
 ) -> Exit {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
-        Err(error) => return help(&error, out, err),
+        Err(error) => return print_help(&error, out, err),
     };
-    match obey(&args, out, err).await {
+    match execute(&args, out, err).await {
         Ok(exit) => exit,
         Err(error) => {
-            // Where nothing can be written, the exit code alone must do.
+            // If standard error can't be written either, only the exit code is left.
             let _ = writeln!(err, "medlarrill: {error}");
             error.exit()
         }
     }
 }
 
-/// Prints help asked for, or what is wrong with the command line.
-fn help(error: &clap::Error, out: &mut impl Write, err: &mut impl Write) -> Exit {
+/// Prints the help text or the error of the command line.
+fn print_help(error: &clap::Error, out: &mut impl Write, err: &mut impl Write) -> Exit {
     let text = error.render();
     let (written, exit) = match error.use_stderr() {
         true => (write!(err, "{text}"), Exit::Usage),
@@ -92,7 +92,7 @@
     written.map_or(Exit::Usage, |()| exit)
 }
 
-async fn obey(args: &Args, out: &mut impl Write, err: &mut impl Write) -> Result<Exit> {
+async fn execute(args: &Args, out: &mut impl Write, err: &mut impl Write) -> Result<Exit> {
     match &args.verb {
         Verb::KeyHash => {
             let key = script::read_key()?;
@@ -106,8 +106,8 @@
         }
         Verb::Check { file, against } => {
             let text = script::read(file)?;
-            let before = against.as_deref().map(script::read).transpose()?;
-            check::check(&text, before.as_deref(), err)
+            let export = against.as_deref().map(script::read).transpose()?;
+            check::check(&text, export.as_deref(), err)
         }
         verb => {
             let text = script::text(verb)?;
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client; see the library of the same name.
+//! Command-line client for operators; see the library of the same name.
 
 use std::process::ExitCode;
 
--- a/crates/client/src/render.rs
+++ b/crates/client/src/render.rs
@@ -1,4 +1,4 @@
-//! Answers as text and as JSON.
+//! Output of answers as text and as JSON.
 
 use std::io::Write;
 
@@ -10,12 +10,12 @@
 
 use crate::{Error, Result};
 
-/// An answer with the change that it is about.
+/// An answer with the identifier of its change.
 #[derive(Serialize)]
 pub(crate) struct Report<'a> {
-    /// What names the change.
+    /// Identifier of the change.
     pub(crate) change: ChangeId,
-    /// What the daemon said.
+    /// The daemon's answer.
     #[serde(flatten)]
     pub(crate) answer: &'a Answer,
 }
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// Prints what was asked for, and what went wrong apart from it.
+    /// Prints results to `out`, and failures and hints to `err`.
     pub(crate) fn text(
         &self,
         text: &str,
@@ -37,8 +37,8 @@
     ) -> Result<()> {
         for result in &self.answer.results {
             match result.verdict {
-                Verdict::Accepted | Verdict::Done => good(result, out)?,
-                _ => bad(result, text, err)?,
+                Verdict::Accepted | Verdict::Done => print_success(result, out)?,
+                _ => print_failure(result, text, err)?,
             }
         }
         let unknown = |result: &StatementResult| result.verdict == Verdict::Unknown;
@@ -59,7 +59,7 @@
     }
 }
 
-fn good(result: &StatementResult, out: &mut impl Write) -> Result<()> {
+fn print_success(result: &StatementResult, out: &mut impl Write) -> Result<()> {
     if let Some(table) = &result.table {
         return write_table(table, out);
     }
@@ -74,12 +74,12 @@
     Ok(())
 }
 
-fn bad(result: &StatementResult, text: &str, err: &mut impl Write) -> Result<()> {
+fn print_failure(result: &StatementResult, text: &str, err: &mut impl Write) -> Result<()> {
     writeln!(err, "{}: {}", result.verdict, result.statement.trim())?;
     write_findings(&result.findings, text, err)
 }
 
-/// Prints findings, each with the line that it points at.
+/// Prints findings, each with its line of the text.
 pub(crate) fn write_findings(findings: &[Finding], text: &str, err: &mut impl Write) -> Result<()> {
     for finding in findings {
         writeln!(err, "  {finding}")?;
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// The line that a span begins in, and carets below the span.
+/// The line in which a span starts, and carets below the span.
 fn pointer(text: &str, span: Span) -> Option<[String; 2]> {
     let (before, rest) = text.split_at_checked(span.start)?;
     let start = before.rfind('\n').map_or(0, |index| index + 1);
@@ -105,7 +105,7 @@
     Some([line.trim_end().into(), format!("{:indent$}{carets}", "")])
 }
 
-/// Prints a table; one column alone is printed as lines.
+/// Prints a table; a single column is printed without a header.
 fn write_table(table: &Table, out: &mut impl Write) -> Result<()> {
     if table.columns.len() == 1 {
         for cell in table.rows.iter().flatten() {
@@ -113,15 +113,15 @@
         }
         return Ok(());
     }
-    let mut shown = comfy_table::Table::new();
-    shown.load_style(presets::NOTHING);
-    shown.set_content_arrangement(ContentArrangement::Disabled);
-    shown.set_header(&table.columns);
-    shown.add_rows(&table.rows);
-    for column in shown.column_iter_mut() {
+    let mut output = comfy_table::Table::new();
+    output.load_style(presets::NOTHING);
+    output.set_content_arrangement(ContentArrangement::Disabled);
+    output.set_header(&table.columns);
+    output.add_rows(&table.rows);
+    for column in output.column_iter_mut() {
         column.set_padding((0, 2));
     }
-    for line in shown.lines() {
+    for line in output.lines() {
         writeln!(out, "{}", line.trim_end())?;
     }
     Ok(())
--- a/crates/client/src/script.rs
+++ b/crates/client/src/script.rs
@@ -1,4 +1,4 @@
-//! Where the statements come from.
+//! Input: statements and keys from arguments, files and standard input.
 
 use std::io::Read;
 use std::path::Path;
@@ -8,12 +8,12 @@
 use crate::args::{Verb, Words};
 use crate::{Error, Result};
 
-/// What `status` asks.
+/// Statements of the verb `status`.
 const STATUS: &str = "show daemons; show generations";
-/// Name of standard input in place of a file.
+/// File name that stands for standard input.
 const STDIN: &str = "-";
 
-/// The text that a verb stands for.
+/// The statements to send for a verb.
 pub(crate) fn text(verb: &Verb) -> Result<String> {
     Ok(match verb {
         Verb::Run {
@@ -33,7 +33,7 @@
     })
 }
 
-/// Joins words; what the shell has taken the quotes off is quoted again.
+/// Joins words into a statement and restores quotes that the shell removed.
 fn statement(verb: &str, words: &Words) -> String {
     let words = words.words.iter().map(|word| {
         if word.contains(|c: char| c.is_whitespace() || "\"\\;#".contains(c)) {
@@ -62,7 +62,7 @@
     trim_key(key)
 }
 
-/// Takes line ends off a key; they are not part of it.
+/// Removes line breaks at the end of a key.
 pub(crate) fn trim_key(mut key: Vec<u8>) -> Result<Vec<u8>> {
     while key.pop_if(|last| b"\r\n".contains(last)).is_some() {}
     if key.is_empty() {
