--- a/crates/client/src/args.rs
+++ b/crates/client/src/args.rs
@@ -40,7 +40,7 @@
     /// Overall time limit, including retries.
     #[arg(long, value_name = "TIME", default_value = "10s", global = true)]
     pub(crate) timeout: Millis,
-    /// Generation that you have seen; later changes of the same item are a conflict.
+    /// Generation that you have seen; changes made since then are a conflict.
     #[arg(long, value_name = "GENERATION", global = true)]
     pub(crate) base: Option<Generation>,
     /// Retry a change whose outcome was unknown; possible for ten minutes.
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -65,7 +65,7 @@
 }
 
 impl Call {
-    /// A call of a text as the command line is_query for it.
+    /// Builds the call of a text with the options of the command line.
     pub(crate) fn new(args: &Args, text: &str) -> Result<Self> {
         if args.timeout > MAX_TIMEOUT {
             let message = format!("--timeout is at most {}", MAX_TIMEOUT.0 / 1000);
--- a/crates/client/src/exit.rs
+++ b/crates/client/src/exit.rs
@@ -22,7 +22,7 @@
 }
 
 impl Exit {
-    /// The exit code for an answer: that of its most serious verdict.
+    /// The exit code for an answer: that of the verdict that is worst to overlook.
     pub fn of(answer: &Answer, waited: bool) -> Self {
         let has = |wanted| answer.results.iter().any(|r| r.verdict == wanted);
         if has(Verdict::Unknown) {
--- a/crates/client/tests/client/stub.rs
+++ b/crates/client/tests/client/stub.rs
@@ -1,4 +1,4 @@
-//! A daemon's stand-in that answers from a list and remembers what it was asked.
+//! A stub daemon that sends prepared replies and records the requests.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -14,18 +14,18 @@
 use serde_json::Value;
 use tokio::runtime::Runtime;
 
-/// What the stub does with one request.
+/// Reaction to one request.
 #[derive(Clone)]
 pub enum Reply {
-    /// Answers with a status and a body.
+    /// Sends a status and a body.
     Status(u16, Value),
-    /// Closes the connection after it has read the request.
+    /// Closes the connection after reading the request.
     Cut,
 }
 
-/// A request as it came.
+/// A received request.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ReceivedRequest {
     pub path: String,
     pub bearer: String,
     pub body: Value,
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct State {
     replies: VecDeque<Reply>,
-    asked: Vec<Asked>,
+    received: Vec<ReceivedRequest>,
 }
 
 pub struct Stub {
@@ -44,7 +44,7 @@
 }
 
 impl Stub {
-    /// Gives the replies in their order, and cuts what comes after.
+    /// Sends the replies in order; then closes connections without a reply.
     pub fn new(replies: impl IntoIterator<Item = Reply>) -> Self {
         let runtime = Runtime::new().unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -52,7 +52,7 @@
         let address = listener.local_addr().unwrap();
         let state = State {
             replies: replies.into_iter().collect(),
-            asked: Vec::new(),
+            received: Vec::new(),
         };
         let state = Arc::new(Mutex::new(state));
         let shared = state.clone();
@@ -77,8 +77,8 @@
         format!("http://{}", self.address)
     }
 
-    pub fn asked(&self) -> Vec<Asked> {
-        self.state.lock().unwrap().asked.clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.state.lock().unwrap().received.clone()
     }
 }
 
@@ -91,7 +91,7 @@
     let bearer = head.headers["authorization"].to_str().unwrap().into();
     let reply = {
         let mut state = state.lock().unwrap();
-        state.asked.push(Asked {
+        state.received.push(ReceivedRequest {
             path: head.uri.path().into(),
             bearer,
             body: serde_json::from_slice(&body).unwrap(),
--- a/crates/net/tests/endpoint.rs
+++ b/crates/net/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints whose connections fail at set points.
+//! Calls to endpoints whose connections fail at defined points.
 
 #[path = "support/peer.rs"]
 mod peer;
@@ -21,13 +21,13 @@
 
 use peer::{Peer, read_head};
 
-/// A guard against a test that never ends.
-const LONG: Millis = Millis::from_secs(20);
-/// A wait that the other side never meets.
-const SHORT: Millis = Millis(50);
+/// Timeout that is never reached unless a test hangs.
+const GUARD_TIMEOUT: Millis = Millis::from_secs(20);
+/// Timeout that the peer always exceeds.
+const SHORT_TIMEOUT: Millis = Millis(50);
 
 fn get() -> Request {
-    Request::new(Method::GET, "/v1/load").with_timeouts(LONG, LONG)
+    Request::new(Method::GET, "/v1/load").with_timeouts(GUARD_TIMEOUT, GUARD_TIMEOUT)
 }
 
 fn client() -> Client {
@@ -69,11 +69,11 @@
 async fn silence_after_the_request_is_a_sent_timeout() {
     let peer = Peer::start().await;
     let client = client();
-    let request = get().with_timeouts(SHORT, SHORT);
+    let request = get().with_timeouts(SHORT_TIMEOUT, SHORT_TIMEOUT);
     let hold = async {
         let mut stream = peer.accept().await;
         read_head(&mut stream).await;
-        // The end of the stream shows that the client closed it.
+        // The end of the stream shows that the client closed the connection.
         stream.read(&mut [0]).await.unwrap_or(0)
     };
     let (answer, left) = tokio::join!(client.send(peer.address, request), hold);
@@ -83,7 +83,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn kept_connection_closed_in_use_loses_one_request_and_sends_no_second() {
+async fn pooled_connection_closed_in_use_loses_one_request_without_a_retry() {
     let peer = Peer::start().await;
     let client = client();
     let (heads, mut seen) = mpsc::channel(4);
@@ -118,7 +118,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn events_come_whole_from_any_chunking_and_a_cut_is_an_error() {
+async fn events_survive_any_chunking_and_a_cut_is_an_error() {
     let peer = Peer::start().await;
     let client = client();
     let text = ": hello\n\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\ndata: c\r\n\r\n";
@@ -130,7 +130,7 @@
             let piece = chunk(&text[at..=at]);
             stream.write_all(piece.as_bytes()).await.unwrap();
         }
-        // Neither the last chunk nor a whole event follows.
+        // Neither the last chunk nor a complete event follows.
         stream.write_all(b"5\r\nid:").await.unwrap();
     };
     let read = async {
@@ -158,7 +158,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn event_that_is_written_out_reads_the_same() {
+async fn encoded_event_reads_back_unchanged() {
     let event = Event {
         id: Some("7".into()),
         name: Some("note".into()),
@@ -176,24 +176,25 @@
     expect_that!(read, some(ok(eq(&event))));
 }
 
-/// Serves `answer` to the first request, then waits for the client to hang up.
+/// Serves `answer` to the first request, then waits until the client closes the
+/// connection.
 async fn serve_once(peer: &Peer, answer: &str) {
     let mut stream = peer.accept().await;
     read_head(&mut stream).await;
     stream.write_all(answer.as_bytes()).await.unwrap();
-    let hung_up = async { while stream.read(&mut [0; 64]).await.is_ok_and(|n| n > 0) {} };
-    let guard = tokio::time::timeout(LONG.as_duration(), hung_up);
+    let closed = async { while stream.read(&mut [0; 64]).await.is_ok_and(|n| n > 0) {} };
+    let guard = tokio::time::timeout(GUARD_TIMEOUT.as_duration(), closed);
     expect_that!(guard.await, ok(anything()));
 }
 
 #[gtest]
 #[tokio::test]
-async fn gap_in_an_answer_is_a_timeout_that_hangs_up() {
+async fn gap_in_a_response_times_out_and_closes_the_connection() {
     let peer = Peer::start().await;
     let client = client();
     let answer = format!("{CHUNKED}{}", chunk("a"));
     let read = async {
-        let request = get().with_timeouts(LONG, SHORT);
+        let request = get().with_timeouts(GUARD_TIMEOUT, SHORT_TIMEOUT);
         let mut body = client.send(peer.address, request).await.unwrap().body;
         let first = body.next().await;
         (first, body.next().await, body.next().await)
@@ -206,11 +207,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn first_piece_that_never_comes_is_a_timeout_that_hangs_up() {
+async fn missing_first_chunk_times_out_and_closes_the_connection() {
     let peer = Peer::start().await;
     let client = client();
     let read = async {
-        let request = get().with_timeouts(SHORT, SHORT);
+        let request = get().with_timeouts(SHORT_TIMEOUT, SHORT_TIMEOUT);
         let mut body = client.send(peer.address, request).await.unwrap().body;
         body.next().await
     };
@@ -220,7 +221,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn dropped_body_hangs_up_pooled_or_fresh() {
+async fn dropped_body_closes_a_pooled_or_fresh_connection() {
     for reuse in [Reuse::Pooled, Reuse::Fresh] {
         let peer = Peer::start().await;
         let client = client();
@@ -236,7 +237,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn answer_that_is_cut_or_has_no_marked_end_is_lost() {
+async fn response_that_is_cut_or_has_no_marked_end_is_lost() {
     for head in [
         "Content-Length: 10\r\n",
         "Transfer-Encoding: chunked\r\n",
@@ -266,7 +267,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn answer_or_event_over_the_limit_ends_the_reading() {
+async fn response_or_event_over_the_limit_is_an_error() {
     let piece = "x".repeat(1 << 10);
     let answer = format!("{CHUNKED}{}{}", chunk(&piece), chunk(&piece));
     let peer = Peer::start().await;
@@ -290,19 +291,19 @@
 
 #[gtest]
 #[tokio::test]
-async fn reader_that_waits_holds_the_sender_back() {
-    const WHOLE: usize = 64 << 20;
+async fn waiting_reader_applies_backpressure() {
+    const BODY_LEN: usize = 64 << 20;
     let peer = Peer::start().await;
     let client = client();
     let (read, ready) = oneshot::channel();
     let serve = async {
         let mut stream = peer.accept().await;
         read_head(&mut stream).await;
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {WHOLE}\r\n\r\n");
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_LEN}\r\n\r\n");
         stream.write_all(head.as_bytes()).await.unwrap();
-        let body = vec![0; WHOLE];
+        let body = vec![0; BODY_LEN];
         let mut write = pin!(stream.write_all(&body));
-        // What fits between the two is far less than the whole.
+        // The buffers between the two hold far less than the body.
         let early = tokio::time::timeout(Duration::from_millis(300), &mut write).await;
         read.send(()).unwrap();
         write.await.unwrap();
@@ -317,12 +318,12 @@
     };
     let (early, taken) = tokio::join!(serve, take);
     expect_that!(early, eq(false));
-    expect_that!(taken, eq(WHOLE as u64));
+    expect_that!(taken, eq(BODY_LEN as u64));
 }
 
 #[gtest]
 #[tokio::test]
-async fn headers_of_one_connection_do_not_travel() {
+async fn hop_by_hop_headers_are_not_forwarded() {
     let peer = Peer::start().await;
     let client = client();
     let serve = async {
@@ -354,7 +355,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn service_that_loses_answers_or_refuses() {
+async fn service_that_loses_responses_or_refuses() {
     let service = Service::start(ANY_PORT).await.unwrap();
     let address = service.address();
     let client = client();
@@ -375,9 +376,9 @@
         leaving: true,
         ..Faults::default()
     });
-    let health = client.health(address, LONG).await.unwrap();
+    let health = client.health(address, GUARD_TIMEOUT).await.unwrap();
     expect_that!(health.state, eq(State::Leaving));
-    let load = client.load(address, LONG).await.unwrap();
+    let load = client.load(address, GUARD_TIMEOUT).await.unwrap();
     expect_that!(load.state, eq(State::Leaving));
     expect_that!(load.cache, none());
 }
--- a/crates/net/tests/endpoint_engine.rs
+++ b/crates/net/tests/endpoint_engine.rs
@@ -1,4 +1,4 @@
-//! Calls to a model engine that breaks streams, refuses, hangs and fences.
+//! Calls to a model engine that breaks off streams, refuses, hangs and fences orders.
 
 use std::net::SocketAddr;
 
@@ -18,10 +18,10 @@
 use medlarrill_testkit::{ANY_PORT, Engine};
 use serde_json::{Value, json};
 
-/// A guard against a test that never ends.
-const LONG: Millis = Millis::from_secs(20);
-/// A wait that a hanging engine never meets.
-const SHORT: Millis = Millis(100);
+/// Timeout that is never reached unless a test hangs.
+const GUARD_TIMEOUT: Millis = Millis::from_secs(20);
+/// Timeout that a hanging engine always exceeds.
+const SHORT_TIMEOUT: Millis = Millis(100);
 const PROMPT: &str = "from the depot to the coast in two days";
 const MAX_EVENT: usize = 64 << 10;
 
@@ -30,7 +30,7 @@
     (engine, Client::new(&Limits::default()))
 }
 
-fn quick() -> Settings {
+fn fast_settings() -> Settings {
     Settings {
         step: Millis(1),
         grace: Millis(20),
@@ -47,15 +47,15 @@
     let mut request = Request::new(Method::POST, "/v1/chat/completions")
         .with_body(body.to_string().into())
         .with_reuse(Reuse::Fresh)
-        .with_timeouts(LONG, LONG);
+        .with_timeouts(GUARD_TIMEOUT, GUARD_TIMEOUT);
     let name = name.parse().unwrap();
     request.headers.insert("x-request-id", name);
     request
 }
 
-/// What was read of a stream.
+/// What was received of a stream.
 #[derive(Default)]
-struct Seen {
+struct Received {
     text: String,
     tokens: u64,
     cached: Option<u64>,
@@ -63,8 +63,8 @@
     error: Option<EventError>,
 }
 
-impl Seen {
-    /// Reads on until the stream ends or fails.
+impl Received {
+    /// Reads until the stream ends or fails.
     async fn read(&mut self, answer: Answer) {
         let mut events = Events::new(answer.body, MAX_EVENT);
         self.error = None;
@@ -88,7 +88,7 @@
     }
 }
 
-fn whole_text(tokens: u64) -> String {
+fn complete_text(tokens: u64) -> String {
     expected_answer(&messages_text(&[Message::new("user", PROMPT)]), tokens)
 }
 
@@ -101,10 +101,10 @@
 
 #[gtest]
 #[tokio::test]
-async fn broken_stream_goes_on_without_a_gap_or_a_repeat() {
+async fn broken_stream_resumes_without_gaps_or_duplicates() {
     let settings = Settings {
-        grace: LONG,
-        ..quick()
+        grace: GUARD_TIMEOUT,
+        ..fast_settings()
     };
     let (engine, client) = start(settings).await;
     engine.set_faults(Faults {
@@ -112,28 +112,39 @@
         break_after: 20,
         ..Faults::default()
     });
-    let mut seen = Seen::default();
+    let mut received = Received::default();
     let answer = client.send(engine.address(), completion("r1", 50)).await;
-    seen.read(answer.unwrap()).await;
+    received.read(answer.unwrap()).await;
     for tokens in [20, 40] {
-        expect_that!(seen.error, some(matches_pattern!(EventError::Transport(_))));
-        expect_that!(seen.tokens, eq(tokens));
-        expect_that!(seen.done, eq(false));
-        let answer = client.resume(engine.address(), "r1", seen.tokens, LONG, LONG);
-        seen.read(answer.await.unwrap()).await;
+        expect_that!(
+            received.error,
+            some(matches_pattern!(EventError::Transport(_)))
+        );
+        expect_that!(received.tokens, eq(tokens));
+        expect_that!(received.done, eq(false));
+        let answer = client.resume(
+            engine.address(),
+            "r1",
+            received.tokens,
+            GUARD_TIMEOUT,
+            GUARD_TIMEOUT,
+        );
+        received.read(answer.await.unwrap()).await;
     }
-    expect_that!(seen.error, none());
-    expect_that!(seen.done, eq(true));
-    expect_that!(seen.cached, some(eq(0)));
-    expect_that!(seen.text, eq(&whole_text(50)));
-    let unknown = client.resume(engine.address(), "r2", 0, LONG, LONG).await;
+    expect_that!(received.error, none());
+    expect_that!(received.done, eq(true));
+    expect_that!(received.cached, some(eq(0)));
+    expect_that!(received.text, eq(&complete_text(50)));
+    let unknown = client
+        .resume(engine.address(), "r2", 0, GUARD_TIMEOUT, GUARD_TIMEOUT)
+        .await;
     expect_that!(unknown.unwrap().status.as_u16(), eq(404));
 }
 
 #[gtest]
 #[tokio::test]
-async fn dropped_answer_and_cancel_end_the_run() {
-    let (engine, client) = start(quick()).await;
+async fn dropped_response_and_cancel_end_the_run() {
+    let (engine, client) = start(fast_settings()).await;
     let address = engine.address();
     for reuse in [Reuse::Pooled, Reuse::Fresh] {
         let name = format!("dropped-{reuse:?}");
@@ -150,7 +161,7 @@
     let mut body = answer.unwrap().body;
     expect_that!(body.next().await, some(ok(anything())));
     expect_that!(
-        client.cancel(address, "cancelled", LONG).await,
+        client.cancel(address, "cancelled", GUARD_TIMEOUT).await,
         ok(eq(&true))
     );
     expect_that!(
@@ -158,10 +169,10 @@
         some(eq(Phase::Cancelled))
     );
     expect_that!(
-        client.cancel(address, "cancelled", LONG).await,
+        client.cancel(address, "cancelled", GUARD_TIMEOUT).await,
         ok(eq(&false))
     );
-    let slash = client.cancel(address, "a/b", LONG).await;
+    let slash = client.cancel(address, "a/b", GUARD_TIMEOUT).await;
     let error = slash.unwrap_err();
     expect_that!(
         error,
@@ -173,8 +184,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn full_engine_refuses_and_says_when_to_come_back() {
-    let (engine, client) = start(quick()).await;
+async fn full_engine_refuses_with_retry_after() {
+    let (engine, client) = start(fast_settings()).await;
     engine.set_faults(Faults {
         refusals: 1,
         ..Faults::default()
@@ -188,18 +199,18 @@
 
 #[gtest]
 #[tokio::test]
-async fn order_with_an_old_number_is_fenced() {
-    let (engine, client) = start(quick()).await;
+async fn order_with_an_old_fencing_number_is_refused() {
+    let (engine, client) = start(fast_settings()).await;
     let address = engine.address();
     let order = |name: &str| Order {
         kind: OrderKind::LoadModel,
         name: name.into(),
     };
-    let taken = client.order(address, 5, &order("m2"), LONG).await;
+    let taken = client.order(address, 5, &order("m2"), GUARD_TIMEOUT).await;
     expect_that!(taken, ok(eq(&OrderAnswer::Taken)));
-    let old = client.order(address, 4, &order("m3"), LONG).await;
+    let old = client.order(address, 4, &order("m3"), GUARD_TIMEOUT).await;
     expect_that!(old, ok(eq(&OrderAnswer::Fenced { fence: 5 })));
-    let state = client.state(address, LONG).await.unwrap();
+    let state = client.state(address, GUARD_TIMEOUT).await.unwrap();
     expect_that!(state.model, eq("m2"));
     expect_that!(state.fence, eq(5));
 }
@@ -207,20 +218,23 @@
 #[gtest]
 #[tokio::test]
 async fn engine_reports_its_load_health_and_cache() {
-    let (engine, client) = start(quick()).await;
+    let (engine, client) = start(fast_settings()).await;
     let address = engine.address();
-    let mut seen = Seen::default();
+    let mut received = Received::default();
     let answer = client.send(address, completion("r1", 40)).await.unwrap();
-    seen.read(answer).await;
-    let events = client.cache_events(address, 0, LONG).await.unwrap();
+    received.read(answer).await;
+    let events = client
+        .cache_events(address, 0, GUARD_TIMEOUT)
+        .await
+        .unwrap();
     let stored = events.events.first().unwrap();
     expect_that!(stored.kind, eq(CacheKind::Stored));
     expect_that!(stored.tokens, gt(0));
-    let load = client.load(address, LONG).await.unwrap();
+    let load = client.load(address, GUARD_TIMEOUT).await.unwrap();
     expect_that!(load.slots, eq(16));
     expect_that!(load.cache.unwrap().used, gt(0));
     expect_that!(
-        client.health(address, LONG).await.unwrap().state,
+        client.health(address, GUARD_TIMEOUT).await.unwrap().state,
         eq(State::Ready)
     );
     engine.set_faults(Faults {
@@ -228,21 +242,21 @@
         ..Faults::default()
     });
     expect_that!(
-        client.health(address, LONG).await.unwrap().state,
+        client.health(address, GUARD_TIMEOUT).await.unwrap().state,
         eq(State::Leaving)
     );
 }
 
 #[gtest]
 #[tokio::test]
-async fn engine_that_hangs_or_cuts_leaves_the_outcome_unknown() {
-    let (engine, client) = start(quick()).await;
+async fn engine_that_hangs_or_breaks_off_leaves_the_outcome_unknown() {
+    let (engine, client) = start(fast_settings()).await;
     for (outage, kind) in [(Outage::Hang, "timeout"), (Outage::Cut, "lost")] {
         engine.set_faults(Faults {
             outage: Some(outage),
             ..Faults::default()
         });
-        let request = completion("r1", 5).with_timeouts(SHORT, SHORT);
+        let request = completion("r1", 5).with_timeouts(SHORT_TIMEOUT, SHORT_TIMEOUT);
         let error = client.send(engine.address(), request).await.unwrap_err();
         expect_that!(error.kind(), eq(kind));
         expect_that!(error.outcome(), eq(Outcome::Unknown));
--- a/crates/net/tests/link.rs
+++ b/crates/net/tests/link.rs
@@ -1,4 +1,4 @@
-//! Peer links: messages arrive, strangers get nothing, a lost peer is told.
+//! Peer links: messages arrive, strangers learn nothing, refused dials are reported.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-const GUARD: Duration = Duration::from_secs(20);
+const GUARD_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Node {
     links: Links,
@@ -46,7 +46,10 @@
 
 async fn next_message(node: &mut Node) -> (PeerId, Body) {
     loop {
-        let event = timeout(GUARD, node.events.recv()).await.unwrap().unwrap();
+        let event = timeout(GUARD_TIMEOUT, node.events.recv())
+            .await
+            .unwrap()
+            .unwrap();
         if let Event::Message(peer, body) = event {
             return (peer, *body);
         }
@@ -74,7 +77,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_wrong_key_gets_nothing_and_is_counted() {
+async fn a_wrong_key_is_refused_and_counted() {
     let a = node("a", "wrong").await;
     let b = node("b", "secret").await;
     let refused = a.links.to(&"b".parse().unwrap(), b.address).await;
@@ -92,16 +95,16 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_stranger_is_shown_no_name() {
+async fn a_stranger_receives_no_name() {
     let b = node("bravo-daemon", "secret").await;
     let mut socket = TcpStream::connect(b.address).await.unwrap();
     socket.write_all(&[0, 0, 0, 2, 0xff, 0xff]).await.unwrap();
-    let mut heard = Vec::new();
-    timeout(GUARD, socket.read_to_end(&mut heard))
+    let mut received = Vec::new();
+    timeout(GUARD_TIMEOUT, socket.read_to_end(&mut received))
         .await
         .unwrap()
         .unwrap();
-    expect_that!(heard, is_empty());
+    expect_that!(received, is_empty());
 }
 
 #[gtest]
@@ -110,17 +113,17 @@
     let b = node("b", "secret").await;
     let mut socket = TcpStream::connect(b.address).await.unwrap();
     socket.write_all(&[0x7f, 0xff, 0xff, 0xff]).await.unwrap();
-    let mut heard = Vec::new();
-    timeout(GUARD, socket.read_to_end(&mut heard))
+    let mut received = Vec::new();
+    timeout(GUARD_TIMEOUT, socket.read_to_end(&mut received))
         .await
         .unwrap()
         .unwrap();
-    expect_that!(heard, is_empty());
+    expect_that!(received, is_empty());
 }
 
 #[gtest]
 #[tokio::test]
-async fn another_daemon_at_the_address_is_not_taken() {
+async fn another_daemon_at_the_address_is_an_error() {
     let a = node("a", "secret").await;
     let b = node("b", "secret").await;
     let other = a.links.to(&"c".parse().unwrap(), b.address).await;
@@ -129,13 +132,16 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_closed_peer_is_told() {
+async fn a_refused_dial_is_reported() {
     let mut a = node("a", "secret").await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let gone = a.links.to(&"b".parse().unwrap(), address).await;
-    expect_that!(gone.is_err(), eq(true));
-    let event = timeout(GUARD, a.events.recv()).await.unwrap().unwrap();
+    let result = a.links.to(&"b".parse().unwrap(), address).await;
+    expect_that!(result.is_err(), eq(true));
+    let event = timeout(GUARD_TIMEOUT, a.events.recv())
+        .await
+        .unwrap()
+        .unwrap();
     expect_that!(matches!(event, Event::Refused(_)), eq(true));
 }
--- a/crates/net/tests/link_hostile.rs
+++ b/crates/net/tests/link_hostile.rs
@@ -1,4 +1,5 @@
-//! Rubbish at the peers' port is counted and closed, and harms no other link.
+//! Invalid input at the port for peer links is counted, closes its own connection
+//! and harms no other link.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,9 +17,9 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-const GUARD: Duration = Duration::from_secs(30);
+const GUARD_TIMEOUT: Duration = Duration::from_secs(30);
 const SECRET: &[u8] = b"the secret of a test fleet";
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 struct Node {
     links: Links,
@@ -47,31 +48,31 @@
     }
 }
 
-/// A node under attack, and a good link to it.
-struct Scene {
+/// A node that receives invalid input, and a valid link to it.
+struct Setup {
     node: Node,
-    _friend: Node,
+    _valid_peer: Node,
     link: Link,
 }
 
-async fn scene() -> Scene {
-    let (node, friend) = (node("node").await, node("friend").await);
-    let link = friend.links.at(node.address).await.unwrap();
-    Scene {
+async fn setup() -> Setup {
+    let (node, valid_peer) = (node("node").await, node("friend").await);
+    let link = valid_peer.links.at(node.address).await.unwrap();
+    Setup {
         node,
-        _friend: friend,
+        _valid_peer: valid_peer,
         link,
     }
 }
 
-impl Scene {
-    /// The good link still carries messages.
-    async fn expect_unharmed(&mut self) {
+impl Setup {
+    /// Checks that the valid link still carries messages.
+    async fn expect_valid_link_works(&mut self) {
         self.link
             .send(Body::Cancel(Cancel::default()))
             .await
             .unwrap();
-        let heard = async {
+        let received = async {
             loop {
                 if let Event::Message(peer, body) = self.node.events.recv().await.unwrap()
                     && body.kind() == "cancel"
@@ -80,7 +81,7 @@
                 }
             }
         };
-        let peer = timeout(GUARD, heard).await.unwrap();
+        let peer = timeout(GUARD_TIMEOUT, received).await.unwrap();
         expect_that!(peer.daemon.as_str(), eq("friend"));
     }
 
@@ -96,10 +97,10 @@
 async fn until(mut condition: impl FnMut() -> bool) {
     let wait = async {
         while !condition() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(GUARD, wait).await.unwrap();
+    timeout(GUARD_TIMEOUT, wait).await.unwrap();
 }
 
 async fn write(socket: &mut TcpStream, bytes: &[u8]) {
@@ -115,14 +116,16 @@
     Frame::decode(Bytes::from(bytes)).unwrap().body.unwrap()
 }
 
-/// Waits until the other side has closed; a reset is a close too.
+/// Waits until the peer has closed the connection; a reset counts as closing.
 async fn expect_closed(socket: &mut TcpStream) {
     let mut rest = Vec::new();
-    let _ = timeout(GUARD, socket.read_to_end(&mut rest)).await.unwrap();
+    let _ = timeout(GUARD_TIMEOUT, socket.read_to_end(&mut rest))
+        .await
+        .unwrap();
 }
 
-/// A socket that has proved itself by hand, byte by byte.
-async fn proved(address: SocketAddr) -> TcpStream {
+/// A socket after a handshake written byte by byte.
+async fn handshaken(address: SocketAddr) -> TcpStream {
     let mut socket = TcpStream::connect(address).await.unwrap();
     let mine = Hello {
         fleet: "test".into(),
@@ -153,67 +156,67 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_unknown_kind_is_passed_over_and_counted() {
-    let mut scene = scene().await;
-    let mut rogue = proved(scene.node.address).await;
-    // Field 1000, a message of two bytes: a kind of a later release.
+async fn an_unknown_kind_is_ignored_and_counted() {
+    let mut setup = setup().await;
+    let mut rogue = handshaken(setup.node.address).await;
+    // Field 1000, a message of two bytes: a kind of a later version.
     write(&mut rogue, &[0xc2, 0x3e, 2, 8, 1]).await;
     write(&mut rogue, &[]).await;
     let known = Frame::from(Body::Cancel(Cancel::default()));
     write(&mut rogue, &known.encode_to_vec()).await;
-    let heard = async {
-        while !matches!(scene.node.events.recv().await.unwrap(), Event::Message(peer, _) if peer.daemon.as_str() == "rogue")
+    let received = async {
+        while !matches!(setup.node.events.recv().await.unwrap(), Event::Message(peer, _) if peer.daemon.as_str() == "rogue")
         {
         }
     };
-    timeout(GUARD, heard).await.unwrap();
+    timeout(GUARD_TIMEOUT, received).await.unwrap();
     expect_that!(
-        scene.node.links.counts().received()["unknown"].messages,
+        setup.node.links.counts().received()["unknown"].messages,
         eq(2)
     );
-    expect_that!(scene.malformed(), eq(0));
-    scene.expect_unharmed().await;
+    expect_that!(setup.malformed(), eq(0));
+    setup.expect_valid_link_works().await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn frames_that_cannot_be_read_close_their_link_alone() {
-    let mut scene = scene().await;
+async fn invalid_frames_close_only_their_own_link() {
+    let mut setup = setup().await;
     let too_large = u32::try_from(MAX_FRAME + 1).unwrap().to_be_bytes();
     let frames: [&[u8]; 4] = [
         // Larger than any frame.
         &too_large,
         &[0xff; 4],
-        // A known kind whose bytes break off inside.
+        // A known kind, truncated.
         &[0, 0, 0, 3, 0x52, 9, 1],
         // No field at all.
         &[0, 0, 0, 2, 0xff, 0xff],
     ];
     for (at, frame) in frames.into_iter().enumerate() {
-        let mut rogue = proved(scene.node.address).await;
+        let mut rogue = handshaken(setup.node.address).await;
         rogue.write_all(frame).await.unwrap();
         expect_closed(&mut rogue).await;
         let count = at as u64 + 1;
-        until(|| scene.malformed() == count).await;
-        scene.expect_unharmed().await;
+        until(|| setup.malformed() == count).await;
+        setup.expect_valid_link_works().await;
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_frame_cut_short_closes_its_link_and_is_counted() {
-    let mut scene = scene().await;
-    let mut rogue = proved(scene.node.address).await;
+async fn a_truncated_frame_closes_its_link_and_is_counted() {
+    let mut setup = setup().await;
+    let mut rogue = handshaken(setup.node.address).await;
     rogue.write_all(&[0, 0, 1, 0, 1, 2, 3]).await.unwrap();
     drop(rogue);
-    until(|| scene.malformed() == 1).await;
-    scene.expect_unharmed().await;
+    until(|| setup.malformed() == 1).await;
+    setup.expect_valid_link_works().await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn rubbish_before_the_proof_is_refused_and_counted() {
-    let mut scene = scene().await;
+async fn random_bytes_before_the_proof_are_refused_and_counted() {
+    let mut setup = setup().await;
     let mut seed = 1u64;
     for len in [1usize, 3, 4, 5, 64, 900, 5000] {
         let bytes: Vec<u8> = (0..len)
@@ -222,41 +225,41 @@
                 (seed >> 56) as u8
             })
             .collect();
-        let before = scene.refused();
-        let mut rogue = TcpStream::connect(scene.node.address).await.unwrap();
-        // The other side may close while this is written.
+        let before = setup.refused();
+        let mut rogue = TcpStream::connect(setup.node.address).await.unwrap();
+        // The peer may close the connection during the write.
         let _ = rogue.write_all(&bytes).await;
         let _ = rogue.shutdown().await;
         expect_closed(&mut rogue).await;
-        until(|| scene.refused() == before + 1).await;
+        until(|| setup.refused() == before + 1).await;
     }
-    scene.expect_unharmed().await;
+    setup.expect_valid_link_works().await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn half_open_handshakes_end_by_themselves_and_hold_nobody_up() {
+async fn half_open_handshakes_time_out_and_block_nobody() {
     const SILENT: usize = 300;
-    let mut scene = scene().await;
+    let mut setup = setup().await;
     let mut silent = Vec::new();
     for _ in 0..SILENT {
-        silent.push(TcpStream::connect(scene.node.address).await.unwrap());
+        silent.push(TcpStream::connect(setup.node.address).await.unwrap());
     }
-    scene.expect_unharmed().await;
-    // A further daemon gets its turn behind the silent ones.
+    setup.expect_valid_link_works().await;
+    // Another daemon can still connect behind the silent connections.
     let late = node("late").await;
     let link = async {
         loop {
-            if let Ok(link) = late.links.at(scene.node.address).await {
+            if let Ok(link) = late.links.at(setup.node.address).await {
                 return link;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(GUARD, link).await.unwrap();
-    until(|| scene.refused() >= SILENT as u64).await;
+    timeout(GUARD_TIMEOUT, link).await.unwrap();
+    until(|| setup.refused() >= SILENT as u64).await;
     for socket in &mut silent {
         expect_closed(socket).await;
     }
-    expect_that!(HANDSHAKE_TIMEOUT, le(GUARD / 5));
+    expect_that!(HANDSHAKE_TIMEOUT, le(GUARD_TIMEOUT / 5));
 }
--- a/crates/net/tests/platform_follow.rs
+++ b/crates/net/tests/platform_follow.rs
@@ -1,4 +1,4 @@
-//! Following a prefix through outages and forgotten revisions.
+//! Following a prefix through outages and compacted revisions.
 
 #[path = "support/setup.rs"]
 mod setup;
@@ -11,26 +11,26 @@
 
 use setup::{outage, start};
 
-/// A guard against a test that never ends.
-const LONG: Millis = Millis::from_secs(20);
-/// A wait that a hanging platform never meets.
-const SHORT: Millis = Millis(100);
+/// Timeout that is never reached unless a test hangs.
+const GUARD_TIMEOUT: Millis = Millis::from_secs(20);
+/// Timeout that a hanging platform always exceeds.
+const SHORT_TIMEOUT: Millis = Millis(100);
 
 async fn next(follower: &mut Follower) -> FollowEvent {
-    let news = tokio::time::timeout(LONG.as_duration(), follower.next());
-    news.await.unwrap().unwrap()
+    let event = tokio::time::timeout(GUARD_TIMEOUT.as_duration(), follower.next());
+    event.await.unwrap().unwrap()
 }
 
-fn listed(news: &FollowEvent) -> Vec<&str> {
-    match news {
+fn listed(event: &FollowEvent) -> Vec<&str> {
+    match event {
         FollowEvent::Listed { entries, .. } => entries.iter().map(|e| e.key.as_str()).collect(),
-        FollowEvent::Changed { .. } => panic!("{news:?}"),
+        FollowEvent::Changed { .. } => panic!("{event:?}"),
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn follower_lists_in_pages_and_goes_on_through_an_outage() {
+async fn follower_lists_in_pages_and_continues_after_an_outage() {
     let (platform, client) = start().await;
     for key in ["p/1", "p/2", "p/3", "q"] {
         platform.put(key, "x");
@@ -38,10 +38,10 @@
     let follow = Follow::new(Role::Watch, "p/")
         .with_page(2)
         .with_poll(Millis(200));
-    let mut follower = client.follow(follow.with_timeout(SHORT));
-    let news = next(&mut follower).await;
+    let mut follower = client.follow(follow.with_timeout(SHORT_TIMEOUT));
+    let event = next(&mut follower).await;
     expect_that!(
-        listed(&news),
+        listed(&event),
         elements_are![eq(&"p/1"), eq(&"p/2"), eq(&"p/3")]
     );
     platform.set_faults(outage(Outage::Cut));
@@ -55,7 +55,7 @@
             expect_that!(changes[0].version, eq(version));
             expect_that!(revision, ge(Revision(version.0)));
         }
-        news => panic!("{news:?}"),
+        event => panic!("{event:?}"),
     }
     expect_that!(follower.last_contact().sent, ge(last_contact.sent));
     expect_that!(follower.last_contact().received, gt(None));
@@ -63,16 +63,16 @@
 
 #[gtest]
 #[tokio::test]
-async fn follower_lists_again_when_the_revision_is_gone() {
+async fn follower_lists_again_when_the_revision_was_compacted() {
     let (platform, client) = start().await;
     platform.put("p/1", "x");
     let follow = Follow::new(Role::Watch, "p/").with_poll(Millis(200));
-    let mut follower = client.follow(follow.with_timeout(SHORT));
+    let mut follower = client.follow(follow.with_timeout(SHORT_TIMEOUT));
     next(&mut follower).await;
     platform.set_faults(outage(Outage::Cut));
     platform.put("p/2", "x");
     platform.compact();
     platform.set_faults(Faults::default());
-    let news = next(&mut follower).await;
-    expect_that!(listed(&news), elements_are![eq(&"p/1"), eq(&"p/2")]);
+    let event = next(&mut follower).await;
+    expect_that!(listed(&event), elements_are![eq(&"p/1"), eq(&"p/2")]);
 }
--- a/crates/net/tests/support/peer.rs
+++ b/crates/net/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! A listener whose test decides each byte of the answers.
+//! A listener for tests that write each byte of a response themselves.
 
 use std::net::SocketAddr;
 
--- a/crates/net/tests/support/setup.rs
+++ b/crates/net/tests/support/setup.rs
@@ -1,4 +1,4 @@
-//! A platform and a client whose budgets and waits don't hold a test up.
+//! Starts a platform, and a client with large budgets and short backoff.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Settings whose budgets and waits don't hold a test up.
+/// Settings with large budgets and short backoff, so that tests don't wait.
 pub fn settings(address: SocketAddr) -> Settings {
     let backoff = Backoff {
         base: Millis(2),
