--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -46,7 +46,7 @@
     /// The request was never handed to a connection: certainly not run.
     #[display("the request was not sent: {cause}")]
     NotSent {
-        /// What went wrong, in words.
+        /// Description of the error.
         cause: String,
         /// Whether the peer had closed the pooled connection.
         stale: bool,
@@ -54,7 +54,7 @@
     /// The request was sent, but no complete response arrived: it may have run.
     #[display("the answer was lost: {cause}")]
     Lost {
-        /// What went wrong, in words.
+        /// Description of the error.
         cause: String,
     },
     /// No response arrived in time.
--- a/crates/net/src/platform/counts.rs
+++ b/crates/net/src/platform/counts.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct CallCount {
-    /// Who called.
+    /// Role of the calls.
     pub role: Role,
-    /// The kind of call.
+    /// Kind of the calls.
     pub kind: Kind,
-    /// How they ended.
+    /// Ending of the calls.
     pub ending: Ending,
     /// Number of calls.
     pub count: u64,
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[derive(Debug)]
 pub struct ByteCount {
-    /// Who called.
+    /// Role of the calls.
     pub role: Role,
     /// Bytes of paths and bodies sent.
     pub sent: u64,
--- a/crates/net/src/platform/error.rs
+++ b/crates/net/src/platform/error.rs
@@ -46,7 +46,7 @@
     /// Sent without a complete response: it may have taken effect, or may later.
     #[display("it may have been done: {cause}")]
     Unknown {
-        /// What went wrong, in words.
+        /// Description of the error.
         cause: String,
     },
     /// The response to a read can't be parsed.
