--- a/crates/daemon/src/switch.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -15,7 +15,7 @@
 use crate::operators::Questions;
 
 /// Where messages go.
-pub struct Switch {
+pub struct Dispatcher {
     /// Tries of this entry.
     pub attempts: AttemptTable,
     /// Where answers go that nobody waits for.
@@ -38,9 +38,9 @@
     pub metrics: Arc<Metrics>,
 }
 
-impl Switch {
+impl Dispatcher {
     /// Takes one event of the links; never blocks.
-    pub fn take(&self, event: Event) {
+    pub fn handle_event(&self, event: Event) {
         match event {
             Event::Message(from, body) => self.message(&from, *body),
             Event::Closed(peer) => {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -32,7 +32,7 @@
 use crate::operators::Questions;
 use crate::peers::Peers;
 use crate::settings::{Settings, SettingsError};
-use crate::switch::Switch;
+use crate::dispatcher::Dispatcher;
 
 /// Result of running the daemon.
 pub type Result<T> = std::result::Result<T, StartError>;
@@ -234,7 +234,7 @@
     let metrics = Arc::new(Metrics::new());
     let attempts = AttemptTable::new(metrics.buffered.clone());
     let questions = Questions::default();
-    let switch = Switch {
+    let dispatcher = Dispatcher {
         questions: questions.clone(),
         attempts: attempts.clone(),
         strays: channels.strays.clone(),
@@ -246,7 +246,7 @@
         configuration: channels.configuration.clone(),
         metrics: Arc::clone(&metrics),
     };
-    let handler: Handler = Arc::new(move |event: Event| switch.take(event));
+    let handler: Handler = Arc::new(move |event: Event| dispatcher.handle_event(event));
     let links = Links::start(listener, identity, Arc::clone(&handler));
     let peers = Peers::new(me.clone(), handler, links, channels.view.clone());
     let platform = platform::Client::new(platform_settings(&settings));
