--- a/crates/daemon/src/claims/handle.rs
+++ b/crates/daemon/src/claims/handle.rs
@@ -33,7 +33,7 @@
 
     /// Tells how a request ended that was allowed to run.
     pub fn ended(&self, request: RequestId, end: End) {
-        self.tell(Message::Ended(request, end));
+        self.send(Message::Ended(request, end));
     }
 
     /// Refuses all that isn't running and writes this process's last word.
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -199,7 +199,7 @@
                 }
                 LogAction::Answer { .. } => return,
             };
-            context.claims.tell(Message::Replied(shard, call, reply));
+            context.claims.send(Message::Replied(shard, call, reply));
         });
     }
 
@@ -225,7 +225,7 @@
                 let context = Arc::clone(&self.context);
                 tokio::spawn(async move {
                     let bytes = calls::farewell(&context.platform, claimant).await;
-                    context.claims.tell(Message::Farewell(claimant, bytes));
+                    context.claims.send(Message::Farewell(claimant, bytes));
                 });
             }
         }
@@ -263,7 +263,7 @@
                 self.send(owner.as_str(), Body::ClaimAsk(ask), Some(lost));
             }
             None => {
-                self.context.claims.tell(Message::AskLost(number));
+                self.context.claims.send(Message::AskLost(number));
             }
         }
     }
@@ -291,7 +291,7 @@
                 Err(_) => false,
             };
             if let Some(lost) = lost.filter(|_| !sent) {
-                context.claims.tell(lost);
+                context.claims.send(lost);
             }
         });
     }
--- a/crates/daemon/src/configuration/follow.rs
+++ b/crates/daemon/src/configuration/follow.rs
@@ -13,7 +13,7 @@
     let mut follower = platform.follow(Follow::new(Role::Watch, HEAD_KEY));
     AbortOnDropHandle::new(tokio::spawn(async move {
         while follower.next().await.is_some() {
-            if !task.tell(Message::Changed) {
+            if !task.send(Message::Changed) {
                 return;
             }
         }
--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -221,7 +221,7 @@
                 let (platform, handle) = (self.context.platform.clone(), self.handle.clone());
                 tokio::spawn(async move {
                     let read = read_part(&platform, digest, CALL_TIMEOUT).await;
-                    handle.tell(Message::Part(digest, read));
+                    handle.send(Message::Part(digest, read));
                 });
             }
             Action::Apply(config) => self.apply(*config),
@@ -246,7 +246,7 @@
                     daemon: name,
                     incarnation: peer,
                 };
-                handle.tell(Message::Lost(peer));
+                handle.send(Message::Lost(peer));
             }
         });
     }
@@ -255,7 +255,7 @@
         let (platform, handle) = (self.context.platform.clone(), self.handle.clone());
         tokio::spawn(async move {
             let read = read_head(&platform, CALL_TIMEOUT).await;
-            handle.tell(Message::Head(read));
+            handle.send(Message::Head(read));
         });
     }
 
@@ -265,6 +265,6 @@
         self.view.send_replace(Arc::new(ConfigView::new(config)));
         self.context.metrics.applied.inc();
         let told = fleet::Message::InForce(generation);
-        self.context.fleet_task.tell(told);
+        self.context.fleet_task.send(told);
     }
 }
--- a/crates/daemon/src/dispatcher.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -47,16 +47,16 @@
                 self.attempts.peer_lost(&peer);
                 self.home.peer_lost(peer.clone());
                 let lost = configuration::Message::Lost(peer.clone());
-                self.configuration.tell(lost);
-                self.claims.tell(claims::Message::PeerLost(peer.clone()));
-                self.limits.tell(limits::Message::Lost(peer.daemon.clone()));
-                self.fleet.tell(fleet::Message::Closed(peer));
+                self.configuration.send(lost);
+                self.claims.send(claims::Message::PeerLost(peer.clone()));
+                self.limits.send(limits::Message::Lost(peer.daemon.clone()));
+                self.fleet.send(fleet::Message::Closed(peer));
             }
             Event::Opened(peer) => {
-                self.fleet.tell(fleet::Message::Opened(peer));
+                self.fleet.send(fleet::Message::Opened(peer));
             }
             Event::Refused(address) => {
-                self.fleet.tell(fleet::Message::Unreachable(address));
+                self.fleet.send(fleet::Message::Unreachable(address));
             }
         }
     }
@@ -67,30 +67,30 @@
             Body::Forward(forward) => self.home.offer(from.clone(), forward),
             Body::Credit(credit) => self.home.credit(from.clone(), credit),
             Body::Cancel(cancel) => self.home.cancel(from.clone(), cancel),
-            Body::ClaimAsk(ask) => self.claims.tell(claims::Message::Ask(ask)),
-            Body::ClaimAnswer(answer) => self.claims.tell(claims::Message::Answer(answer)),
-            Body::KeyAsk(ask) => self.claims.tell(claims::Message::KeyAsk(from.clone(), ask)),
-            Body::KeyAnswer(answer) => self.claims.tell(claims::Message::KeyAnswer(answer)),
+            Body::ClaimAsk(ask) => self.claims.send(claims::Message::Ask(ask)),
+            Body::ClaimAnswer(answer) => self.claims.send(claims::Message::Answer(answer)),
+            Body::KeyAsk(ask) => self.claims.send(claims::Message::KeyAsk(from.clone(), ask)),
+            Body::KeyAnswer(answer) => self.claims.send(claims::Message::KeyAnswer(answer)),
             Body::Usage(usage) => self
                 .limits
-                .tell(limits::Message::Usage(from.daemon.clone(), usage)),
+                .send(limits::Message::Usage(from.daemon.clone(), usage)),
             Body::Grant(grant) => self
                 .limits
-                .tell(limits::Message::Grant(from.daemon.clone(), grant)),
+                .send(limits::Message::Grant(from.daemon.clone(), grant)),
             Body::Gossip(gossip) => self
                 .fleet
-                .tell(fleet::Message::Heartbeat(from.clone(), gossip)),
+                .send(fleet::Message::Heartbeat(from.clone(), gossip)),
             Body::Moved(moved) => self.home.moved(moved),
             Body::Placed(placed) => self.home.placed(placed),
             Body::StateAsk(ask) => self.home.state_requested(from.clone(), ask),
             Body::StateAnswer(answer) => self.questions.deliver(answer),
             Body::PartAsk(ask) => {
                 let asked = configuration::Message::Asked(from.clone(), ask);
-                self.configuration.tell(asked)
+                self.configuration.send(asked)
             }
             Body::PartAnswer(answer) => {
                 let answered = configuration::Message::Answered(from.clone(), answer);
-                self.configuration.tell(answered)
+                self.configuration.send(answered)
             }
             Body::RequestAsk(ask) => self.states.requested(from, ask),
             Body::RequestAnswer(answer) => self.states.take_answer(answer),
--- a/crates/daemon/src/fleet/vms.rs
+++ b/crates/daemon/src/fleet/vms.rs
@@ -29,7 +29,7 @@
                     address: vm.address,
                     leaving: vm.state == VmState::Leaving,
                 });
-                if !fleet.tell(Message::Listed(listed.collect())) {
+                if !fleet.send(Message::Listed(listed.collect())) {
                     return;
                 }
             }
--- a/crates/daemon/src/home/gossip.rs
+++ b/crates/daemon/src/home/gossip.rs
@@ -61,7 +61,7 @@
             PoolLoad::new(name_hash(id.as_str()), sum.load.0, sum.endpoints, &least)
         });
         let pools = pools.filter(|pool| pool.endpoints > 0).collect();
-        self.context.fleet_task.tell(Message::OwnLoad(pools));
+        self.context.fleet_task.send(Message::OwnLoad(pools));
     }
 
     /// Merges the load of the endpoints that a peer is home of.
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -19,7 +19,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.handle.tell(Message::Done(self.id));
+        self.handle.send(Message::Done(self.id));
     }
 }
 
@@ -45,7 +45,7 @@
 
     /// Counts a first try of a pool, which pays for a share of a retry.
     pub fn first(&self, pool: PoolId) {
-        self.tell(Message::First(pool));
+        self.send(Message::First(pool));
     }
 
     /// Takes a retry from a pool's budget; false if too much of its work is retries.
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -160,7 +160,7 @@
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
             if context.peers.send(&to, body).await.is_err() {
-                context.limits.tell(Message::Lost(to));
+                context.limits.send(Message::Lost(to));
             }
         });
     }
--- a/crates/daemon/src/mailbox.rs
+++ b/crates/daemon/src/mailbox.rs
@@ -26,14 +26,14 @@
     }
 
     /// Tells the task; false if it has ended.
-    pub fn tell(&self, message: M) -> bool {
+    pub fn send(&self, message: M) -> bool {
         self.sender.send(message).is_ok()
     }
 
     /// Asks the task; `None` if it has ended.
     pub async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> M) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
-        self.tell(question(sender));
+        self.send(question(sender));
         receiver.await.ok()
     }
 }
--- a/crates/daemon/src/operators/change.rs
+++ b/crates/daemon/src/operators/change.rs
@@ -42,7 +42,7 @@
     {
         let parts = drive.parts.into_values().collect();
         let written = Message::Written(accepted.head.clone(), parts);
-        context.configuration.tell(written);
+        context.configuration.send(written);
     }
     outcome
 }
--- a/crates/daemon/src/operators/wait.rs
+++ b/crates/daemon/src/operators/wait.rs
@@ -43,7 +43,7 @@
 
 async fn lagging(context: &Context, generation: Generation, ask: bool) -> Vec<DaemonId> {
     let (reply, answer) = oneshot::channel();
-    context.fleet_task.tell(Message::Lagging {
+    context.fleet_task.send(Message::Lagging {
         generation,
         probe: ask,
         reply,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -20,7 +20,7 @@
     let limit = running.context.settings.limits.stop;
     log::info!(target: "stop", "stop: leaving, {} requests in flight", running.context.attempts.len());
     running.stopping.send_replace(true);
-    running.context.fleet_task.tell(Message::Leave);
+    running.context.fleet_task.send(Message::Leave);
     tokio::time::sleep(NOTICE.as_duration()).await;
     let server = running.server.take();
     let closing = server.map(|server| tokio::spawn(server.stop(limit)));
@@ -37,7 +37,7 @@
         log::warn!(target: "stop", "stop: {left} directory entries were not handed over");
     }
     running.context.claims.stop().await;
-    running.context.fleet_task.tell(Message::Depart);
+    running.context.fleet_task.send(Message::Depart);
     running.farewell.mark_unchanged();
     // Peers that don't hear of it find out by themselves.
     let _ = timeout(FAREWELL.as_duration(), running.farewell.changed()).await;
