--- a/crates/daemon/src/claims/handle.rs
+++ b/crates/daemon/src/claims/handle.rs
@@ -26,7 +26,7 @@
     ///
     /// After `Dispatch` its end must be told with [`Handle::ended`].
     pub async fn start(&self, start: Start) -> Decision {
-        let decision = self.ask(|sender| Message::Start(start, sender)).await;
+        let decision = self.request(|sender| Message::Start(start, sender)).await;
         // The task ends only with the daemon, and then nothing runs any more.
         decision.unwrap_or(Decision::Refuse(Reason::Stopping))
     }
@@ -38,6 +38,6 @@
 
     /// Refuses all that isn't running and writes this process's last word.
     pub async fn stop(&self) {
-        let _ = self.ask(Message::Stop).await;
+        let _ = self.request(Message::Stop).await;
     }
 }
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -37,6 +37,6 @@
 impl Handle {
     /// Parts of the configuration in force, as stored; none if the task has ended.
     pub async fn parts(&self) -> Vec<Bytes> {
-        self.ask(Message::Held).await.unwrap_or_default()
+        self.request(Message::Held).await.unwrap_or_default()
     }
 }
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -35,7 +35,7 @@
             handle: self.clone(),
             id: ask.id,
         };
-        let verdict = self.ask(|sender| Message::Ask(ask, sender)).await;
+        let verdict = self.request(|sender| Message::Ask(ask, sender)).await;
         let stopped = Refusal {
             reason: Reason::Stopping,
             after: Millis::ZERO,
@@ -50,7 +50,7 @@
 
     /// Takes a retry from a pool's budget; false if too much of its work is retries.
     pub async fn spend(&self, pool: PoolId) -> bool {
-        let spent = self.ask(|sender| Message::Spend(pool, sender)).await;
+        let spent = self.request(|sender| Message::Spend(pool, sender)).await;
         spent.unwrap_or(false)
     }
 }
--- a/crates/daemon/src/mailbox.rs
+++ b/crates/daemon/src/mailbox.rs
@@ -31,7 +31,7 @@
     }
 
     /// Asks the task; `None` if it has ended.
-    pub async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> M) -> Option<T> {
+    pub async fn request<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> M) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
         self.send(question(sender));
         receiver.await.ok()
