--- a/crates/daemon/src/entry/job.rs
+++ b/crates/daemon/src/entry/job.rs
@@ -11,7 +11,7 @@
 use medlarrill_core::wire::{Forward, Header};
 
 use super::keyed::Keyed;
-use crate::limits::Ask;
+use crate::limits::PermitRequest;
 
 /// Bytes of text counted as one token, where the token count isn't known.
 pub const BYTES_PER_TOKEN: u64 = 4;
@@ -55,8 +55,8 @@
 
 impl Job {
     /// The request for a permit within the account's limits.
-    pub fn permit_request(&self, sender: Incarnation) -> Ask {
-        Ask {
+    pub fn permit_request(&self, sender: Incarnation) -> PermitRequest {
+        PermitRequest {
             id: AttemptId {
                 request: self.request,
                 number: 0,
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -8,5 +8,5 @@
 mod task;
 
 pub use handle::{Handle, Permit};
-pub use message::{Ask, Message, Refusal};
+pub use message::{Message, PermitRequest, Refusal};
 pub use task::Task;
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -4,7 +4,7 @@
 use medlarrill_core::ids::{AttemptId, PoolId};
 use medlarrill_core::reason::Reason;
 
-use super::message::{Ask, Message, Refusal};
+use super::message::{Message, PermitRequest, Refusal};
 use crate::mailbox::Mailbox;
 
 /// Sends to the limits task.
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// When the account's rate or concurrency is used up.
-    pub async fn enter(&self, ask: Ask) -> Result<Permit, Refusal> {
+    pub async fn enter(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
         // Made first, so that a caller that goes away gives the room back.
         let permit = Permit {
             handle: self.clone(),
--- a/crates/daemon/src/limits/message.rs
+++ b/crates/daemon/src/limits/message.rs
@@ -9,7 +9,7 @@
 
 /// A request of an account.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Names it.
     pub id: AttemptId,
     /// The account.
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub enum Message {
     /// A request asks to go on.
-    Ask(Ask, oneshot::Sender<Verdict>),
+    Ask(PermitRequest, oneshot::Sender<Verdict>),
     /// A request has ended, or is no longer wanted.
     Done(AttemptId),
     /// An entry reports to this daemon as owner.
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use super::message::{Ask, Message, Refusal, Verdict};
+use super::message::{Message, PermitRequest, Refusal, Verdict};
 use crate::configuration::ConfigView;
 use crate::context::Context;
 use crate::fleet::FleetView;
@@ -119,7 +119,7 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask, sender: oneshot::Sender<Verdict>) {
+    fn ask(&mut self, ask: PermitRequest, sender: oneshot::Sender<Verdict>) {
         self.waiting.insert(ask.id, sender);
         self.drive(Event::Ask {
             id: ask.id,
