--- a/crates/daemon/src/entry/handlers.rs
+++ b/crates/daemon/src/entry/handlers.rs
@@ -91,7 +91,7 @@
         mut flight: InFlight,
     ) -> Result<InFlight, Box<Problem>> {
         let request = job.permit_request(self.0.incarnation());
-        match self.0.limits.enter(request).await {
+        match self.0.limits.acquire(request).await {
             Ok(permit) => Ok(flight.with_permit(permit)),
             Err(refusal) => {
                 let mut failure = match job.keyed {
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// When the account's rate or concurrency is used up.
-    pub async fn enter(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
+    pub async fn acquire(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
         // Made first, so that a caller that goes away gives the room back.
         let permit = Permit {
             handle: self.clone(),
