--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -74,7 +74,7 @@
         if !running.job.idempotent {
             return Err(failure);
         }
-        if !context.limits.spend(running.job.pool.clone()).await {
+        if !context.limits.take_retry(running.job.pool.clone()).await {
             return Err(failure.without_retry());
         }
         context.metrics.retry(failure.reason);
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -43,7 +43,7 @@
     let mut lost: Vec<DaemonId> = Vec::new();
     let mut attempts = 0;
     let mut outcome = Outcome::NotRun;
-    context.limits.first(job.pool.clone());
+    context.limits.record_attempt(job.pool.clone());
     loop {
         let started = start_attempt(context, &job, attempts, &tried, &lost).await;
         attempts += 1;
@@ -62,7 +62,7 @@
         if attempts >= MAX_ATTEMPTS || !may_retry(&job, &failure) {
             return Err(failure);
         }
-        if !context.limits.spend(job.pool.clone()).await {
+        if !context.limits.take_retry(job.pool.clone()).await {
             return Err(failure.without_retry());
         }
         context.metrics.retry(failure.reason);
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -44,12 +44,12 @@
     }
 
     /// Counts a first try of a pool, which pays for a share of a retry.
-    pub fn first(&self, pool: PoolId) {
+    pub fn record_attempt(&self, pool: PoolId) {
         self.send(Message::First(pool));
     }
 
     /// Takes a retry from a pool's budget; false if too much of its work is retries.
-    pub async fn spend(&self, pool: PoolId) -> bool {
+    pub async fn take_retry(&self, pool: PoolId) -> bool {
         let spent = self.request(|sender| Message::Spend(pool, sender)).await;
         spent.unwrap_or(false)
     }
