--- a/crates/daemon/src/entry/handlers.rs
+++ b/crates/daemon/src/entry/handlers.rs
@@ -98,7 +98,7 @@
                     Some(_) => Failure::unclaimed(refusal.reason),
                     None => Failure::new(refusal.reason),
                 };
-                failure.retry_after = Some(refusal.after);
+                failure.retry_after = Some(refusal.retry_after);
                 flight.failed(&failure);
                 Err(Box::new(Problem::of(&failure)))
             }
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -38,7 +38,7 @@
         let verdict = self.request(|sender| Message::Ask(ask, sender)).await;
         let stopped = Refusal {
             reason: Reason::Stopping,
-            after: Millis::ZERO,
+            retry_after: Millis::ZERO,
         };
         verdict.unwrap_or(Err(stopped)).map(|()| permit)
     }
--- a/crates/daemon/src/limits/message.rs
+++ b/crates/daemon/src/limits/message.rs
@@ -24,7 +24,7 @@
     /// The reason.
     pub reason: Reason,
     /// When to come back.
-    pub after: Millis,
+    pub retry_after: Millis,
 }
 
 /// What the task decides.
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -135,7 +135,7 @@
             match action {
                 Action::Admit { id } => self.decide(id, Ok(())),
                 Action::Refuse { id, reason, after } => {
-                    self.decide(id, Err(Refusal { reason, after }));
+                    self.decide(id, Err(Refusal { reason, retry_after: after }));
                 }
                 Action::Send { to, usage } => self.send(to, Body::Usage(usage)),
             }
