--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -68,7 +68,7 @@
     }
 
     /// A fresh request identifier, which names this process.
-    pub fn draw_request(&self) -> RequestId {
+    pub fn new_request_id(&self) -> RequestId {
         let low: u64 = rand::random();
         RequestId(u128::from(self.me.incarnation.0) << 64 | u128::from(low))
     }
--- a/crates/daemon/src/entry/handlers.rs
+++ b/crates/daemon/src/entry/handlers.rs
@@ -38,7 +38,7 @@
         response: &mut Response,
         _flow: &mut FlowCtrl,
     ) {
-        let id = self.0.draw_request();
+        let id = self.0.new_request_id();
         self.0.metrics.requests.inc();
         let header = HeaderValue::from_str(&id.to_string());
         if let Ok(value) = header {
