--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -74,7 +74,7 @@
     }
 
     /// Why the daemon takes no callers, unless it does.
-    pub fn unready(&self) -> Option<&'static str> {
+    pub fn unready_reason(&self) -> Option<&'static str> {
         if *self.stopping.borrow() {
             return Some("stopping");
         }
--- a/crates/daemon/src/entry/handlers.rs
+++ b/crates/daemon/src/entry/handlers.rs
@@ -107,7 +107,7 @@
 
     /// Reads and classifies a request; the body is read only if the key is known.
     async fn read_job(&self, id: RequestId, request: &mut Request) -> Result<Job, Box<Problem>> {
-        if self.0.unready() == Some(NO_CONFIGURATION) {
+        if self.0.unready_reason() == Some(NO_CONFIGURATION) {
             let problem = Problem::new(Reason::NotReady);
             return Err(Box::new(problem.with_detail(NO_CONFIGURATION)));
         }
@@ -222,7 +222,7 @@
         response: &mut Response,
         _flow: &mut FlowCtrl,
     ) {
-        match self.0.unready() {
+        match self.0.unready_reason() {
             None => response.render("ready\n"),
             Some(reason) => {
                 response.status_code(StatusCode::SERVICE_UNAVAILABLE);
