--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -226,7 +226,7 @@
             }
             Action::Apply(config) => self.apply(*config),
             Action::Reject(why) => {
-                self.context.metrics.reject_part();
+                self.context.metrics.record_rejected_part();
                 log::warn!(target: "config", "config: {why}");
             }
             Action::Wait(until) => self.wake = Some(until),
--- a/crates/daemon/src/dispatcher.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -102,7 +102,7 @@
             _ => false,
         };
         if !held {
-            self.metrics.stray(kind);
+            self.metrics.record_stray(kind);
         }
     }
 
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -77,7 +77,7 @@
         if !context.limits.take_retry(running.job.pool.clone()).await {
             return Err(failure.without_retry());
         }
-        context.metrics.retry(failure.reason);
+        context.metrics.record_retry(failure.reason);
         let outcome = failure.outcome;
         let retried = run(context, running.job).await;
         running = retried.map_err(|failure| failure.with_earlier(outcome))?;
--- a/crates/daemon/src/entry/connections.rs
+++ b/crates/daemon/src/entry/connections.rs
@@ -101,6 +101,6 @@
         let received = self.received.load(Ordering::Relaxed);
         self.all
             .metrics
-            .unserved(if received { BROKEN } else { SILENT });
+            .record_unserved(if received { BROKEN } else { SILENT });
     }
 }
--- a/crates/daemon/src/entry/flight.rs
+++ b/crates/daemon/src/entry/flight.rs
@@ -60,7 +60,7 @@
 
     /// Records that the request was refused or cut short.
     pub fn failed(&mut self, failure: &Failure) {
-        self.context.metrics.refuse(failure.reason);
+        self.context.metrics.record_refusal(failure.reason);
         self.end(State::Failed {
             code: failure.reason,
             outcome: failure.outcome,
@@ -91,7 +91,7 @@
         if self.ended {
             return;
         }
-        self.context.metrics.refuse(Reason::Cancelled);
+        self.context.metrics.record_refusal(Reason::Cancelled);
         self.end(State::Failed {
             code: Reason::Cancelled,
             outcome: Outcome::Unknown,
--- a/crates/daemon/src/entry/handlers.rs
+++ b/crates/daemon/src/entry/handlers.rs
@@ -151,7 +151,7 @@
 
     /// Counts and records a request that was refused before it was sent to a home.
     fn record_refusal(&self, id: RequestId, problem: &Problem) {
-        self.0.metrics.refuse(problem.reason());
+        self.0.metrics.record_refusal(problem.reason());
         let state = State::Failed {
             code: problem.reason(),
             outcome: Outcome::NotRun,
@@ -176,7 +176,7 @@
         match state {
             Ok(state) => write_json(response, &state),
             Err(problem) => {
-                self.0.metrics.refuse(problem.reason());
+                self.0.metrics.record_refusal(problem.reason());
                 problem.write(response);
             }
         }
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -65,7 +65,7 @@
         if !context.limits.take_retry(job.pool.clone()).await {
             return Err(failure.without_retry());
         }
-        context.metrics.retry(failure.reason);
+        context.metrics.record_retry(failure.reason);
         log::info!(target: "entry", "entry: {} retried after {}", job.request, failure.reason);
         tried.extend(failure.endpoint);
         lost.extend(failure.lost);
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -243,12 +243,12 @@
     }
 
     /// Says where control traffic is counted; only the first call has an effect.
-    pub fn watch_control(&self, sources: ControlSources) {
+    pub fn set_control_sources(&self, sources: ControlSources) {
         let _ = self.control.set(sources);
     }
 
     /// Counts a statement by what became of it.
-    pub fn statement(&self, verdict: Verdict) {
+    pub fn record_statement(&self, verdict: Verdict) {
         let verdict = verdict.to_string();
         self.statements
             .get_or_create(&VerdictLabel { verdict })
@@ -256,12 +256,12 @@
     }
 
     /// Counts a head or part that can't be used.
-    pub fn reject_part(&self) {
+    pub fn record_rejected_part(&self) {
         self.rejected_parts.inc();
     }
 
     /// Counts a refusal.
-    pub fn refuse(&self, reason: Reason) {
+    pub fn record_refusal(&self, reason: Reason) {
         let label = ReasonLabel {
             reason: reason.code(),
         };
@@ -269,12 +269,12 @@
     }
 
     /// Counts a connection that brought no request.
-    pub fn unserved(&self, reason: &'static str) {
+    pub fn record_unserved(&self, reason: &'static str) {
         self.unserved.get_or_create(&ReasonLabel { reason }).inc();
     }
 
     /// Counts a further try.
-    pub fn retry(&self, reason: Reason) {
+    pub fn record_retry(&self, reason: Reason) {
         let label = ReasonLabel {
             reason: reason.code(),
         };
@@ -282,7 +282,7 @@
     }
 
     /// Counts a frame that nobody waits for.
-    pub fn stray(&self, kind: &'static str) {
+    pub fn record_stray(&self, kind: &'static str) {
         self.stray.get_or_create(&KindLabel { kind }).inc();
     }
 
--- a/crates/daemon/src/operators/run.rs
+++ b/crates/daemon/src/operators/run.rs
@@ -23,7 +23,7 @@
 pub async fn run(context: Arc<Context>, request: Request) -> Answer {
     let answer = answer(&context, &request).await;
     for result in &answer.results {
-        context.metrics.statement(result.verdict);
+        context.metrics.record_statement(result.verdict);
     }
     answer
 }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -250,7 +250,7 @@
     let links = Links::start(listener, identity, Arc::clone(&handler));
     let peers = Peers::new(me.clone(), handler, links, channels.view.clone());
     let platform = platform::Client::new(platform_settings(&settings));
-    metrics.watch_control(ControlSources {
+    metrics.set_control_sources(ControlSources {
         links: peers.links().clone(),
         platform: platform.clone(),
         config: channels.config.clone(),
