--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -14,7 +14,7 @@
 use crate::home;
 use crate::limits;
 use crate::metrics::Metrics;
-use crate::operators::Questions;
+use crate::operators::StateQueries;
 use crate::peers::Peers;
 use crate::settings::Settings;
 
@@ -38,7 +38,7 @@
     /// Tries of this entry that wait for an answer.
     pub attempts: AttemptTable,
     /// Questions of operators that wait for other daemons.
-    pub questions: Questions,
+    pub state_queries: StateQueries,
     /// What became of requests.
     pub tracker: Tracker,
     /// What became of requests that other daemons took.
--- a/crates/daemon/src/dispatcher.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -12,7 +12,7 @@
 use crate::home;
 use crate::limits;
 use crate::metrics::Metrics;
-use crate::operators::Questions;
+use crate::operators::StateQueries;
 
 /// Where messages go.
 pub struct Dispatcher {
@@ -22,7 +22,7 @@
     pub strays: StrayFrames,
     /// The claims task.
     pub claims: claims::Handle,
-    /// Questions for the state of requests.
+    /// StateQueries for the state of requests.
     pub states: RequestStates,
     /// The limits task.
     pub limits: limits::Handle,
@@ -33,7 +33,7 @@
     /// The configuration task.
     pub configuration: configuration::Handle,
     /// Questions of this daemon's operators to others.
-    pub questions: Questions,
+    pub state_queries: StateQueries,
     /// Counters.
     pub metrics: Arc<Metrics>,
 }
@@ -83,7 +83,7 @@
             Body::Moved(moved) => self.home.moved(moved),
             Body::Placed(placed) => self.home.placed(placed),
             Body::StateAsk(ask) => self.home.state_requested(from.clone(), ask),
-            Body::StateAnswer(answer) => self.questions.deliver(answer),
+            Body::StateAnswer(answer) => self.state_queries.deliver(answer),
             Body::PartAsk(ask) => {
                 let asked = configuration::Message::Asked(from.clone(), ask);
                 self.configuration.send(asked)
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -7,10 +7,10 @@
 
 mod change;
 mod handler;
-mod questions;
+mod state_queries;
 mod run;
 mod show;
 mod wait;
 
 pub use handler::Operators;
-pub use questions::Questions;
+pub use state_queries::StateQueries;
--- a/crates/daemon/src/operators/show/homes.rs
+++ b/crates/daemon/src/operators/show/homes.rs
@@ -14,7 +14,7 @@
     let mut rows = context.home.show().await;
     let others = rows.iter().filter(|row| row.in_flight.is_none());
     let homes: BTreeSet<_> = others.filter_map(|row| row.home.clone()).collect();
-    let states = context.questions.ask(context, homes).await;
+    let states = context.state_queries.ask(context, homes).await;
     let states: BTreeMap<_, _> = states
         .into_iter()
         .map(|state| (state.endpoint.clone(), state))
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/state_queries.rs
@@ -16,11 +16,11 @@
 
 /// Table of questions by number. Cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub struct Questions {
+pub struct StateQueries {
     table: Arc<Mutex<HashMap<u64, mpsc::UnboundedSender<StateAnswer>>>>,
 }
 
-impl Questions {
+impl StateQueries {
     /// Hands an answer to who waits for it; false if nobody does.
     pub fn deliver(&self, answer: StateAnswer) -> bool {
         let table = self.lock();
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -29,7 +29,7 @@
 use crate::home;
 use crate::limits;
 use crate::metrics::{ControlSources, Metrics};
-use crate::operators::Questions;
+use crate::operators::StateQueries;
 use crate::peers::Peers;
 use crate::settings::{Settings, SettingsError};
 use crate::dispatcher::Dispatcher;
@@ -233,9 +233,9 @@
     let identity = identity(&settings, &me, address);
     let metrics = Arc::new(Metrics::new());
     let attempts = AttemptTable::new(metrics.buffered.clone());
-    let questions = Questions::default();
+    let state_queries = StateQueries::default();
     let dispatcher = Dispatcher {
-        questions: questions.clone(),
+        state_queries: state_queries.clone(),
         attempts: attempts.clone(),
         strays: channels.strays.clone(),
         states: channels.states.clone(),
@@ -263,7 +263,7 @@
         peers,
         attempts,
         tracker: Tracker::default(),
-        questions,
+        state_queries,
         states: channels.states,
         stopping: channels.stopping,
         home: channels.home,
