--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -136,7 +136,7 @@
     /// Set to stop.
     pub stopping: watch::Sender<bool>,
     /// How many peers know that it leaves.
-    pub farewell: watch::Receiver<usize>,
+    pub leave_acks: watch::Receiver<usize>,
 }
 
 async fn start(settings: Settings) -> Result<Running> {
@@ -278,13 +278,13 @@
 }
 
 fn spawn(context: &Arc<Context>, address: SocketAddr, ends: Ends) -> Running {
-    let (farewell_sender, farewell) = watch::channel(0);
+    let (leave_acks_sender, leave_acks) = watch::channel(0);
     let (generation, generations) = mpsc::unbounded_channel();
     let outputs = Outputs {
         view: ends.view,
         home: context.home.clone(),
         generation,
-        leave_acks: farewell_sender,
+        leave_acks: leave_acks_sender,
     };
     let links = context.peers.links().clone();
     let members = fleet::Task::new(membership(context, address), links, outputs);
@@ -305,7 +305,7 @@
         context: Arc::clone(context),
         server: None,
         stopping: ends.stopping,
-        farewell,
+        leave_acks,
     }
 }
 
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -38,9 +38,9 @@
     }
     running.context.claims.stop().await;
     running.context.fleet_task.send(Message::Depart);
-    running.farewell.mark_unchanged();
+    running.leave_acks.mark_unchanged();
     // Peers that don't hear of it find out by themselves.
-    let _ = timeout(FAREWELL.as_duration(), running.farewell.changed()).await;
+    let _ = timeout(FAREWELL.as_duration(), running.leave_acks.changed()).await;
     log::info!(target: "stop", "stop: done");
 }
 
