--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: the right to run a non-idempotent request at most once.
+//! Claims ensure that a non-idempotent request runs at most once.
 //!
-//! One task drives the machines of `medlarrill-core`: the shards that this
+//! One task drives the state machines of `medlarrill-core`: the shards that this
 //! daemon owns and the claimant of its own requests. Calls to the platform run
-//! beside it and come back as messages, each exactly once.
+//! in tasks of their own; each sends its reply back exactly once.
 
 mod calls;
 mod handle;
@@ -13,5 +13,5 @@
 pub use message::Message;
 pub use task::Task;
 
-/// Shards of the claim log; the same on every daemon, for good.
+/// Number of shards of the claim log; the same on every daemon, and must never change.
 pub const SHARDS: u16 = 32;
--- a/crates/daemon/src/claims/message.rs
+++ b/crates/daemon/src/claims/message.rs
@@ -1,4 +1,4 @@
-//! What the claims task is told.
+//! Messages to the claims task.
 
 use bytes::Bytes;
 use medlarrill_core::claims::{CallId, End, Reply, Start};
@@ -9,31 +9,31 @@
 
 use super::handle::Decision;
 
-/// One message.
+/// A message to the claims task.
 #[derive(Debug)]
 pub enum Message {
-    /// A caller's request wants to run.
+    /// A caller's request asks to run.
     Start(Start, oneshot::Sender<Decision>),
     /// A request that was allowed to run has ended.
     Ended(RequestId, End),
-    /// A claimant asks an owner.
-    Ask(ClaimAsk),
-    /// An owner answers.
-    Answer(ClaimAnswer),
-    /// A claimant asks what became of a key.
-    KeyAsk(PeerId, KeyAsk),
-    /// A claimant says what became of a key.
-    KeyAnswer(KeyAnswer),
-    /// A question could not be sent.
-    AskLost(u64),
-    /// A question to another claimant could not be sent.
-    KeyAskLost(u64),
-    /// A peer process is gone.
+    /// A claimant requests a claim from this daemon as owner.
+    ClaimRequested(ClaimAsk),
+    /// An owner answers a claim request.
+    ClaimAnswered(ClaimAnswer),
+    /// Another claimant queries the state of a key.
+    KeyQueried(PeerId, KeyAsk),
+    /// Another claimant answers a query for a key.
+    KeyAnswered(KeyAnswer),
+    /// A claim request, by number, could not be sent.
+    ClaimRequestLost(u64),
+    /// A query for a key, by number, could not be sent.
+    KeyQueryLost(u64),
+    /// The link to a peer process is closed.
     PeerLost(PeerId),
-    /// The platform replied to a call of a shard.
+    /// The platform replied to a call for a shard.
     Replied(u16, CallId, Reply),
-    /// The object that a claimant left.
-    Farewell(Incarnation, Option<Bytes>),
-    /// The daemon stops; the answer comes once its last word is written.
+    /// The shutdown record of a claimant; `None` if it could not be read.
+    ShutdownRecord(Incarnation, Option<Bytes>),
+    /// The daemon stops; replies once its shutdown record is written.
     Stop(oneshot::Sender<()>),
 }
--- a/crates/daemon/src/claims/task.rs
+++ b/crates/daemon/src/claims/task.rs
@@ -1,4 +1,4 @@
-//! The claims task: drives shards and claimant.
+//! The claims task: drives the shards of the claim log and the claimant.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,15 +22,15 @@
 use crate::context::Context;
 use crate::fleet::FleetView;
 
-/// How long a last word is kept after the longest key.
-const FAREWELL_KEPT: Millis = Millis::from_secs(7 * 24 * 3600);
-/// Longest sleep, so that the wall clock is told now and then.
-const LONGEST_SLEEP: Millis = Millis(1000);
+/// Retention of a shutdown record, beyond the longest lifetime of a key.
+const SHUTDOWN_RECORD_RETENTION: Millis = Millis::from_secs(7 * 24 * 3600);
+/// Maximum time between ticks, which pass the wall clock to the shards.
+const MAX_SLEEP: Millis = Millis(1000);
 
-/// A question to another daemon.
-struct Asked {
+/// A request to another daemon that waits for its answer.
+struct Pending {
     to: DaemonId,
-    /// Whether it went to another claimant rather than to an owner.
+    /// Whether it is a key query to a claimant rather than a claim request to an owner.
     is_key: bool,
 }
 
@@ -40,11 +40,11 @@
     shards: Vec<ShardLog>,
     claimant: Claimant,
     waiting: HashMap<RequestId, oneshot::Sender<Decision>>,
-    asked: HashMap<u64, Asked>,
+    pending: HashMap<u64, Pending>,
 }
 
 impl Task {
-    /// A task that owns no shard yet.
+    /// Creates a task that owns no shard yet.
     pub fn new(context: Arc<Context>) -> Self {
         let me = Member {
             daemon: context.me.daemon.clone(),
@@ -55,81 +55,83 @@
             shards: (0..SHARDS).map(shard).collect(),
             claimant: Claimant::new(me),
             waiting: HashMap::new(),
-            asked: HashMap::new(),
+            pending: HashMap::new(),
             context,
         }
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every handle is dropped.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let mut fleet = self.context.fleet.clone();
         let mut stopping = self.context.stopping.clone();
         loop {
-            let wake = Instant::now() + self.sleep().as_duration();
+            let wake = Instant::now() + self.sleep_time().as_duration();
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Ok(()) = fleet.changed() => self.settle(&mut fleet),
-                Ok(()) = stopping.changed() => self.settle(&mut fleet),
+                Ok(()) = fleet.changed() => self.update_ownership(&mut fleet),
+                Ok(()) = stopping.changed() => self.update_ownership(&mut fleet),
                 () = sleep_until(wake) => self.tick(),
             }
         }
     }
 
-    /// Time until a machine wants a tick.
-    fn sleep(&self) -> Millis {
+    /// Time until the next tick of a shard or the claimant is due.
+    fn sleep_time(&self) -> Millis {
         let wakes = self.shards.iter().map(ShardLog::wake);
         let next = wakes.chain([self.claimant.wake()]).min();
         next.unwrap_or(Millis::MAX)
             .since(now())
-            .clamp(Millis(1), LONGEST_SLEEP)
+            .clamp(Millis(1), MAX_SLEEP)
     }
 
     fn tick(&mut self) {
         for shard in 0..SHARDS {
-            self.drive(shard, LogEvent::Tick { wall: wall() });
+            self.drive_shard(shard, LogEvent::Tick { wall: wall() });
         }
-        self.claim(ClaimantEvent::Tick);
+        self.drive_claimant(ClaimantEvent::Tick);
     }
 
-    /// Decides which shards this daemon owns. One that was paused owns none until it has heard again.
-    fn settle(&mut self, fleet: &mut watch::Receiver<Arc<FleetView>>) {
+    /// Decides which shards this daemon owns. After a pause it owns none until its view of the fleet is fresh again.
+    fn update_ownership(&mut self, fleet: &mut watch::Receiver<Arc<FleetView>>) {
         let view = fleet.borrow_and_update().clone();
-        let able = view.fresh && !*self.context.stopping.borrow();
+        let eligible = view.fresh && !*self.context.stopping.borrow();
         for shard in 0..SHARDS {
             let owner = owner_of(&view, shard);
-            let own = able && owner == Some(&self.context.me.daemon);
-            self.drive(shard, LogEvent::Own(own));
+            let own = eligible && owner == Some(&self.context.me.daemon);
+            self.drive_shard(shard, LogEvent::Own(own));
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Start(start, sender) => self.start(start, sender),
-            Message::Ended(request, end) => self.claim(ClaimantEvent::Ended { request, end }),
-            Message::Ask(ask) => self.asked_as_owner(ask),
-            Message::Answer(answer) => {
-                self.asked.remove(&answer.ask);
-                self.claim(ClaimantEvent::Answer(answer));
+            Message::Ended(request, end) => {
+                self.drive_claimant(ClaimantEvent::Ended { request, end })
             }
-            Message::KeyAsk(from, ask) => self.claim(ClaimantEvent::KeyAsked {
+            Message::ClaimRequested(ask) => self.handle_claim_request(ask),
+            Message::ClaimAnswered(answer) => {
+                self.pending.remove(&answer.ask);
+                self.drive_claimant(ClaimantEvent::Answer(answer));
+            }
+            Message::KeyQueried(from, ask) => self.drive_claimant(ClaimantEvent::KeyAsked {
                 from: from.daemon.to_string(),
                 ask,
             }),
-            Message::KeyAnswer(answer) => {
-                self.asked.remove(&answer.ask);
-                self.claim(ClaimantEvent::KeyAnswer(answer));
+            Message::KeyAnswered(answer) => {
+                self.pending.remove(&answer.ask);
+                self.drive_claimant(ClaimantEvent::KeyAnswer(answer));
             }
-            Message::AskLost(ask) => self.lost(ask, false),
-            Message::KeyAskLost(ask) => self.lost(ask, true),
+            Message::ClaimRequestLost(number) => self.request_lost(number, false),
+            Message::KeyQueryLost(number) => self.request_lost(number, true),
             Message::PeerLost(peer) => self.peer_lost(&peer),
             Message::Replied(shard, call, reply) => {
-                self.drive(shard, LogEvent::Reply { call, reply });
+                self.drive_shard(shard, LogEvent::Reply { call, reply });
             }
-            Message::Farewell(claimant, bytes) => {
-                self.claim(ClaimantEvent::Farewell { claimant, bytes });
+            Message::ShutdownRecord(claimant, bytes) => {
+                self.drive_claimant(ClaimantEvent::Farewell { claimant, bytes });
             }
             Message::Stop(done) => self.stop(done),
         }
@@ -137,45 +139,45 @@
 
     fn start(&mut self, start: Start, sender: oneshot::Sender<Decision>) {
         self.waiting.insert(start.request, sender);
-        self.claim(ClaimantEvent::Start(start));
+        self.drive_claimant(ClaimantEvent::Start(start));
     }
 
-    fn lost(&mut self, ask: u64, is_key: bool) {
-        self.asked.remove(&ask);
-        self.claim(match is_key {
-            true => ClaimantEvent::KeyAskLost { ask },
-            false => ClaimantEvent::AskLost { ask },
+    fn request_lost(&mut self, number: u64, is_key: bool) {
+        self.pending.remove(&number);
+        self.drive_claimant(match is_key {
+            true => ClaimantEvent::KeyAskLost { ask: number },
+            false => ClaimantEvent::AskLost { ask: number },
         });
     }
 
     fn peer_lost(&mut self, peer: &PeerId) {
-        let with = |(ask, asked): (&u64, &Asked)| {
-            (asked.to == peer.daemon).then_some((*ask, asked.is_key))
+        let with = |(number, pending): (&u64, &Pending)| {
+            (pending.to == peer.daemon).then_some((*number, pending.is_key))
         };
-        let lost: Vec<_> = self.asked.iter().filter_map(with).collect();
-        for (ask, is_key) in lost {
-            self.lost(ask, is_key);
+        let lost: Vec<_> = self.pending.iter().filter_map(with).collect();
+        for (number, is_key) in lost {
+            self.request_lost(number, is_key);
         }
     }
 
-    fn asked_as_owner(&mut self, ask: ClaimAsk) {
+    fn handle_claim_request(&mut self, ask: ClaimAsk) {
         let Ok(key) = KeyHash::from_bytes(&ask.key) else {
-            log::warn!(target: "claims", "claims: {} asks for a key of the wrong length", ask.daemon);
+            log::warn!(target: "claims", "claims: {} sent a claim request with a key of the wrong length", ask.daemon);
             return;
         };
-        self.drive(shard_of(&key, SHARDS), LogEvent::Ask(ask));
+        self.drive_shard(shard_of(&key, SHARDS), LogEvent::Ask(ask));
     }
 
-    fn drive(&mut self, shard: u16, event: LogEvent) {
+    fn drive_shard(&mut self, shard: u16, event: LogEvent) {
         let Some(log) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         for action in log.handle(event, now()) {
-            self.act_as_owner(shard, action);
+            self.apply_log_action(shard, action);
         }
     }
 
-    fn act_as_owner(&self, shard: u16, action: LogAction) {
+    fn apply_log_action(&self, shard: u16, action: LogAction) {
         let context = Arc::clone(&self.context);
         if let LogAction::Answer { to, answer, .. } = action {
             self.send(&to, Body::ClaimAnswer(answer), None);
@@ -203,16 +205,16 @@
         });
     }
 
-    fn claim(&mut self, event: ClaimantEvent) {
+    fn drive_claimant(&mut self, event: ClaimantEvent) {
         for action in self.claimant.handle(event, now()) {
-            self.act_as_claimant(action);
+            self.apply_claimant_action(action);
         }
     }
 
-    fn act_as_claimant(&mut self, action: ClaimantAction) {
+    fn apply_claimant_action(&mut self, action: ClaimantAction) {
         match action {
-            ClaimantAction::Ask(ask) => self.ask(ask),
-            ClaimantAction::AskKey { to, ask } => self.ask_key(&to, ask),
+            ClaimantAction::Ask(ask) => self.request_claim(ask),
+            ClaimantAction::AskKey { to, ask } => self.query_key(&to, ask),
             ClaimantAction::Dispatch { request } => self.decide(request, Decision::Dispatch),
             ClaimantAction::Refuse { request, reason } => {
                 self.decide(request, Decision::Refuse(reason));
@@ -224,27 +226,29 @@
             ClaimantAction::ReadFarewell { claimant } => {
                 let context = Arc::clone(&self.context);
                 tokio::spawn(async move {
-                    let bytes = calls::farewell(&context.platform, claimant).await;
-                    context.claims.send(Message::Farewell(claimant, bytes));
+                    let bytes = calls::read_shutdown_record(&context.platform, claimant).await;
+                    context
+                        .claims
+                        .send(Message::ShutdownRecord(claimant, bytes));
                 });
             }
         }
     }
 
-    /// Hands a decision to the request's own task. If that is gone, nothing was sent.
+    /// Sends a decision to the request's own task. If that has ended, nothing was sent to an endpoint.
     fn decide(&mut self, request: RequestId, decision: Decision) {
         let runs = decision == Decision::Dispatch;
-        let told = match self.waiting.remove(&request) {
+        let delivered = match self.waiting.remove(&request) {
             Some(sender) => sender.send(decision).is_ok(),
             None => false,
         };
-        if runs && !told {
+        if runs && !delivered {
             let end = End::NotRun;
             self.context.claims.ended(request, end);
         }
     }
 
-    fn ask(&mut self, ask: ClaimAsk) {
+    fn request_claim(&mut self, ask: ClaimAsk) {
         let number = ask.ask;
         let owner = {
             let view = self.context.fleet.borrow();
@@ -254,34 +258,34 @@
         };
         match owner {
             Some(owner) => {
-                let asked = Asked {
+                let pending = Pending {
                     to: owner.clone(),
                     is_key: false,
                 };
-                self.asked.insert(number, asked);
-                let lost = Message::AskLost(number);
+                self.pending.insert(number, pending);
+                let lost = Message::ClaimRequestLost(number);
                 self.send(owner.as_str(), Body::ClaimAsk(ask), Some(lost));
             }
             None => {
-                self.context.claims.send(Message::AskLost(number));
+                self.context.claims.send(Message::ClaimRequestLost(number));
             }
         }
     }
 
-    fn ask_key(&mut self, to: &str, ask: KeyAsk) {
+    fn query_key(&mut self, to: &str, ask: KeyAsk) {
         let number = ask.ask;
-        let lost = Message::KeyAskLost(number);
+        let lost = Message::KeyQueryLost(number);
         if let Ok(daemon) = to.parse() {
-            let asked = Asked {
+            let pending = Pending {
                 to: daemon,
                 is_key: true,
             };
-            self.asked.insert(number, asked);
+            self.pending.insert(number, pending);
         }
         self.send(to, Body::KeyAsk(ask), Some(lost));
     }
 
-    /// Sends a message; tells this task if it can't go.
+    /// Sends a message; if that fails, sends `lost` to this task.
     fn send(&self, to: &str, body: Body, lost: Option<Message>) {
         let context = Arc::clone(&self.context);
         let to = to.parse::<DaemonId>();
@@ -296,23 +300,23 @@
         });
     }
 
-    /// Ends all that isn't running, and leaves word of what ran.
+    /// Refuses all requests that aren't running, and writes the shutdown record.
     fn stop(&mut self, done: oneshot::Sender<()>) {
-        self.claim(ClaimantEvent::Stop);
-        let expiry = wall() + FAREWELL_KEPT;
+        self.drive_claimant(ClaimantEvent::Stop);
+        let expiry = wall() + SHUTDOWN_RECORD_RETENTION;
         let claimant = self.context.me.incarnation;
-        let farewell = Farewell::new(claimant, self.claimant.account(), None, expiry);
+        let record = Farewell::new(claimant, self.claimant.account(), None, expiry);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
-            if !farewell.is_empty() {
-                calls::leave(&context.platform, claimant, &farewell).await;
+            if !record.is_empty() {
+                calls::write_shutdown_record(&context.platform, claimant, &record).await;
             }
             let _ = done.send(());
         });
     }
 }
 
-/// The daemon that owns a shard by a view.
+/// The daemon that owns a shard according to a view.
 fn owner_of(view: &FleetView, shard: u16) -> Option<&DaemonId> {
     view.placement.owner_of(key_of(&format!("claims/{shard}")))
 }
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -1,9 +1,9 @@
-//! The configuration in force: how it comes here, and the view of it.
+//! Synchronises the configuration in force and indexes it for requests.
 //!
-//! `task` drives the core's `Spread`: it hears from the fleet task which
-//! generations peers have, asks them for parts, and reads the platform where
-//! this daemon watches for its data centre. `follow` waits for changes of the
-//! platform's head, `sweep` deletes parts that no head names any more.
+//! `task` drives the core's `Spread`: it receives the generations of peers from
+//! the membership task, requests parts from them, and reads the platform if this
+//! daemon is a watcher of its data centre. `follow` waits for changes of the head
+//! on the platform, `sweep` deletes parts that no head references any more.
 
 mod follow;
 mod handle;
--- a/crates/daemon/src/configuration/follow.rs
+++ b/crates/daemon/src/configuration/follow.rs
@@ -1,4 +1,4 @@
-//! Waits for changes of the platform's head, while this daemon watches.
+//! Follows changes of the head on the platform, while this daemon is a watcher.
 
 use medlarrill_core::change::HEAD_KEY;
 use medlarrill_net::platform::{Client, Follow, Role};
@@ -6,14 +6,14 @@
 
 use super::handle::{Handle, Message};
 
-/// Tells the task of every change until dropped.
+/// Notifies the task of every change until dropped.
 ///
-/// What is listed first, also after a gap, counts as a change.
+/// The first listing counts as a change, also after an interruption.
 pub fn follow(platform: &Client, task: Handle) -> AbortOnDropHandle<()> {
     let mut follower = platform.follow(Follow::new(Role::Watch, HEAD_KEY));
     AbortOnDropHandle::new(tokio::spawn(async move {
         while follower.next().await.is_some() {
-            if !task.send(Message::Changed) {
+            if !task.send(Message::HeadChanged) {
                 return;
             }
         }
--- a/crates/daemon/src/configuration/handle.rs
+++ b/crates/daemon/src/configuration/handle.rs
@@ -1,4 +1,4 @@
-//! Sends to the configuration task.
+//! The configuration task's messages, and the handle that sends them.
 
 use bytes::Bytes;
 use medlarrill_core::change::Digest;
@@ -10,33 +10,33 @@
 
 use crate::mailbox::Mailbox;
 
-/// What the configuration task is told.
+/// Messages to the configuration task.
 #[derive(Debug)]
 pub enum Message {
-    /// A peer asks for parts.
-    Asked(PeerId, PartAsk),
-    /// A peer answers.
-    Answered(PeerId, PartAnswer),
-    /// A peer can't be asked, or its link is down.
-    Lost(PeerId),
-    /// The platform's head may have changed.
-    Changed,
-    /// The platform's head was read; `None` if there is none.
-    Head(platform::Result<Option<Stored>>),
+    /// A peer requests parts.
+    PartRequested(PeerId, PartAsk),
+    /// A peer answers a request for parts.
+    PartAnswered(PeerId, PartAnswer),
+    /// A request could not be sent to a peer, or its link is down.
+    PeerLost(PeerId),
+    /// The head on the platform may have changed.
+    HeadChanged,
+    /// The head was read from the platform; `None` if there is none.
+    HeadRead(platform::Result<Option<Stored>>),
     /// A part was read from the platform; `None` if there is none.
-    Part(Digest, platform::Result<Option<Bytes>>),
-    /// A head that this daemon has written, with parts of it.
-    Written(Bytes, Vec<Bytes>),
-    /// Asks for the parts that are held.
-    Held(oneshot::Sender<Vec<Bytes>>),
+    PartRead(Digest, platform::Result<Option<Bytes>>),
+    /// This daemon has written a head; with parts of it.
+    HeadWritten(Bytes, Vec<Bytes>),
+    /// Requests the parts held here, as stored.
+    Parts(oneshot::Sender<Vec<Bytes>>),
 }
 
-/// Sends to the configuration task.
+/// Sends messages to the configuration task. Cheap to clone.
 pub type Handle = Mailbox<Message>;
 
 impl Handle {
     /// Parts of the configuration in force, as stored; none if the task has ended.
     pub async fn parts(&self) -> Vec<Bytes> {
-        self.request(Message::Held).await.unwrap_or_default()
+        self.request(Message::Parts).await.unwrap_or_default()
     }
 }
--- a/crates/daemon/src/configuration/source.rs
+++ b/crates/daemon/src/configuration/source.rs
@@ -6,14 +6,14 @@
 use medlarrill_core::clock::Millis;
 use medlarrill_net::platform::{Client, Error, Object, Read, Result, Role};
 
-/// Longest wait for one answer.
+/// Timeout of one call.
 pub const CALL_TIMEOUT: Millis = Millis::from_secs(2);
 
 /// Reads the head; `None` if there is none.
 ///
 /// # Errors
 ///
-/// As the platform's client.
+/// Those of the platform's client.
 pub async fn read_head(platform: &Client, timeout: Millis) -> Result<Option<Stored>> {
     let object = read(platform, HEAD_KEY, timeout).await?;
     Ok(object.map(|object| Stored {
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// As the platform's client.
+/// Those of the platform's client.
 pub async fn read_part(
     platform: &Client,
     digest: Digest,
@@ -39,7 +39,7 @@
 async fn read(platform: &Client, key: &str, timeout: Millis) -> Result<Option<Object>> {
     match platform.get(Role::Config, key, None, timeout).await {
         Ok(Read::Object(object)) => Ok(Some(object)),
-        // Only asked for by a version, and none is given.
+        // Returned only if a version is given, and none is.
         Ok(Read::NotModified) | Err(Error::NotFound) => Ok(None),
         Err(error) => Err(error),
     }
--- a/crates/daemon/src/configuration/sweep.rs
+++ b/crates/daemon/src/configuration/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes stored parts that no head names any more, while this daemon watches.
+//! Deletes stored parts that no head references any more, while this daemon is a watcher.
 
 use medlarrill_core::change::changer::Stored;
 use medlarrill_core::change::sweep::{Action, Event, StoredPart};
@@ -11,50 +11,50 @@
 
 use super::source::{CALL_TIMEOUT, read_head};
 
-/// Keys in one page of a list.
-const PAGE: u32 = 1000;
+/// Maximum number of keys in one page of a listing.
+const PAGE_SIZE: u32 = 1000;
 
-/// A sweep that runs until dropped.
+/// Runs sweeps in the background until dropped.
 pub struct Sweeper {
-    seen: mpsc::UnboundedSender<Stored>,
+    heads: mpsc::UnboundedSender<Stored>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl Sweeper {
-    /// Starts a sweep.
+    /// Starts the background task.
     pub fn start(platform: Client) -> Self {
-        let (seen, receiver) = mpsc::unbounded_channel();
-        let run = Run {
+        let (heads, receiver) = mpsc::unbounded_channel();
+        let worker = Worker {
             platform,
             sweep: Sweep::new(rand::random()),
             wake: Millis::MAX,
         };
         Self {
-            seen,
-            _task: AbortOnDropHandle::new(tokio::spawn(run.run(receiver))),
+            heads,
+            _task: AbortOnDropHandle::new(tokio::spawn(worker.run(receiver))),
         }
     }
 
-    /// Tells the sweep of a head that was read.
-    pub fn saw(&self, stored: Stored) {
-        // The sweep ends only when dropped.
-        let _ = self.seen.send(stored);
+    /// Passes a head that was read to the sweep.
+    pub fn head_read(&self, stored: Stored) {
+        // The receiver ends only when the sweeper is dropped.
+        let _ = self.heads.send(stored);
     }
 }
 
-struct Run {
+struct Worker {
     platform: Client,
     sweep: Sweep,
     wake: Millis,
 }
 
-impl Run {
-    async fn run(mut self, mut seen: mpsc::UnboundedReceiver<Stored>) {
+impl Worker {
+    async fn run(mut self, mut heads: mpsc::UnboundedReceiver<Stored>) {
         self.drive(Event::Timer).await;
         loop {
             let pause = self.wake.since(now()).as_duration();
             let event = tokio::select! {
-                stored = seen.recv() => match stored {
+                stored = heads.recv() => match stored {
                     Some(stored) => Event::Seen(stored),
                     None => return,
                 },
@@ -71,12 +71,12 @@
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.sweep.handle(event, now()) {
-                events.extend(self.act(action).await);
+                events.extend(self.apply(action).await);
             }
         }
     }
 
-    async fn act(&mut self, action: Action) -> Option<Event> {
+    async fn apply(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Wait(until) => {
                 self.wake = until;
@@ -100,7 +100,7 @@
         loop {
             let page = self
                 .platform
-                .list(Role::Config, PART_PREFIX, &after, PAGE, CALL_TIMEOUT)
+                .list(Role::Config, PART_PREFIX, &after, PAGE_SIZE, CALL_TIMEOUT)
                 .await?;
             let Some(last) = page.entries.last().map(|entry| entry.key.clone()) else {
                 return Ok(parts);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A part that isn't deleted now is deleted by a later sweep.
+    /// Deletes a part; a later sweep retries it if that fails.
     async fn delete(&self, part: StoredPart) {
         let version = Version(part.version);
         let key = part.digest.key();
@@ -131,7 +131,7 @@
             .delete(Role::Config, &key, version, CALL_TIMEOUT);
         match deleted.await {
             Ok(()) => log::info!(target: "config", "config: deleted part {}", part.digest),
-            Err(error) => log::debug!(target: "config", "config: {key} is kept: {error}"),
+            Err(error) => log::debug!(target: "config", "config: {key} was not deleted: {error}"),
         }
     }
 }
--- a/crates/daemon/src/configuration/task.rs
+++ b/crates/daemon/src/configuration/task.rs
@@ -25,40 +25,40 @@
 use crate::context::Context;
 use crate::fleet::{self, FleetView};
 
-/// Daemons of a data centre that read the platform for it.
+/// Number of daemons of a data centre that watch the platform for it.
 const WATCHERS: usize = 2;
-/// How long a daemon without a configuration leaves the platform to others.
-const ALONE: Millis = Millis::from_secs(5);
+/// Time that a daemon without a configuration waits for peers before it reads the platform itself.
+const PEER_WAIT: Millis = Millis::from_secs(5);
 
 /// State of the configuration task.
 pub struct Task {
     context: Arc<Context>,
     handle: Handle,
     view: watch::Sender<Arc<ConfigView>>,
-    spread: Spread,
+    sync: Spread,
     fleet: Arc<FleetView>,
-    /// Peers by process, to find those that are gone.
-    known: BTreeMap<Incarnation, DaemonId>,
+    /// Names of the peers by incarnation, to detect lost ones.
+    names: BTreeMap<Incarnation, DaemonId>,
     watch: Option<Watch>,
     wake: Option<Millis>,
     started: Millis,
 }
 
-/// What runs only while this daemon watches.
+/// Background tasks that run only while this daemon is a watcher.
 struct Watch {
     sweeper: Sweeper,
     _follow: AbortOnDropHandle<()>,
 }
 
 impl Task {
-    /// A task without a configuration.
+    /// Creates a task without a configuration.
     pub fn new(context: Arc<Context>, view: watch::Sender<Arc<ConfigView>>) -> Self {
         Self {
             handle: context.configuration.clone(),
             view,
-            spread: Spread::new(rand::random()),
+            sync: Spread::new(rand::random()),
             fleet: Arc::default(),
-            known: BTreeMap::new(),
+            names: BTreeMap::new(),
             watch: None,
             wake: None,
             started: now(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every handle is dropped.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<Message>,
@@ -79,75 +79,75 @@
             let pause = wake.unwrap_or_default().since(now()).as_duration();
             tokio::select! {
                 message = messages.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 Some((peer, generation)) = generations.recv() => self.announced(&peer, generation),
                 Ok(()) = fleet.changed() => {
                     self.fleet = fleet.borrow_and_update().clone();
-                    self.regroup();
+                    self.update_peers();
                 }
                 () = tokio::time::sleep(pause), if wake.is_some() => self.drive(Event::Timer),
             }
-            self.rewatch();
+            self.update_watch();
         }
     }
 
-    /// When the machine, or the wait for others, is due.
+    /// The earlier of the timer of `Spread` and the end of the wait for peers.
     fn next_wake(&self) -> Option<Millis> {
-        let alone = self.started + ALONE;
-        let waiting = !self.spread.is_ready() && now() < alone;
-        let alone = waiting.then_some(alone);
-        [alone, self.wake].into_iter().flatten().min()
+        let deadline = self.started + PEER_WAIT;
+        let waiting = !self.sync.is_ready() && now() < deadline;
+        let deadline = waiting.then_some(deadline);
+        [deadline, self.wake].into_iter().flatten().min()
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Asked(from, ask) => self.serve(from, &ask),
-            Message::Answered(from, answer) => self.drive(Event::Answer {
+            Message::PartRequested(from, ask) => self.serve(from, &ask),
+            Message::PartAnswered(from, answer) => self.drive(Event::Answer {
                 peer: from.incarnation,
                 answer,
             }),
-            Message::Lost(peer) => self.drive(Event::Unanswered(peer.incarnation)),
-            Message::Changed => self.drive(Event::Changed),
-            Message::Head(read) => self.head(read),
-            Message::Part(digest, Ok(bytes)) => self.drive(Event::Part(digest, bytes)),
-            Message::Part(digest, Err(error)) => {
-                log::info!(target: "config", "config: no part from the platform: {error}");
+            Message::PeerLost(peer) => self.drive(Event::Unanswered(peer.incarnation)),
+            Message::HeadChanged => self.drive(Event::Changed),
+            Message::HeadRead(read) => self.head_read(read),
+            Message::PartRead(digest, Ok(bytes)) => self.drive(Event::Part(digest, bytes)),
+            Message::PartRead(digest, Err(error)) => {
+                log::info!(target: "config", "config: cannot read part from the platform: {error}");
                 self.drive(Event::PartLost(digest));
             }
-            Message::Written(head, parts) => self.drive(Event::Head { head, parts }),
-            Message::Held(reply) => {
-                // Who asked may have gone away.
-                let _ = reply.send(self.spread.parts().cloned().collect());
+            Message::HeadWritten(head, parts) => self.drive(Event::Head { head, parts }),
+            Message::Parts(reply) => {
+                // The requester may have gone away.
+                let _ = reply.send(self.sync.parts().cloned().collect());
             }
         }
     }
 
-    fn head(&mut self, read: platform::Result<Option<Stored>>) {
+    fn head_read(&mut self, read: platform::Result<Option<Stored>>) {
         match read {
             Ok(Some(stored)) => {
                 let head = stored.bytes.clone();
                 if let Some(watch) = &self.watch {
-                    watch.sweeper.saw(stored);
+                    watch.sweeper.head_read(stored);
                 }
                 let parts = Vec::new();
                 self.drive(Event::Head { head, parts });
             }
-            // The first head will show as a change.
+            // The first head will be reported as a change.
             Ok(None) => {}
             Err(error) => {
-                log::info!(target: "config", "config: no head from the platform: {error}");
+                log::info!(target: "config", "config: cannot read head from the platform: {error}");
                 self.drive(Event::HeadLost);
             }
         }
     }
 
     fn serve(&self, from: PeerId, ask: &PartAsk) {
-        let answer = self.spread.serve(ask);
+        let answer = self.sync.serve(ask);
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
-            // Who doesn't get an answer asks another peer.
+            // A peer that gets no answer asks another peer.
             let body = Body::PartAnswer(answer);
             let _ = context.peers.send(&from.daemon, body).await;
         });
@@ -155,7 +155,7 @@
 
     fn announced(&mut self, peer: &DaemonId, generation: Generation) {
         let Some(known) = self.fleet.peers.get(peer) else {
-            // Its heartbeats go on; by the next it may be known.
+            // It may be known by its next heartbeat.
             return;
         };
         let event = Event::Announced {
@@ -166,7 +166,7 @@
         self.drive(event);
     }
 
-    fn regroup(&mut self) {
+    fn update_peers(&mut self) {
         let own = self.context.me.incarnation;
         let fleet = Arc::clone(&self.fleet);
         let present: BTreeMap<_, _> = fleet
@@ -175,26 +175,29 @@
             .filter(|(_, peer)| peer.incarnation != own)
             .map(|(name, peer)| (peer.incarnation, name.clone()))
             .collect();
-        let gone: BTreeSet<_> = self.known.keys().copied().collect();
-        for peer in gone.into_iter().filter(|peer| !present.contains_key(peer)) {
+        let previous: BTreeSet<_> = self.names.keys().copied().collect();
+        for peer in previous
+            .into_iter()
+            .filter(|peer| !present.contains_key(peer))
+        {
             self.drive(Event::Gone(peer));
         }
-        self.known = present;
-        for name in self.known.clone().values() {
+        self.names = present;
+        for name in self.names.clone().values() {
             if let Some(peer) = fleet.peers.get(name) {
                 self.announced(name, peer.generation);
             }
         }
     }
 
-    /// Watches if this daemon is a watcher of its data centre, or nobody gives it a configuration.
-    fn rewatch(&mut self) {
-        let centre = &self.context.settings.data_centre;
+    /// Watches the platform if this daemon is a watcher of its data centre, or has received no configuration.
+    fn update_watch(&mut self) {
+        let data_centre = &self.context.settings.data_centre;
         let key = key_of(HEAD_KEY);
-        let owners = self.fleet.placement.owners_in(centre, key, WATCHERS);
+        let owners = self.fleet.placement.owners_in(data_centre, key, WATCHERS);
         let chosen = owners.contains(&&self.context.me.daemon);
-        let alone = !self.spread.is_ready() && now() >= self.started + ALONE;
-        let watching = chosen || alone;
+        let timed_out = !self.sync.is_ready() && now() >= self.started + PEER_WAIT;
+        let watching = chosen || timed_out;
         if watching == self.watch.is_some() {
             return;
         }
@@ -208,34 +211,34 @@
 
     fn drive(&mut self, event: Event) {
         self.wake = None;
-        for action in self.spread.handle(event, now()) {
-            self.act(action);
+        for action in self.sync.handle(event, now()) {
+            self.apply_action(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Ask { peer, ask } => self.ask(peer, ask),
+            Action::Ask { peer, ask } => self.request_parts(peer, ask),
             Action::ReadHead => self.read_head(),
             Action::ReadPart(digest) => {
                 let (platform, handle) = (self.context.platform.clone(), self.handle.clone());
                 tokio::spawn(async move {
                     let read = read_part(&platform, digest, CALL_TIMEOUT).await;
-                    handle.send(Message::Part(digest, read));
+                    handle.send(Message::PartRead(digest, read));
                 });
             }
             Action::Apply(config) => self.apply(*config),
-            Action::Reject(why) => {
+            Action::Reject(reason) => {
                 self.context.metrics.record_rejected_part();
-                log::warn!(target: "config", "config: {why}");
+                log::warn!(target: "config", "config: {reason}");
             }
             Action::Wait(until) => self.wake = Some(until),
         }
     }
 
-    fn ask(&self, peer: Incarnation, ask: PartAsk) {
-        let Some(name) = self.known.get(&peer).cloned() else {
-            // Its time to answer runs out, and another is asked.
+    fn request_parts(&self, peer: Incarnation, ask: PartAsk) {
+        let Some(name) = self.names.get(&peer).cloned() else {
+            // Its request times out, and another peer is asked.
             return;
         };
         let context = Arc::clone(&self.context);
@@ -246,7 +249,7 @@
                     daemon: name,
                     incarnation: peer,
                 };
-                handle.send(Message::Lost(peer));
+                handle.send(Message::PeerLost(peer));
             }
         });
     }
@@ -255,7 +258,7 @@
         let (platform, handle) = (self.context.platform.clone(), self.handle.clone());
         tokio::spawn(async move {
             let read = read_head(&platform, CALL_TIMEOUT).await;
-            handle.send(Message::Head(read));
+            handle.send(Message::HeadRead(read));
         });
     }
 
@@ -264,7 +267,7 @@
         log::info!(target: "config", "config: generation {generation} is in force");
         self.view.send_replace(Arc::new(ConfigView::new(config)));
         self.context.metrics.applied.inc();
-        let told = fleet::Message::InForce(generation);
-        self.context.fleet_task.send(told);
+        let message = fleet::Message::InForce(generation);
+        self.context.fleet_task.send(message);
     }
 }
--- a/crates/daemon/src/configuration/view.rs
+++ b/crates/daemon/src/configuration/view.rs
@@ -1,4 +1,4 @@
-//! One generation of the configuration, with the indexes that requests need.
+//! One generation of the configuration, indexed for requests.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,7 +7,7 @@
 use medlarrill_core::placement::{Group, Node};
 use subtle::ConstantTimeEq;
 
-/// Who a bearer key belongs to.
+/// Client account to which a bearer key belongs.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Client {
     /// The institution.
@@ -16,7 +16,7 @@
     pub account: AccountId,
 }
 
-/// One generation of the configuration, indexed.
+/// One generation of the configuration with its indexes.
 #[derive(Debug, Default)]
 pub struct ConfigView {
     /// The configuration.
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Whose key this is.
+    /// Looks up the client account, with its institution, by a bearer key.
     pub fn client(&self, key: &[u8]) -> Option<(&Client, &Institution, &Account)> {
         let hash = KeyHash::of(key);
         let (known, client) = self.clients.get_key_value(&hash)?;
-        // The table compares hashes of the key, and this comparison takes the same time for any.
+        // The table looks up the hash of the key; this comparison is in constant time.
         if !bool::from(known.0.ct_eq(&hash.0)) {
             return None;
         }
@@ -50,7 +50,7 @@
         Some((client, institution, account))
     }
 
-    /// The rule for a route: the longest matching one, and the one that names the model first.
+    /// The rule for a path: the longest matching route, and of equal ones the rule that names the model.
     pub fn rule(
         &self,
         institution: &InstitutionId,
@@ -58,7 +58,7 @@
         model: Option<&str>,
     ) -> Option<&Rule> {
         let institution = self.config.institutions.get(institution)?;
-        let fits = |rule: &&Rule| {
+        let matches = |rule: &&Rule| {
             let route = path.starts_with(&rule.route);
             let named = rule
                 .model
@@ -69,21 +69,21 @@
         institution
             .rules
             .iter()
-            .filter(fits)
+            .filter(matches)
             .max_by_key(|rule| (rule.route.len(), rule.model.is_some()))
     }
 
-    /// A pool.
+    /// Looks up a pool.
     pub fn pool(&self, pool: &PoolId) -> Option<&Pool> {
         self.config.pools.get(pool)
     }
 
-    /// An endpoint.
+    /// Looks up an endpoint.
     pub fn endpoint(&self, endpoint: &EndpointId) -> Option<&Endpoint> {
         self.config.endpoints.get(endpoint)
     }
 
-    /// A pool's endpoints, ranked for a key.
+    /// Up to `count` endpoints of a pool, ranked for a key by rendezvous hashing.
     pub fn ranked(&self, pool: &PoolId, key: u64, count: usize) -> Vec<&EndpointId> {
         self.pools
             .get(pool)
--- a/crates/daemon/src/dispatcher.rs
+++ b/crates/daemon/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Hands each message from a peer to the task that it is for.
+//! Dispatches each message from a peer to the task that handles it.
 
 use std::sync::Arc;
 
@@ -14,42 +14,43 @@
 use crate::metrics::Metrics;
 use crate::operators::StateQueries;
 
-/// Where messages go.
+/// Handles of the tasks that receive messages from peers.
 pub struct Dispatcher {
-    /// Tries of this entry.
+    /// Attempts of this entry.
     pub attempts: AttemptTable,
-    /// Where answers go that nobody waits for.
+    /// Answers that no attempt waits for.
     pub strays: StrayFrames,
-    /// The claims task.
+    /// Handle of the claims task.
     pub claims: claims::Handle,
-    /// StateQueries for the state of requests.
+    /// Queries for the state of requests.
     pub states: RequestStates,
-    /// The limits task.
+    /// Handle of the limits task.
     pub limits: limits::Handle,
-    /// The home task.
+    /// Handle of the home task.
     pub home: home::Handle,
-    /// The membership task.
+    /// Handle of the membership task.
     pub fleet: fleet::Handle,
-    /// The configuration task.
+    /// Handle of the configuration task.
     pub configuration: configuration::Handle,
-    /// Questions of this daemon's operators to others.
+    /// Queries to other daemons for the state of their endpoints.
     pub state_queries: StateQueries,
-    /// Counters.
+    /// Counters and gauges.
     pub metrics: Arc<Metrics>,
 }
 
 impl Dispatcher {
-    /// Takes one event of the links; never blocks.
+    /// Handles one event of the links; never blocks.
     pub fn handle_event(&self, event: Event) {
         match event {
-            Event::Message(from, body) => self.message(&from, *body),
+            Event::Message(from, body) => self.dispatch(&from, *body),
             Event::Closed(peer) => {
                 self.attempts.peer_lost(&peer);
                 self.home.peer_lost(peer.clone());
-                let lost = configuration::Message::Lost(peer.clone());
+                let lost = configuration::Message::PeerLost(peer.clone());
                 self.configuration.send(lost);
                 self.claims.send(claims::Message::PeerLost(peer.clone()));
-                self.limits.send(limits::Message::Lost(peer.daemon.clone()));
+                self.limits
+                    .send(limits::Message::DaemonLost(peer.daemon.clone()));
                 self.fleet.send(fleet::Message::Closed(peer));
             }
             Event::Opened(peer) => {
@@ -61,16 +62,18 @@
         }
     }
 
-    fn message(&self, from: &PeerId, body: Body) {
+    fn dispatch(&self, from: &PeerId, body: Body) {
         let kind = body.kind();
-        let held = match body {
+        let handled = match body {
             Body::Forward(forward) => self.home.offer(from.clone(), forward),
             Body::Credit(credit) => self.home.credit(from.clone(), credit),
             Body::Cancel(cancel) => self.home.cancel(from.clone(), cancel),
-            Body::ClaimAsk(ask) => self.claims.send(claims::Message::Ask(ask)),
-            Body::ClaimAnswer(answer) => self.claims.send(claims::Message::Answer(answer)),
-            Body::KeyAsk(ask) => self.claims.send(claims::Message::KeyAsk(from.clone(), ask)),
-            Body::KeyAnswer(answer) => self.claims.send(claims::Message::KeyAnswer(answer)),
+            Body::ClaimAsk(ask) => self.claims.send(claims::Message::ClaimRequested(ask)),
+            Body::ClaimAnswer(answer) => self.claims.send(claims::Message::ClaimAnswered(answer)),
+            Body::KeyAsk(ask) => self
+                .claims
+                .send(claims::Message::KeyQueried(from.clone(), ask)),
+            Body::KeyAnswer(answer) => self.claims.send(claims::Message::KeyAnswered(answer)),
             Body::Usage(usage) => self
                 .limits
                 .send(limits::Message::Usage(from.daemon.clone(), usage)),
@@ -85,11 +88,11 @@
             Body::StateAsk(ask) => self.home.state_requested(from.clone(), ask),
             Body::StateAnswer(answer) => self.state_queries.deliver(answer),
             Body::PartAsk(ask) => {
-                let asked = configuration::Message::Asked(from.clone(), ask);
+                let asked = configuration::Message::PartRequested(from.clone(), ask);
                 self.configuration.send(asked)
             }
             Body::PartAnswer(answer) => {
-                let answered = configuration::Message::Answered(from.clone(), answer);
+                let answered = configuration::Message::PartAnswered(from.clone(), answer);
                 self.configuration.send(answered)
             }
             Body::RequestAsk(ask) => self.states.requested(from, ask),
@@ -98,25 +101,25 @@
             | Body::Passed(_)
             | Body::Refused(_)
             | Body::Chunk(_)
-            | Body::End(_)) => self.answer(from, answer),
+            | Body::End(_)) => self.deliver_answer(from, answer),
             _ => false,
         };
-        if !held {
+        if !handled {
             self.metrics.record_stray(kind);
         }
     }
 
-    /// Hands an answer to its try; if none waits for it, its sender is told to stop.
-    fn answer(&self, from: &PeerId, answer: Body) -> bool {
+    /// Delivers an answer to its attempt; if none waits for it, records it so that the sender is cancelled.
+    fn deliver_answer(&self, from: &PeerId, answer: Body) -> bool {
         let running = match &answer {
             Body::Accepted(accepted) => accepted.attempt.clone(),
             Body::Chunk(chunk) => chunk.attempt.clone(),
             _ => None,
         };
-        let held = self.attempts.deliver(from, answer);
-        if let Some(attempt) = running.filter(|_| !held) {
+        let delivered = self.attempts.deliver(from, answer);
+        if let Some(attempt) = running.filter(|_| !delivered) {
             self.strays.record(from, attempt);
         }
-        held
+        delivered
     }
 }
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,7 +1,8 @@
-//! Limits of accounts over the whole fleet, and the budget of retries.
+//! Fleet-wide rate and concurrency limits of client accounts, and the retry budget.
 //!
-//! One task drives the machines of `medlarrill-core`: the accounts that this
-//! entry serves, the ledger of those that this daemon owns, and the budget.
+//! One task drives the state machines of `medlarrill-core`: the limiter of the
+//! accounts that this entry serves, the allocator of shares for the accounts that
+//! this daemon owns, and the retry budget.
 
 mod handle;
 mod message;
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -1,4 +1,4 @@
-//! Sends to the limits task.
+//! The handle by which requests reach the limits task.
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, PoolId};
@@ -7,10 +7,10 @@
 use super::message::{Message, PermitRequest, Refusal};
 use crate::mailbox::Mailbox;
 
-/// Sends to the limits task.
+/// Sends messages to the limits task. Cheap to clone.
 pub type Handle = Mailbox<Message>;
 
-/// Room of an account, given back when dropped.
+/// Permission to run a request within its account's limits; released when dropped.
 #[derive(Debug)]
 pub struct Permit {
     handle: Handle,
@@ -19,38 +19,42 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.handle.send(Message::Done(self.id));
+        self.handle.send(Message::Release(self.id));
     }
 }
 
 impl Handle {
-    /// Asks for room of an account.
+    /// Acquires a permit within an account's limits.
     ///
     /// # Errors
     ///
     /// When the account's rate or concurrency is used up.
-    pub async fn acquire(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
-        // Made first, so that a caller that goes away gives the room back.
+    pub async fn acquire(&self, request: PermitRequest) -> Result<Permit, Refusal> {
+        // Created first, so that a caller that goes away releases the permit.
         let permit = Permit {
             handle: self.clone(),
-            id: ask.id,
+            id: request.id,
         };
-        let verdict = self.request(|sender| Message::Ask(ask, sender)).await;
+        let decision = self
+            .request(|sender| Message::Acquire(request, sender))
+            .await;
         let stopped = Refusal {
             reason: Reason::Stopping,
             retry_after: Millis::ZERO,
         };
-        verdict.unwrap_or(Err(stopped)).map(|()| permit)
+        decision.unwrap_or(Err(stopped)).map(|()| permit)
     }
 
-    /// Counts a first try of a pool, which pays for a share of a retry.
+    /// Records a first attempt in a pool, which adds a fraction of a retry to its budget.
     pub fn record_attempt(&self, pool: PoolId) {
-        self.send(Message::First(pool));
+        self.send(Message::FirstAttempt(pool));
     }
 
-    /// Takes a retry from a pool's budget; false if too much of its work is retries.
+    /// Takes a retry from a pool's budget; false if the budget is exhausted.
     pub async fn take_retry(&self, pool: PoolId) -> bool {
-        let spent = self.request(|sender| Message::Spend(pool, sender)).await;
-        spent.unwrap_or(false)
+        let taken = self
+            .request(|sender| Message::TakeRetry(pool, sender))
+            .await;
+        taken.unwrap_or(false)
     }
 }
--- a/crates/daemon/src/limits/message.rs
+++ b/crates/daemon/src/limits/message.rs
@@ -1,4 +1,4 @@
-//! What the limits task is told.
+//! Messages to the limits task.
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, DaemonId, PoolId};
@@ -7,10 +7,10 @@
 use medlarrill_core::wire::{Grant, Usage};
 use tokio::sync::oneshot;
 
-/// A request of an account.
+/// A request for a permit.
 #[derive(Clone, Debug)]
 pub struct PermitRequest {
-    /// Names it.
+    /// Identifies the request.
     pub id: AttemptId,
     /// The account.
     pub account: AccountHash,
@@ -18,33 +18,33 @@
     pub limits: Limits,
 }
 
-/// Why an account may not go on, and when to come back.
+/// Why a permit is refused, and when to retry.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Refusal {
     /// The reason.
     pub reason: Reason,
-    /// When to come back.
+    /// Time to wait before a retry.
     pub retry_after: Millis,
 }
 
-/// What the task decides.
-pub type Verdict = Result<(), Refusal>;
+/// Decision on a request for a permit.
+pub type Decision = Result<(), Refusal>;
 
-/// One message.
+/// A message to the limits task.
 #[derive(Debug)]
 pub enum Message {
-    /// A request asks to go on.
-    Ask(PermitRequest, oneshot::Sender<Verdict>),
-    /// A request has ended, or is no longer wanted.
-    Done(AttemptId),
-    /// An entry reports to this daemon as owner.
+    /// Asks for a permit.
+    Acquire(PermitRequest, oneshot::Sender<Decision>),
+    /// Releases a permit, or withdraws the request for it.
+    Release(AttemptId),
+    /// An entry reports its usage to this daemon as owner.
     Usage(DaemonId, Usage),
-    /// An owner grants to this daemon as entry.
+    /// An owner grants shares to this daemon as entry.
     Grant(DaemonId, Grant),
-    /// A daemon is gone.
-    Lost(DaemonId),
-    /// A first try of a pool.
-    First(PoolId),
-    /// A retry of a pool asks to go on.
-    Spend(PoolId, oneshot::Sender<bool>),
+    /// The link to a daemon is closed, or a message could not be sent to it.
+    DaemonLost(DaemonId),
+    /// A first attempt in a pool.
+    FirstAttempt(PoolId),
+    /// Takes a retry from a pool's budget.
+    TakeRetry(PoolId, oneshot::Sender<bool>),
 }
--- a/crates/daemon/src/limits/task.rs
+++ b/crates/daemon/src/limits/task.rs
@@ -1,4 +1,4 @@
-//! The limits task: drives accounts, ledger and budget.
+//! The limits task: drives the entry limiter, the share allocator and the retry budget.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,36 +13,36 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use super::message::{Message, PermitRequest, Refusal, Verdict};
+use super::message::{Decision, Message, PermitRequest, Refusal};
 use crate::configuration::ConfigView;
 use crate::context::Context;
 use crate::fleet::FleetView;
 
-/// Longest sleep, after which the ledger forgets what has expired.
-const LONGEST_SLEEP: Millis = Millis::from_secs(5);
+/// Maximum time between ticks, at which the allocator removes expired grants.
+const MAX_SLEEP: Millis = Millis::from_secs(5);
 
-/// Retries that a pool may spend at once without first tries: a daemon that is
-/// lost takes along all that it had in flight, however few requests came before.
-const RETRY_FLOOR: f64 = 64.0;
+/// Retries that a pool may make at once without first attempts: when a daemon is
+/// lost, all its requests in flight need a retry, however few preceded them.
+const RETRY_RESERVE: f64 = 64.0;
 
 /// State of the limits task.
 pub struct Task {
     context: Arc<Context>,
-    accounts: Accounts,
-    ledger: Ledger,
+    limiter: Accounts,
+    allocator: Ledger,
     budget: Budget,
     limits: HashMap<AccountHash, Limits>,
-    waiting: HashMap<AttemptId, oneshot::Sender<Verdict>>,
+    waiting: HashMap<AttemptId, oneshot::Sender<Decision>>,
 }
 
 impl Task {
-    /// A task that knows no account yet.
+    /// Creates a task that knows no account yet.
     pub fn new(context: Arc<Context>, rng: Pcg32) -> Self {
         Self {
-            accounts: Accounts::new(1, rng, now()),
-            ledger: Ledger::new(1, now()),
+            limiter: Accounts::new(1, rng, now()),
+            allocator: Ledger::new(1, now()),
             budget: Budget::new(Settings {
-                reserve: RETRY_FLOOR,
+                reserve: RETRY_RESERVE,
                 ..Settings::default()
             }),
             limits: HashMap::new(),
@@ -51,43 +51,43 @@
         }
     }
 
-    /// Runs until every handle is gone.
+    /// Runs until every handle is dropped.
     pub async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let mut fleet = self.context.fleet.clone();
         let mut config = self.context.config.clone();
         config.mark_changed();
         loop {
-            let wake = Instant::now() + self.sleep().as_duration();
+            let wake = Instant::now() + self.sleep_time().as_duration();
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Ok(()) = fleet.changed() => self.regroup(&mut fleet),
-                Ok(()) = config.changed() => self.configure(&mut config),
+                Ok(()) = fleet.changed() => self.update_members(&mut fleet),
+                Ok(()) = config.changed() => self.update_limits(&mut config),
                 () = sleep_until(wake) => self.tick(),
             }
         }
     }
 
-    fn sleep(&self) -> Millis {
-        let wake = self.accounts.wake().unwrap_or(Millis::MAX);
-        wake.since(now()).clamp(Millis(1), LONGEST_SLEEP)
+    fn sleep_time(&self) -> Millis {
+        let wake = self.limiter.wake().unwrap_or(Millis::MAX);
+        wake.since(now()).clamp(Millis(1), MAX_SLEEP)
     }
 
     fn tick(&mut self) {
-        self.drive(Event::Tick);
-        self.keep(LedgerEvent::Tick);
+        self.drive_limiter(Event::Tick);
+        self.drive_allocator(LedgerEvent::Tick);
     }
 
-    fn regroup(&mut self, fleet: &mut watch::Receiver<Arc<FleetView>>) {
+    fn update_members(&mut self, fleet: &mut watch::Receiver<Arc<FleetView>>) {
         let live = fleet.borrow_and_update().placement.len().max(1);
         let live = u32::try_from(live).unwrap_or(u32::MAX);
-        self.drive(Event::Members { live });
-        self.keep(LedgerEvent::Members { live });
+        self.drive_limiter(Event::Members { live });
+        self.drive_allocator(LedgerEvent::Members { live });
     }
 
-    fn configure(&mut self, config: &mut watch::Receiver<Arc<ConfigView>>) {
+    fn update_limits(&mut self, config: &mut watch::Receiver<Arc<ConfigView>>) {
         let view = config.borrow_and_update().clone();
         let institutions = view.config.institutions.iter();
         let accounts = institutions.flat_map(|(institution, terms)| {
@@ -97,61 +97,67 @@
         self.limits = accounts.collect();
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Ask(ask, sender) => self.ask(ask, sender),
-            Message::Done(id) => {
+            Message::Acquire(request, sender) => self.acquire(request, sender),
+            Message::Release(id) => {
                 self.waiting.remove(&id);
-                self.drive(Event::Done { id });
+                self.drive_limiter(Event::Done { id });
             }
-            Message::Usage(from, usage) => self.keep(LedgerEvent::Usage { from, usage }),
-            Message::Grant(from, grant) => self.drive(Event::Grant { from, grant }),
-            Message::Lost(daemon) => {
-                self.drive(Event::Lost(daemon.clone()));
-                self.keep(LedgerEvent::Gone(daemon));
+            Message::Usage(from, usage) => self.drive_allocator(LedgerEvent::Usage { from, usage }),
+            Message::Grant(from, grant) => self.drive_limiter(Event::Grant { from, grant }),
+            Message::DaemonLost(daemon) => {
+                self.drive_limiter(Event::Lost(daemon.clone()));
+                self.drive_allocator(LedgerEvent::Gone(daemon));
             }
-            Message::First(pool) => self.budget.deposit(&pool, now()),
-            Message::Spend(pool, sender) => {
-                let spent = self.budget.withdraw(&pool, now());
-                // A request that has gone meanwhile loses the retry to nobody.
-                let _ = sender.send(spent);
+            Message::FirstAttempt(pool) => self.budget.deposit(&pool, now()),
+            Message::TakeRetry(pool, sender) => {
+                let taken = self.budget.withdraw(&pool, now());
+                // If the request has ended meanwhile, the retry is lost.
+                let _ = sender.send(taken);
             }
         }
     }
 
-    fn ask(&mut self, ask: PermitRequest, sender: oneshot::Sender<Verdict>) {
-        self.waiting.insert(ask.id, sender);
-        self.drive(Event::Ask {
-            id: ask.id,
-            account: ask.account,
-            limits: ask.limits,
+    fn acquire(&mut self, request: PermitRequest, sender: oneshot::Sender<Decision>) {
+        self.waiting.insert(request.id, sender);
+        self.drive_limiter(Event::Ask {
+            id: request.id,
+            account: request.account,
+            limits: request.limits,
         });
     }
 
-    fn drive(&mut self, event: Event) {
+    fn drive_limiter(&mut self, event: Event) {
         let view = self.context.fleet.borrow().clone();
         let owner = |account: AccountHash| view.placement.owner_of(account.0).cloned();
-        for action in self.accounts.handle(event, now(), owner) {
+        for action in self.limiter.handle(event, now(), owner) {
             match action {
                 Action::Admit { id } => self.decide(id, Ok(())),
                 Action::Refuse { id, reason, after } => {
-                    self.decide(id, Err(Refusal { reason, retry_after: after }));
+                    self.decide(
+                        id,
+                        Err(Refusal {
+                            reason,
+                            retry_after: after,
+                        }),
+                    );
                 }
                 Action::Send { to, usage } => self.send(to, Body::Usage(usage)),
             }
         }
     }
 
-    fn decide(&mut self, id: AttemptId, verdict: Verdict) {
+    fn decide(&mut self, id: AttemptId, decision: Decision) {
         if let Some(sender) = self.waiting.remove(&id) {
-            // A caller that has gone gives the room back by its permit.
-            let _ = sender.send(verdict);
+            // If the caller has gone away, dropping its permit releases it.
+            let _ = sender.send(decision);
         }
     }
 
-    fn keep(&mut self, event: LedgerEvent) {
+    fn drive_allocator(&mut self, event: LedgerEvent) {
         let limits = |account: AccountHash| self.limits.get(&account).copied();
-        for action in self.ledger.handle(event, now(), limits) {
+        for action in self.allocator.handle(event, now(), limits) {
             self.send(action.to, Body::Grant(action.grant));
         }
     }
@@ -160,7 +166,7 @@
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
             if context.peers.send(&to, body).await.is_err() {
-                context.limits.send(Message::Lost(to));
+                context.limits.send(Message::DaemonLost(to));
             }
         });
     }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -16,11 +16,11 @@
 use self::control::ControlCollector;
 pub use self::control::ControlSources;
 
-/// Label of a reason or kind.
+/// Label of a reason.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 #[derive(EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// Its stable code.
+    /// Stable code of the reason.
     pub reason: &'static str,
 }
 
@@ -28,33 +28,33 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 #[derive(EncodeLabelSet)]
 pub struct KindLabel {
-    /// The kind.
+    /// Kind of the message.
     pub kind: &'static str,
 }
 
-/// Label of what became of a statement.
+/// Label of the verdict on an operator's statement.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 #[derive(EncodeLabelSet)]
 pub struct VerdictLabel {
-    /// The verdict.
+    /// Text of the verdict.
     pub verdict: String,
 }
 
-/// Everything that one daemon counts.
+/// Counters and gauges of one daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     /// Requests taken from callers.
     pub requests: Counter,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: Counter,
-    /// Requests refused or broken off.
+    /// Requests refused or aborted.
     pub refusals: Family<ReasonLabel, Counter>,
-    /// Tries after the first.
+    /// Attempts after the first.
     pub retries: Family<ReasonLabel, Counter>,
-    /// Streams taken up again after a loss.
+    /// Streams resumed after a loss.
     pub resumed: Counter,
-    /// Frames for an attempt that isn't held here.
+    /// Frames for an attempt unknown here.
     pub stray: Family<KindLabel, Counter>,
     /// Callers' connections.
     pub connections: Gauge,
@@ -62,19 +62,19 @@
     pub unserved: Family<ReasonLabel, Counter>,
     /// Requests in flight at this entry.
     pub in_flight: Gauge,
-    /// Bytes of answers held for callers that haven't taken them.
+    /// Bytes of answers buffered for callers that haven't read them.
     pub buffered: Gauge,
-    /// Daemons on which roles are placed, as seen here.
+    /// Daemons eligible for roles, as seen here.
     pub daemons: Gauge,
-    /// Endpoints that this daemon is home of.
+    /// Endpoints whose home is this daemon.
     pub homes: Gauge,
-    /// Those of them without a report of their own time as home.
+    /// Endpoints on probation: no load report since this daemon became their home.
     pub probation: Gauge,
-    /// Directory entries handed to other daemons.
+    /// Directory entries transferred to other daemons.
     pub moved_chats: Counter,
     /// Requests sent to endpoints.
     pub dispatched: Counter,
-    /// Questions to endpoints for their load.
+    /// Polls of endpoints for their load.
     pub polls: Counter,
     /// Prompt tokens sent to endpoints.
     pub prompt_tokens: Counter,
@@ -82,11 +82,11 @@
     pub cached_tokens: Counter,
     /// Configurations put in force.
     pub applied: Counter,
-    /// Heads and parts of a configuration that can't be used.
+    /// Invalid heads and parts of a configuration.
     pub rejected_parts: Counter,
-    /// Operators' requests without a known key.
-    pub strangers: Counter,
-    /// Operators' statements.
+    /// Operators' requests without a valid key.
+    pub unauthorised: Counter,
+    /// Operators' statements, by verdict.
     pub statements: Family<VerdictLabel, Counter>,
     control: Arc<OnceLock<ControlSources>>,
 }
@@ -98,7 +98,7 @@
 }
 
 impl Metrics {
-    /// Counters at zero.
+    /// Creates and registers all metrics, at zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("medlarrill"),
@@ -122,7 +122,7 @@
             cached_tokens: Counter::default(),
             applied: Counter::default(),
             rejected_parts: Counter::default(),
-            strangers: Counter::default(),
+            unauthorised: Counter::default(),
             statements: Family::default(),
             control: Arc::default(),
         };
@@ -229,7 +229,7 @@
         r.register(
             "operator_refusals",
             "Operators' requests without a known key",
-            self.strangers.clone(),
+            self.unauthorised.clone(),
         );
         r.register(
             "operator_statements",
@@ -242,12 +242,12 @@
         r.register_collector(Box::new(control));
     }
 
-    /// Says where control traffic is counted; only the first call has an effect.
+    /// Sets the sources of control traffic; only the first call has an effect.
     pub fn set_control_sources(&self, sources: ControlSources) {
         let _ = self.control.set(sources);
     }
 
-    /// Counts a statement by what became of it.
+    /// Counts a statement by its verdict.
     pub fn record_statement(&self, verdict: Verdict) {
         let verdict = verdict.to_string();
         self.statements
@@ -255,7 +255,7 @@
             .inc();
     }
 
-    /// Counts a head or part that can't be used.
+    /// Counts an invalid head or part.
     pub fn record_rejected_part(&self) {
         self.rejected_parts.inc();
     }
@@ -273,7 +273,7 @@
         self.unserved.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts a further try.
+    /// Counts a retry by the reason of the failure.
     pub fn record_retry(&self, reason: Reason) {
         let label = ReasonLabel {
             reason: reason.code(),
@@ -281,12 +281,12 @@
         self.retries.get_or_create(&label).inc();
     }
 
-    /// Counts a frame that nobody waits for.
+    /// Counts a frame that no attempt waits for.
     pub fn record_stray(&self, kind: &'static str) {
         self.stray.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// The OpenMetrics text.
+    /// All metrics as OpenMetrics text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
--- a/crates/daemon/src/metrics/control.rs
+++ b/crates/daemon/src/metrics/control.rs
@@ -1,4 +1,4 @@
-//! Control traffic and the generation, read when the counters are asked for.
+//! Control traffic and the configuration generation, collected at each scrape.
 
 use std::fmt;
 use std::sync::atomic::Ordering;
@@ -17,7 +17,7 @@
 
 use crate::configuration::ConfigView;
 
-/// Where control traffic and the generation are counted.
+/// Sources of the collected counts.
 #[derive(Debug)]
 pub struct ControlSources {
     /// Links to other daemons.
@@ -30,7 +30,7 @@
     pub config: watch::Receiver<Arc<ConfigView>>,
 }
 
-/// Reads the sources, once they are known.
+/// Collects from the sources, once they are set.
 #[derive(Debug)]
 pub(super) struct ControlCollector {
     pub(super) sources: Arc<OnceLock<ControlSources>>,
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,15 +1,15 @@
-//! Operators: `POST /v1/operator`, from the key to the answer.
+//! The operators' API, `POST /v1/operator`.
 //!
-//! `handler` lets in who has an operator's key and reads the request, `run`
-//! answers its statements, `change` makes changes through the platform, `wait`
-//! waits until a generation is in force everywhere, `show` answers questions
-//! from live state; `questions` are those to other daemons.
+//! `handler` authenticates the operator and reads the request, `run` answers its
+//! statements, `change` commits changes through the platform, `wait` waits until a
+//! generation is in force everywhere, `show` answers `show` statements from live
+//! state; `state_queries` queries other daemons for the state of their endpoints.
 
 mod change;
 mod handler;
-mod state_queries;
 mod run;
 mod show;
+mod state_queries;
 mod wait;
 
 pub use handler::Operators;
--- a/crates/daemon/src/operators/change.rs
+++ b/crates/daemon/src/operators/change.rs
@@ -1,4 +1,4 @@
-//! Makes changes of the configuration: drives the core's `Changer`.
+//! Commits changes of the configuration: drives the core's `Changer`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,8 +14,8 @@
 use crate::configuration::{CALL_TIMEOUT, Message, read_head, read_part};
 use crate::context::Context;
 
-/// Makes the changes of a request, all or none, and spreads them.
-pub async fn make(
+/// Commits the changes of a request, all or none, and publishes the new head here.
+pub async fn commit_changes(
     context: &Context,
     request: &Request,
     changes: Vec<Change>,
@@ -31,31 +31,31 @@
     if request.repeat {
         changer = changer.with_repeat();
     }
-    let mut drive = Drive {
+    let mut driver = Driver {
         platform: &context.platform,
         deadline,
         parts: BTreeMap::new(),
     };
-    let outcome = drive.run(changer).await;
+    let outcome = driver.run(changer).await;
     if let Outcome::Accepted(accepted) = &outcome
         && !accepted.head.is_empty()
     {
-        let parts = drive.parts.into_values().collect();
-        let written = Message::Written(accepted.head.clone(), parts);
+        let parts = driver.parts.into_values().collect();
+        let written = Message::HeadWritten(accepted.head.clone(), parts);
         context.configuration.send(written);
     }
     outcome
 }
 
-/// One change on its way.
-struct Drive<'a> {
+/// Carries out the platform calls of one change.
+struct Driver<'a> {
     platform: &'a Client,
     deadline: Millis,
-    /// Parts that were read or stored, for this daemon's own configuration.
+    /// Parts that were read or stored, passed to this daemon's configuration task.
     parts: BTreeMap<Digest, Bytes>,
 }
 
-impl Drive<'_> {
+impl Driver<'_> {
     async fn run(&mut self, mut changer: Changer) -> Outcome {
         let mut actions = VecDeque::from(changer.handle(Event::Start, now()));
         while let Some(action) = actions.pop_front() {
@@ -72,11 +72,11 @@
             };
             actions.extend(changer.handle(event, now()));
         }
-        // The machine ends by saying how; if it doesn't, nothing is known.
+        // The state machine ends with `Finish`; without it the outcome is unknown.
         Outcome::Unknown
     }
 
-    /// Longest time for a call, so that it ends by the deadline.
+    /// Timeout of a call, so that it ends by the deadline.
     fn timeout(&self) -> Millis {
         self.deadline.since(now()).min(CALL_TIMEOUT).max(Millis(1))
     }
@@ -84,7 +84,7 @@
     async fn read_head(&self) -> Event {
         match read_head(self.platform, self.timeout()).await {
             Ok(stored) => Event::Head(stored),
-            Err(error) => lost(&error, Event::HeadLost),
+            Err(error) => log_failure(&error, Event::HeadLost),
         }
     }
 
@@ -95,7 +95,7 @@
                     .extend(bytes.clone().map(|bytes| (digest, bytes)));
                 Event::Part(digest, bytes)
             }
-            Err(error) => lost(&error, Event::PartLost),
+            Err(error) => log_failure(&error, Event::PartLost),
         }
     }
 
@@ -105,9 +105,9 @@
         let key = digest.key();
         let created = self.platform.create(Role::Config, &key, bytes, timeout);
         match created.await {
-            // A part is named by its digest, so one that exists is the same.
+            // The key of a part is its digest, so an existing part is identical.
             Ok(_) | Err(Error::Precondition { .. }) => Event::Created(digest),
-            Err(error) => lost(&error, Event::CreateLost),
+            Err(error) => log_failure(&error, Event::CreateLost),
         }
     }
 
@@ -116,9 +116,9 @@
             Ok(_) => Event::Written,
             Err(Error::Precondition { .. }) => Event::Moved,
             Err(error @ (Error::NotDone { .. } | Error::TooLarge { .. })) => {
-                lost(&error, Event::WriteFailed)
+                log_failure(&error, Event::WriteFailed)
             }
-            Err(error) => lost(&error, Event::WriteLost),
+            Err(error) => log_failure(&error, Event::WriteLost),
         }
     }
 
@@ -137,7 +137,7 @@
     }
 }
 
-fn lost(error: &Error, event: Event) -> Event {
+fn log_failure(error: &Error, event: Event) -> Event {
     log::info!(target: "operators", "operators: the platform: {error}");
     event
 }
--- a/crates/daemon/src/operators/handler.rs
+++ b/crates/daemon/src/operators/handler.rs
@@ -1,4 +1,4 @@
-//! Lets operators in and reads their requests.
+//! Authenticates operators and reads their requests.
 
 use std::sync::Arc;
 
@@ -16,13 +16,13 @@
 use crate::context::Context;
 use crate::entry::{Problem, bearer};
 
-/// Largest request: a text of the largest size, escaped as JSON.
+/// Maximum size of a request body, bytes: the longest text of statements, escaped as JSON.
 const MAX_BODY: usize = 2 * medlarrill_core::operator::MAX_TEXT + (64 << 10);
 
 /// Result of serving an operator.
 type Result<T> = std::result::Result<T, Box<Problem>>;
 
-/// Takes operators' requests.
+/// HTTP handler of operators' requests.
 pub struct Operators(pub Arc<Context>);
 
 #[async_trait]
@@ -49,16 +49,16 @@
     async fn serve(&self, request: &mut Request) -> Result<Bytes> {
         let key = bearer(request.headers());
         if !key.is_some_and(|key| is_operator(&self.0.settings.keys.operators, key)) {
-            self.0.metrics.strangers.inc();
+            self.0.metrics.unauthorised.inc();
             return Err(Box::new(Problem::new(Reason::Unauthorised)));
         }
-        let body = self.body(request).await?;
+        let body = self.read_body(request).await?;
         let request = serde_json::from_slice::<answer::Request>(&body).map_err(|error| {
             let detail = format!("body: {error}");
             Box::new(Problem::new(Reason::BadRequest).with_detail(detail))
         })?;
         let context = Arc::clone(&self.0);
-        // A change goes on to its end even if the operator goes away.
+        // A change is completed even if the operator disconnects.
         let answer = tokio::spawn(run(context, request)).await;
         let answer = answer.map_err(|_| Box::new(Problem::new(Reason::Internal)))?;
         let text = serde_json::to_vec(&answer);
@@ -66,7 +66,7 @@
         Ok(text.into())
     }
 
-    async fn body(&self, request: &mut Request) -> Result<Bytes> {
+    async fn read_body(&self, request: &mut Request) -> Result<Bytes> {
         let wait = self.0.settings.limits.body_wait.as_duration();
         let read = timeout(wait, request.payload_with_max_size(MAX_BODY)).await;
         let reason = match read {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whether a key is an operator's; takes the same time for any key.
+/// Whether a key is an operator's; compares in constant time.
 fn is_operator(operators: &[KeyHash], key: &[u8]) -> bool {
     let hash = KeyHash::of(key);
     let none = Choice::from(0);
--- a/crates/daemon/src/operators/run.rs
+++ b/crates/daemon/src/operators/run.rs
@@ -9,17 +9,17 @@
 use medlarrill_core::operator::{Sentence, Statement, parse};
 use medlarrill_net::now::now;
 
-use super::change::make;
+use super::change::commit_changes;
 use super::show::show;
 use super::wait::{in_force_everywhere, in_force_here};
 use crate::context::Context;
 
-/// Longest time that a request may take.
+/// Maximum time for a request.
 const MAX_TIMEOUT: Millis = Millis::from_secs(300);
-/// Longest wait for a change to be in force here, before questions are answered.
-const HERE: Millis = Millis::from_secs(2);
+/// Maximum wait for a change to be in force here before `show` statements are answered.
+const MAX_LOCAL_WAIT: Millis = Millis::from_secs(2);
 
-/// Answers a request.
+/// Answers an operator's request and counts its statements by verdict.
 pub async fn run(context: Arc<Context>, request: Request) -> Answer {
     let answer = answer(&context, &request).await;
     for result in &answer.results {
@@ -30,8 +30,8 @@
 
 async fn answer(context: &Arc<Context>, request: &Request) -> Answer {
     let deadline = now() + request.timeout.min(MAX_TIMEOUT);
-    let sentences = match parse(&request.statements) {
-        Ok(sentences) => sentences,
+    let statements = match parse(&request.statements) {
+        Ok(statements) => statements,
         Err(errors) => {
             return Answer {
                 results: answer::unreadable(&request.statements, &errors),
@@ -40,19 +40,19 @@
             };
         }
     };
-    let outcome = change(context, request, &sentences, deadline).await;
+    let outcome = change(context, request, &statements, deadline).await;
     let accepted = match &outcome {
         Outcome::Accepted(accepted) => accepted.generation,
         _ => Generation::default(),
     };
-    in_force_here(context, accepted, deadline.min(now() + HERE)).await;
+    in_force_here(context, accepted, deadline.min(now() + MAX_LOCAL_WAIT)).await;
     let mut lagging = Vec::new();
     if request.wait && accepted > Generation::default() {
         lagging = in_force_everywhere(context, accepted, deadline).await;
     }
-    let mut results = answer::results(&request.statements, &sentences, &outcome);
-    for (index, (result, sentence)) in results.iter_mut().zip(&sentences).enumerate() {
-        fill(context, index, sentence, result).await;
+    let mut results = answer::results(&request.statements, &statements, &outcome);
+    for (index, (result, parsed)) in results.iter_mut().zip(&statements).enumerate() {
+        fill(context, index, parsed, result).await;
     }
     Answer {
         results,
@@ -61,19 +61,19 @@
     }
 }
 
-/// Makes the changes of a text; without any, what is returned means nothing.
+/// Commits the changes among the statements; without any, the returned outcome is meaningless.
 async fn change(
     context: &Context,
     request: &Request,
-    sentences: &[Sentence],
+    statements: &[Sentence],
     deadline: Millis,
 ) -> Outcome {
-    let changes = sentences.iter().filter_map(Sentence::change);
+    let changes = statements.iter().filter_map(Sentence::change);
     let changes: Vec<_> = changes.cloned().collect();
     if changes.is_empty() {
         return Outcome::Unknown;
     }
-    let outcome = make(context, request, changes, deadline).await;
+    let outcome = commit_changes(context, request, changes, deadline).await;
     let change = request.change;
     match &outcome {
         Outcome::Accepted(accepted) => {
@@ -85,16 +85,16 @@
     outcome
 }
 
-/// Adds to a statement's result what the changes don't say.
+/// Fills in the result of a statement that isn't a change.
 async fn fill(
     context: &Arc<Context>,
     index: usize,
-    sentence: &Sentence,
+    parsed: &Sentence,
     result: &mut StatementResult,
 ) {
-    let message = match &sentence.statement {
+    let message = match &parsed.statement {
         Statement::Change(_) => return,
-        Statement::Show(question) => match show(context, question).await {
+        Statement::Show(query) => match show(context, query).await {
             Ok(table) => {
                 result.table = Some(table);
                 return;
@@ -106,7 +106,7 @@
         }
     };
     let place = format!("statement {}", index + 1);
-    let finding = Finding::new(place, message).with_span(sentence.span);
+    let finding = Finding::new(place, message).with_span(parsed.span);
     result.verdict = Verdict::Refused;
     result.findings.push(finding);
 }
--- a/crates/daemon/src/operators/show.rs
+++ b/crates/daemon/src/operators/show.rs
@@ -1,4 +1,4 @@
-//! Answers questions by tables.
+//! Answers `show` statements with tables.
 
 mod configured;
 mod homes;
@@ -15,16 +15,16 @@
 use self::select::select;
 use crate::context::Context;
 
-/// Result of a question: a table, or why there is none.
+/// A table, or the message why there is none.
 pub type Result<T> = std::result::Result<T, String>;
 
-/// Answers a question.
+/// Answers a `show` statement.
 ///
 /// # Errors
 ///
-/// In words, when there is nothing by that name or the question doesn't fit.
-pub async fn show(context: &Arc<Context>, question: &Show) -> Result<Table> {
-    match question {
+/// A message, when there is nothing of that name or a condition doesn't fit the table.
+pub async fn show(context: &Arc<Context>, query: &Show) -> Result<Table> {
+    match query {
         Show::List(list) => show_list(context, list).await,
         Show::Endpoint(id) => live::endpoint(context, id).await,
         Show::Request(id) => live::request(context, *id),
@@ -53,7 +53,7 @@
     select(table, list, owners)
 }
 
-/// The configuration as statements, one a row.
+/// The configuration as statements, one per row.
 fn statements(config: &medlarrill_core::config::Config) -> Table {
     let mut table = Table::new(&["statement"]);
     for change in export(config) {
--- a/crates/daemon/src/operators/show/configured.rs
+++ b/crates/daemon/src/operators/show/configured.rs
@@ -1,9 +1,9 @@
-//! Tables of what is configured.
+//! Tables of the configuration.
 
 use medlarrill_core::config::Config;
 use medlarrill_core::operator::answer::Table;
 
-/// Stands for what isn't given.
+/// Cell text for an absent value.
 pub const NONE: &str = "-";
 
 /// Institutions with their contracts.
@@ -31,7 +31,7 @@
     table
 }
 
-/// Accounts with their limits; never their keys.
+/// Accounts with their limits, without their keys.
 pub fn accounts(config: &Config) -> Table {
     let mut table = Table::new(&["account", "institution", "rate", "concurrency"]);
     for (id, institution) in &config.institutions {
@@ -47,7 +47,7 @@
     table
 }
 
-/// Pools with their terms.
+/// Pools with their settings.
 pub fn pools(config: &Config) -> Table {
     let columns = [
         "pool",
--- a/crates/daemon/src/operators/show/homes.rs
+++ b/crates/daemon/src/operators/show/homes.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the whole fleet, each as its home counts it.
+//! The endpoints of the fleet, each with the counts of its home.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,12 +9,12 @@
 use crate::context::Context;
 use crate::home::EndpointRow;
 
-/// Endpoints as this daemon sees them, with the counts of other homes that answer.
+/// Endpoints as seen by this daemon, with the counts of those other homes that answer.
 pub async fn endpoints(context: &Arc<Context>) -> Vec<EndpointRow> {
     let mut rows = context.home.show().await;
     let others = rows.iter().filter(|row| row.in_flight.is_none());
     let homes: BTreeSet<_> = others.filter_map(|row| row.home.clone()).collect();
-    let states = context.state_queries.ask(context, homes).await;
+    let states = context.state_queries.query(context, homes).await;
     let states: BTreeMap<_, _> = states
         .into_iter()
         .map(|state| (state.endpoint.clone(), state))
--- a/crates/daemon/src/operators/show/live.rs
+++ b/crates/daemon/src/operators/show/live.rs
@@ -1,4 +1,4 @@
-//! Tables of what is true now.
+//! Tables of live state.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use super::{Result, homes};
 use crate::context::Context;
 
-/// Endpoints with their state, as their homes count it.
+/// Endpoints with their state and the counts of their homes.
 pub async fn endpoints(context: &Arc<Context>) -> Table {
     let columns = [
         "endpoint",
@@ -41,7 +41,7 @@
     table
 }
 
-/// Load of endpoints, in tokens, against the limit of each.
+/// Load and load limit of each endpoint, tokens.
 pub async fn load(context: &Arc<Context>) -> Table {
     let mut table = Table::new(&["endpoint", "pool", "load", "limit", "pool-mean"]);
     for row in homes::endpoints(context).await {
@@ -56,11 +56,11 @@
     table
 }
 
-/// All about one endpoint.
+/// State and load of one endpoint.
 ///
 /// # Errors
 ///
-/// When there is none of that name.
+/// When there is no endpoint of that name.
 pub async fn endpoint(context: &Arc<Context>, id: &EndpointId) -> Result<Table> {
     let all = endpoints(context).await;
     let load = load(context).await;
@@ -78,11 +78,11 @@
     Ok(table)
 }
 
-/// What became of a request that this daemon took.
+/// State of a request that this daemon took.
 ///
 /// # Errors
 ///
-/// When it isn't remembered here.
+/// When this daemon has no record of it.
 pub fn request(context: &Context, id: RequestId) -> Result<Table> {
     let Some(state) = context.tracker.state(id) else {
         return Err(unknown(context, id));
@@ -97,15 +97,16 @@
     Ok(table)
 }
 
-/// Says which daemon to ask: a request's identifier names the process that took it.
+/// Message for a request without a record here. The high 64 bits of its identifier
+/// are the incarnation that took it, by which the message names the daemon to ask.
 fn unknown(context: &Context, id: RequestId) -> String {
     let process = Incarnation((id.0 >> 64) as u64);
     let view = context.fleet.borrow().clone();
     let mut peers = view.peers.iter();
-    let taker: Option<&DaemonId> = peers
+    let owner: Option<&DaemonId> = peers
         .find(|(_, peer)| peer.incarnation == process)
         .map(|(name, _)| name);
-    match taker {
+    match owner {
         Some(daemon) if *daemon != context.me.daemon => {
             format!("request {id} was taken by {daemon}; ask that daemon")
         }
@@ -113,7 +114,7 @@
     }
 }
 
-/// Daemons as this one sees them.
+/// Daemons as seen by this one.
 pub fn daemons(context: &Context) -> Table {
     let columns = [
         "daemon",
@@ -140,7 +141,7 @@
     table
 }
 
-/// Which daemon has which generation.
+/// Generation in force on each daemon.
 pub fn generations(context: &Context) -> Table {
     let mut table = Table::new(&["daemon", "generation"]);
     let view = context.fleet.borrow().clone();
--- a/crates/daemon/src/operators/show/select.rs
+++ b/crates/daemon/src/operators/show/select.rs
@@ -1,15 +1,15 @@
-//! Keeps the rows that a question asks for.
+//! Filters the rows of a table by `of` and `where`.
 
 use medlarrill_core::operator::List;
 use medlarrill_core::operator::answer::Table;
 
 use super::Result;
 
-/// The rows that belong to what is named and meet all conditions.
+/// The rows that belong to the owner named by `of` and meet all conditions.
 ///
 /// # Errors
 ///
-/// When the table has no such column, or its rows belong to nothing.
+/// When the table has no such column, or its rows have no owner.
 pub fn select(table: Table, list: &List, owners: &[&str]) -> Result<Table> {
     let owners: Vec<usize> = owners
         .iter()
@@ -27,12 +27,12 @@
         })?;
         conditions.push((index, condition));
     }
-    let fits = |row: &Vec<String>| {
+    let matches = |row: &Vec<String>| {
         let owned = |of: &str| owners.iter().any(|index| row[*index] == of);
         let belongs = list.of.as_ref().is_none_or(|of| owned(of.as_str()));
         belongs && conditions.iter().all(|(index, c)| c.meets(&row[*index]))
     };
-    let rows = table.rows.into_iter().filter(fits).collect();
+    let rows = table.rows.into_iter().filter(matches).collect();
     let columns = table.columns;
     Ok(Table { columns, rows })
 }
--- a/crates/daemon/src/operators/state_queries.rs
+++ b/crates/daemon/src/operators/state_queries.rs
@@ -1,4 +1,4 @@
-//! Questions to other daemons that wait for an answer.
+//! Queries to homes for the state of their endpoints.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,29 +11,29 @@
 
 use crate::context::Context;
 
-/// Longest wait for the answers to one question.
-const WAIT: Duration = Duration::from_secs(1);
+/// Timeout for the answers to one query.
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Table of questions by number. Cheap to clone.
+/// Table of pending queries by number. Cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct StateQueries {
     table: Arc<Mutex<HashMap<u64, mpsc::UnboundedSender<StateAnswer>>>>,
 }
 
 impl StateQueries {
-    /// Hands an answer to who waits for it; false if nobody does.
+    /// Delivers an answer to the query that waits for it; false if there is none.
     pub fn deliver(&self, answer: StateAnswer) -> bool {
         let table = self.lock();
         let waiting = table.get(&answer.number);
         waiting.is_some_and(|waiting| waiting.send(answer).is_ok())
     }
 
-    /// Asks homes for the state of their endpoints; who doesn't answer in time is left out.
-    pub async fn ask(&self, context: &Arc<Context>, homes: BTreeSet<DaemonId>) -> Vec<HomeState> {
+    /// Queries homes for the state of their endpoints; omits homes that don't answer in time.
+    pub async fn query(&self, context: &Arc<Context>, homes: BTreeSet<DaemonId>) -> Vec<HomeState> {
         let number = rand::random();
         let (sender, mut receiver) = mpsc::unbounded_channel();
         self.lock().insert(number, sender);
-        let asked = homes.len();
+        let count = homes.len();
         for home in homes {
             let context = Arc::clone(context);
             tokio::spawn(async move {
@@ -42,9 +42,9 @@
                 let _ = context.peers.send(&home, ask).await;
             });
         }
-        let end = Instant::now() + WAIT;
+        let end = Instant::now() + TIMEOUT;
         let mut states = Vec::new();
-        for _ in 0..asked {
+        for _ in 0..count {
             match timeout_at(end, receiver.recv()).await {
                 Ok(Some(answer)) => states.extend(answer.endpoints),
                 _ => break,
