--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of one daemon, read once at start.
 //!
-//! `keys` is the table of all keys, `check` finds everything that is wrong in
-//! a file, and only a file without findings is used.
+//! `keys` is the table of all keys, `check` reports every fault of a file as a
+//! finding, and only a file without findings is used.
 
 mod check;
 mod finding;
@@ -23,33 +23,33 @@
 pub use keys::{KEYS, Key, Kind, Presence};
 
 use check::OPTIONS;
-use finding::Text;
+use finding::SourceText;
 
 /// Result of reading settings.
 pub type Result<T> = std::result::Result<T, SettingsError>;
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// A file can't be read.
     #[display("{path}: {source}")]
     Read {
         /// The file.
         path: String,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// Something in the file is wrong.
-    #[display("{}", list(path, findings))]
+    /// The file has findings.
+    #[display("{}", finding_lines(path, findings))]
     Findings {
         /// The file.
         path: String,
-        /// All that is wrong, in the order of its places.
+        /// All findings, in the order of their positions.
         findings: Vec<Finding>,
     },
 }
 
-fn list(path: &str, findings: &[Finding]) -> String {
+fn finding_lines(path: &str, findings: &[Finding]) -> String {
     let lines: Vec<String> = findings
         .iter()
         .map(|finding| format!("{path}:{finding}"))
@@ -57,26 +57,26 @@
     lines.join("\n")
 }
 
-/// All settings.
+/// Settings of one daemon.
 #[derive(Clone)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Settings {
     /// The fleet's name.
     pub fleet: String,
-    /// This daemon's name, which is its VM's.
+    /// This daemon's name, the same as its VM's.
     pub daemon: DaemonId,
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// The region of its data centre.
     pub region: RegionId,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Listen,
     /// Secrets.
     pub keys: Keys,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// Daemons to join by, besides the platform's list.
+    /// Addresses of daemons to join the fleet through, besides the platform's list.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Limits on callers.
@@ -84,22 +84,24 @@
     pub limits: Limits,
 }
 
-/// Where the daemon listens.
+/// Listen addresses.
 #[derive(Clone)]
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Listen {
-    /// Callers and operators.
+    /// Address for callers and operators.
     pub callers: SocketAddr,
-    /// Other daemons.
+    /// Address for other daemons.
     pub peers: SocketAddr,
-    /// Where other daemons reach it, if that isn't `peers`.
+    /// Address at which other daemons reach this one, if it isn't `peers`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
 }
 
 impl Listen {
-    /// Where other daemons reach it, once the port is bound.
+    /// Address at which other daemons reach this one, once the port is bound.
+    ///
+    /// Port 0 of `advertise` stands for the port that is bound.
     pub fn reachable(&self, bound: SocketAddr) -> SocketAddr {
         let Some(mut advertised) = self.advertise else {
             return bound;
@@ -120,7 +122,7 @@
     #[debug(skip)]
     #[serde(default, skip_serializing)]
     pub fleet: String,
-    /// File that holds the secret, by a path from the settings file.
+    /// File that holds the secret; its path is relative to the settings file.
     #[serde(default)]
     pub fleet_file: Option<PathBuf>,
     /// Hashes of the operators' keys.
@@ -133,25 +135,25 @@
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body: ByteSize,
-    /// Longest time for a body to arrive.
+    /// Maximum time to receive a body.
     pub body_wait: Millis,
-    /// Largest head of a request, and bytes of an answer that wait for the socket.
+    /// Maximum size of a request head, and of the bytes of a response buffered for the socket.
     pub head: ByteSize,
-    /// Most headers of a request.
+    /// Maximum number of headers of a request.
     pub headers: u32,
-    /// Longest time for a head to arrive, and for an idle connection to be kept.
+    /// Maximum time to receive a head, and to keep an idle connection.
     pub head_wait: Millis,
-    /// Longest time in which a caller takes nothing of its answer.
+    /// Maximum time in which a caller reads nothing of its response.
     pub write_wait: Millis,
-    /// Most connections of callers.
+    /// Maximum number of callers' connections.
     pub connections: u32,
-    /// Bytes of one answer held for a slow caller.
+    /// Bytes of one answer buffered for a slow caller.
     pub window: ByteSize,
-    /// Longest time that a graceful stop waits for answers in flight.
+    /// Maximum time that a graceful stop waits for answers in flight.
     pub stop: Millis,
-    /// Chats remembered by this daemon's directory.
+    /// Maximum number of chats in this daemon's directory.
     pub chats: u32,
 }
 
@@ -173,11 +175,11 @@
 }
 
 impl Settings {
-    /// Reads a settings file and the secret that it may name.
+    /// Reads a settings file, and the secret from its own file if it names one.
     ///
     /// # Errors
     ///
-    /// When a file can't be read, or with all that is wrong in it.
+    /// When a file can't be read, or with all findings in it.
     pub fn read(path: &Path) -> Result<Self> {
         let name = path.display().to_string();
         let text = std::fs::read(path).map_err(|source| SettingsError::Read {
@@ -196,24 +198,25 @@
             })
     }
 
-    /// Reads the text of a settings file; a secret in a file of its own isn't read.
+    /// Parses the text of a settings file; doesn't read a secret from a separate file.
     ///
     /// # Errors
     ///
-    /// All that is wrong in it, in the order of the places.
+    /// All findings, in the order of their positions.
     pub fn parse(text: &str) -> std::result::Result<Self, Vec<Finding>> {
         let findings = check(text);
         if !findings.is_empty() {
             return Err(findings);
         }
-        let whole =
-            |cause: &dyn std::fmt::Display| vec![Text(text).finding(0, "", cause.to_string())];
+        let file_finding = |cause: &dyn std::fmt::Display| {
+            vec![SourceText(text).finding(0, "", cause.to_string())]
+        };
         let value = jsonc_parser::parse_to_serde_value::<serde_json::Value>(text, &OPTIONS)
-            .map_err(|error| whole(&error))?;
-        serde_json::from_value(value).map_err(|error| whole(&error))
+            .map_err(|error| file_finding(&error))?;
+        serde_json::from_value(value).map_err(|error| file_finding(&error))
     }
 
-    /// Takes the fleet's secret from its file, if it has one.
+    /// Reads the fleet's secret from its own file, if the settings name one.
     fn with_secret(mut self, path: &Path, text: &[u8]) -> std::result::Result<Self, Vec<Finding>> {
         let Some(file) = &self.keys.fleet_file else {
             return Ok(self);
@@ -223,7 +226,7 @@
             .map_err(|error| format!("{}: {error}", file.display()))
             .and_then(|secret| {
                 let secret = secret.trim();
-                value::secret(secret).map(|()| secret.to_owned())
+                value::check_secret(secret).map(|()| secret.to_owned())
             });
         match secret {
             Ok(secret) => {
@@ -232,8 +235,12 @@
             }
             Err(cause) => {
                 let text = std::str::from_utf8(text).unwrap_or_default();
-                let at = text.find("\"fleet-file\"").unwrap_or_default();
-                Err(vec![Text(text).finding(at, "keys.fleet-file", cause)])
+                let offset = text.find("\"fleet-file\"").unwrap_or_default();
+                Err(vec![SourceText(text).finding(
+                    offset,
+                    "keys.fleet-file",
+                    cause,
+                )])
             }
         }
     }
@@ -241,5 +248,5 @@
 
 fn not_utf8(text: &[u8], valid: usize) -> Finding {
     let before = String::from_utf8_lossy(text.get(..valid).unwrap_or_default());
-    Text(&before).finding(valid, "", "the text is not UTF-8")
+    SourceText(&before).finding(valid, "", "the text is not UTF-8")
 }
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,17 +1,17 @@
-//! Finds all that is wrong in a settings file, before any of it is used.
+//! Finds all faults of a settings file before any of it is used.
 
 use jsonc_parser::ast::{Object, ObjectProp, Value};
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 
-use super::finding::{Finding, Text};
+use super::finding::{Finding, SourceText};
 use super::keys::{KEYS, Key, Kind, Presence};
 use super::value;
 
-/// Letters that may differ for a known key to be suggested.
-const NEAR: usize = 3;
+/// Maximum edit distance at which a known key is suggested.
+const MAX_DISTANCE: usize = 3;
 
-/// JSON with comments and trailing commas, and nothing else beside JSON.
+/// JSON with comments and trailing commas, without other extensions.
 pub(super) const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -25,13 +25,13 @@
     allow_extended_string_escapes: false,
 };
 
-/// All findings, in the order of their places.
+/// All findings, in the order of their positions.
 pub fn check(text: &str) -> Vec<Finding> {
     let mut findings = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
         Ok(parsed) => check_root(text, parsed.value.as_ref()),
         Err(error) => {
             let cause = error.kind().to_string();
-            vec![Text(text).finding(error.range().start, "", cause)]
+            vec![SourceText(text).finding(error.range().start, "", cause)]
         }
     };
     findings.sort();
@@ -40,53 +40,53 @@
 
 fn check_root(text: &str, root: Option<&Value<'_>>) -> Vec<Finding> {
     let Some(Value::Object(object)) = root else {
-        return vec![Text(text).finding(0, "", "the settings must be an object")];
+        return vec![SourceText(text).finding(0, "", "the settings must be an object")];
     };
     let mut checker = Checker {
-        text: Text(text),
+        text: SourceText(text),
         findings: Vec::new(),
     };
-    checker.object(object, "");
-    checker.clashes(object);
+    checker.check_object(object, "");
+    checker.check_conflicts(object);
     checker.findings
 }
 
 struct Checker<'a> {
-    text: Text<'a>,
+    text: SourceText<'a>,
     findings: Vec<Finding>,
 }
 
 impl Checker<'_> {
-    fn add(&mut self, at: usize, key: &str, text: impl Into<String>) {
-        self.findings.push(self.text.finding(at, key, text));
+    fn add(&mut self, offset: usize, key: &str, text: impl Into<String>) {
+        self.findings.push(self.text.finding(offset, key, text));
     }
 
-    /// Checks an object's keys and what they hold.
-    fn object(&mut self, object: &Object<'_>, path: &str) {
-        for (at, property) in object.properties.iter().enumerate() {
+    /// Checks an object's keys and their values.
+    fn check_object(&mut self, object: &Object<'_>, path: &str) {
+        for (index, property) in object.properties.iter().enumerate() {
             let name = property.name.as_str();
-            let before = object.properties.iter().take(at);
+            let before = object.properties.iter().take(index);
             if before.clone().any(|other| other.name.as_str() == name) {
                 let key = join(path, name);
                 self.add(property.range.start, &key, "the key stands here twice");
             }
-            self.property(property, path);
+            self.check_property(property, path);
         }
         let missing = |key: &&Key| {
             let name = key.path.rsplit('.').next().unwrap_or_default();
-            let needed = key.presence == Presence::Needed && key.parent() == path;
-            needed && object.get(name).is_none()
+            let required = key.presence == Presence::Required && key.parent() == path;
+            required && object.get(name).is_none()
         };
         for key in KEYS.iter().filter(missing) {
             self.add(object.range.start, key.path, "the key is missing");
         }
     }
 
-    fn property(&mut self, property: &ObjectProp<'_>, path: &str) {
+    fn check_property(&mut self, property: &ObjectProp<'_>, path: &str) {
         let name = property.name.as_str();
         let full = join(path, name);
         let Some(key) = KEYS.iter().find(|key| key.path == full) else {
-            let text = match nearest(path, name) {
+            let text = match closest_key(path, name) {
                 Some(known) => format!("no such key; did you mean `{known}`?"),
                 None => "no such key".into(),
             };
@@ -94,26 +94,26 @@
             return;
         };
         match (key.kind, &property.value) {
-            (Kind::Object, Value::Object(object)) => self.object(object, key.path),
+            (Kind::Object, Value::Object(object)) => self.check_object(object, key.path),
             (Kind::Addresses | Kind::Hashes, Value::Array(list)) => {
                 for element in &list.elements {
-                    self.value(key, element);
+                    self.check_value(key, element);
                 }
             }
-            (_, value) => self.value(key, value),
+            (_, value) => self.check_value(key, value),
         }
     }
 
-    fn value(&mut self, key: &Key, value: &Value<'_>) {
+    fn check_value(&mut self, key: &Key, value: &Value<'_>) {
         if let Err(text) = value::check(key.kind, value) {
             self.add(value.range().start, key.path, text);
         }
     }
 
-    /// Checks what no key is wrong in alone.
-    fn clashes(&mut self, root: &Object<'_>) {
+    /// Checks for conflicts between keys.
+    fn check_conflicts(&mut self, root: &Object<'_>) {
         if let Some(listen) = root.get_object("listen") {
-            self.listen(listen, root);
+            self.check_listen(listen, root);
         }
         if let Some(keys) = root.get_object("keys") {
             match (keys.get("fleet"), keys.get("fleet-file")) {
@@ -130,7 +130,7 @@
         }
     }
 
-    fn listen(&mut self, listen: &Object<'_>, root: &Object<'_>) {
+    fn check_listen(&mut self, listen: &Object<'_>, root: &Object<'_>) {
         let callers = value::address_at(listen, "callers");
         let peers = value::address_at(listen, "peers");
         let platform = value::address_at(root, "platform");
@@ -138,12 +138,12 @@
             && callers.overlaps(peers)
         {
             let text = "the same address as `listen.callers`";
-            self.add(peers.at, "listen.peers", text);
+            self.add(peers.offset, "listen.peers", text);
         }
         for own in [callers, peers].into_iter().flatten() {
             if let Some(platform) = platform.filter(|platform| platform.address == own.address) {
                 let text = "the daemon listens there itself";
-                self.add(platform.at, "platform", text);
+                self.add(platform.offset, "platform", text);
             }
         }
         let advertise = value::address_at(listen, "advertise");
@@ -151,11 +151,11 @@
             && listen.get("advertise").is_none()
         {
             let text = "a wildcard, which peers can't reach; set `listen.advertise`";
-            self.add(peers.at, "listen.peers", text);
+            self.add(peers.offset, "listen.peers", text);
         }
         if let Some(advertise) = advertise.filter(|advertise| advertise.is_wildcard()) {
             let text = "a wildcard, which peers can't reach";
-            self.add(advertise.at, "listen.advertise", text);
+            self.add(advertise.offset, "listen.advertise", text);
         }
     }
 }
@@ -167,13 +167,13 @@
     }
 }
 
-/// The known key beside a wrong one that is spelt most like it, or one of that name elsewhere.
-fn nearest(path: &str, name: &str) -> Option<&'static str> {
+/// The known key whose name is closest to an unknown one; keys of other objects count one edit more.
+fn closest_key(path: &str, name: &str) -> Option<&'static str> {
     let distance = |key: &Key| {
         let own = key.path.rsplit('.').next().unwrap_or_default();
         let elsewhere = usize::from(key.parent() != path);
         strsim::damerau_levenshtein(own, name) + elsewhere
     };
     let best = KEYS.iter().min_by_key(|key| distance(key))?;
-    (distance(best) <= NEAR.min(name.len() / 2 + 1)).then_some(best.path)
+    (distance(best) <= MAX_DISTANCE.min(name.len() / 2 + 1)).then_some(best.path)
 }
--- a/crates/daemon/src/settings/finding.rs
+++ b/crates/daemon/src/settings/finding.rs
@@ -1,8 +1,8 @@
-//! What is wrong in a settings file, with its place.
+//! Faults found in a settings file, with their positions.
 
 use derive_more::Display;
 
-/// One thing that is wrong.
+/// A fault in a settings file.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 #[derive(Display)]
 #[display("{line}:{column}: {}{text}", prefix(key))]
@@ -11,9 +11,9 @@
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// Path of the key, as `listen.peers`; empty for the whole file.
+    /// Path of the key, such as `listen.peers`; empty for the whole file.
     pub key: String,
-    /// What is wrong and, where one can tell, what is right.
+    /// What is wrong and, if known, how to correct it.
     pub text: String,
 }
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// Finds lines and columns in a text.
+/// Text of a settings file; converts byte offsets to lines and columns.
 #[derive(Clone, Copy)]
-pub(super) struct Text<'a>(pub(super) &'a str);
+pub(super) struct SourceText<'a>(pub(super) &'a str);
 
-impl Text<'_> {
-    /// A finding at a byte of the text.
-    pub(super) fn finding(self, at: usize, key: &str, text: impl Into<String>) -> Finding {
-        let before = self.0.get(..at).unwrap_or(self.0);
+impl SourceText<'_> {
+    /// A finding at a byte offset of the text.
+    pub(super) fn finding(self, offset: usize, key: &str, text: impl Into<String>) -> Finding {
+        let before = self.0.get(..offset).unwrap_or(self.0);
         let line = before.rsplit('\n').next().unwrap_or_default();
         Finding {
             line: before.matches('\n').count() + 1,
--- a/crates/daemon/src/settings/keys.rs
+++ b/crates/daemon/src/settings/keys.rs
@@ -1,19 +1,19 @@
-//! Every key that a settings file may have, with its kind, bound and default.
+//! Table of all keys of a settings file, with kind, bounds and default.
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::units::ByteSize;
 
 use super::Limits;
 
-/// Fewest bytes of the fleet's secret.
+/// Minimum length of the fleet's secret, bytes.
 pub const MIN_SECRET: usize = 16;
-/// Fewest different bytes of the fleet's secret.
-pub const MIN_VARIETY: usize = 6;
+/// Minimum number of distinct bytes in the fleet's secret.
+pub const MIN_DISTINCT_BYTES: usize = 6;
 const MAX_TEXT: usize = 64;
 const SECOND: Millis = Millis::from_secs(1);
 const MINUTE: Millis = Millis::from_secs(60);
 const DAY: Millis = Millis::from_secs(86_400);
-const UNITS: [(&str, u64); 4] = [
+const TIME_UNITS: [(&str, u64); 4] = [
     ("d", DAY.0),
     ("h", 3_600_000),
     ("m", MINUTE.0),
@@ -22,24 +22,24 @@
 const KIB: u64 = 1 << 10;
 const MIB: u64 = 1 << 20;
 
-/// What a key holds.
+/// Kind of a key's value.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Kind {
-    /// Further keys.
+    /// An object with keys of its own.
     Object,
-    /// Text with this many bytes at most.
+    /// Text of at max this many bytes.
     Text(usize),
-    /// A name, as daemons and data centres have.
+    /// A name, such as of a daemon or data centre.
     Name,
     /// The fleet's secret.
     Secret,
-    /// A path of a file.
+    /// A file path.
     File,
-    /// IP address and port.
+    /// An IP address and port.
     Address,
     /// A list of addresses.
     Addresses,
-    /// A list of hashes of keys.
+    /// A list of key hashes.
     Hashes,
     /// A time within these bounds.
     Time(Millis, Millis),
@@ -49,35 +49,35 @@
     Count(u32, u32),
 }
 
-/// Whether a key has to be there.
+/// Whether a key is required.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Presence {
-    /// It has to be there.
-    Needed,
-    /// It may be left out; without it holds what the text says.
+    /// The key is required.
+    Required,
+    /// The key is optional; the text describes its default.
     Optional(&'static str),
-    /// It may be left out; its default is that of `Limits`.
+    /// The key is optional; its default is that of `Limits`.
     Limit,
 }
 
-/// One key.
+/// A key of the settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// Its path, as `listen.peers`.
+    /// Path of the key, such as `listen.peers`.
     pub path: &'static str,
-    /// What it holds.
+    /// Kind of its value.
     pub kind: Kind,
-    /// Whether it has to be there.
+    /// Whether it is required.
     pub presence: Presence,
-    /// What it means.
+    /// Meaning, as shown in the documentation.
     pub meaning: &'static str,
 }
 
-const fn needed(path: &'static str, kind: Kind, meaning: &'static str) -> Key {
+const fn required(path: &'static str, kind: Kind, meaning: &'static str) -> Key {
     Key {
         path,
         kind,
-        presence: Presence::Needed,
+        presence: Presence::Required,
         meaning,
     }
 }
@@ -105,30 +105,30 @@
     }
 }
 
-const fn time(least: Millis, most: Millis) -> Kind {
-    Kind::Time(least, most)
+const fn time(min: Millis, max: Millis) -> Kind {
+    Kind::Time(min, max)
 }
 
-const fn size(least: u64, most: u64) -> Kind {
-    Kind::Size(ByteSize(least), ByteSize(most))
+const fn size(min: u64, max: u64) -> Kind {
+    Kind::Size(ByteSize(min), ByteSize(max))
 }
 
-/// All keys; an object stands before its own keys.
+/// All keys; each object precedes its own keys.
 #[rustfmt::skip]
 pub const KEYS: &[Key] = &[
-    needed("fleet", Kind::Text(MAX_TEXT), "Name of the fleet; daemons of another get nothing."),
-    needed("daemon", Kind::Name, "Name of this daemon, which is its VM's."),
-    needed("data-centre", Kind::Name, "Data centre in which it runs."),
-    needed("region", Kind::Name, "Region of that data centre."),
-    needed("listen", Kind::Object, "Where it listens."),
-    needed("listen.callers", Kind::Address, "For callers and operators."),
-    needed("listen.peers", Kind::Address, "For other daemons."),
+    required("fleet", Kind::Text(MAX_TEXT), "Name of the fleet; daemons of another get nothing."),
+    required("daemon", Kind::Name, "Name of this daemon, which is its VM's."),
+    required("data-centre", Kind::Name, "Data centre in which it runs."),
+    required("region", Kind::Name, "Region of that data centre."),
+    required("listen", Kind::Object, "Where it listens."),
+    required("listen.callers", Kind::Address, "For callers and operators."),
+    required("listen.peers", Kind::Address, "For other daemons."),
     optional("listen.advertise", Kind::Address, "`listen.peers`", "Where other daemons reach it; needed where `listen.peers` is a wildcard. Port 0 stands for the port that is bound."),
-    needed("keys", Kind::Object, "Secrets."),
+    required("keys", Kind::Object, "Secrets."),
     optional("keys.fleet", Kind::Secret, "`keys.fleet-file`", "Secret that all daemons of the fleet share."),
     optional("keys.fleet-file", Kind::File, "`keys.fleet`", "File that holds the secret, by a path from the settings file; white space around it is left out."),
     optional("keys.operators", Kind::Hashes, "`[]`", "BLAKE3 hashes of the operators' keys, in hexadecimal."),
-    needed("platform", Kind::Address, "The platform's object API."),
+    required("platform", Kind::Address, "The platform's object API."),
     optional("seeds", Kind::Addresses, "`[]`", "Daemons to join by, besides the platform's list."),
     optional("limits", Kind::Object, "`{}`", "Limits on callers."),
     limit("limits.head", size(8 * KIB, MIB), "Largest head of a request, and bytes of an answer that wait for a caller's socket."),
@@ -144,7 +144,7 @@
 ];
 
 impl Kind {
-    /// What is written, for people.
+    /// Text that describes the kind of value.
     pub fn unit(self) -> String {
         match self {
             Self::Object => "object".into(),
@@ -161,35 +161,35 @@
         }
     }
 
-    /// Its bound, for people.
+    /// Text that describes the bounds; empty if there are none.
     pub fn bound(self) -> String {
         match self {
-            Self::Text(most) => format!("1 to {most} bytes"),
-            Self::Secret => format!("{MIN_SECRET} bytes or more, {MIN_VARIETY} different"),
-            Self::Time(least, most) => format!("{} to {}", time_text(least), time_text(most)),
-            Self::Size(least, most) => format!("{least} to {most}"),
-            Self::Count(least, most) => format!("{least} to {most}"),
+            Self::Text(max) => format!("1 to {max} bytes"),
+            Self::Secret => format!("{MIN_SECRET} bytes or more, {MIN_DISTINCT_BYTES} different"),
+            Self::Time(min, max) => format!("{} to {}", format_time(min), format_time(max)),
+            Self::Size(min, max) => format!("{min} to {max}"),
+            Self::Count(min, max) => format!("{min} to {max}"),
             _ => String::new(),
         }
     }
 }
 
-/// A time in its largest whole unit.
-pub(super) fn time_text(time: Millis) -> String {
+/// Formats a time in the largest unit that divides it.
+pub(super) fn format_time(time: Millis) -> String {
     let unit = |(_, scale): &(&str, u64)| time.0 >= *scale && time.0.is_multiple_of(*scale);
-    let (name, scale) = UNITS.into_iter().find(unit).unwrap_or(("ms", 1));
+    let (name, scale) = TIME_UNITS.into_iter().find(unit).unwrap_or(("ms", 1));
     format!("{}{name}", time.0 / scale)
 }
 
-fn time_or_text(text: &str) -> String {
-    text.parse().map_or_else(|_| text.into(), time_text)
+fn format_time_or_text(text: &str) -> String {
+    text.parse().map_or_else(|_| text.into(), format_time)
 }
 
 impl Key {
-    /// The default, for people.
+    /// Text that describes the default.
     pub fn default_text(&self) -> String {
         match self.presence {
-            Presence::Needed => "needed".into(),
+            Presence::Required => "needed".into(),
             Presence::Optional(default) => default.into(),
             Presence::Limit => {
                 let limits = serde_json::to_value(Limits::default()).unwrap_or_default();
@@ -197,18 +197,18 @@
                 let value = limits.get(name).cloned().unwrap_or_default();
                 let text = value
                     .as_str()
-                    .map_or_else(|| value.to_string(), time_or_text);
+                    .map_or_else(|| value.to_string(), format_time_or_text);
                 format!("`{text}`")
             }
         }
     }
 
-    /// The path of the object that it stands in; empty for the file's own.
+    /// Path of the containing object; empty for the root.
     pub fn parent(&self) -> &'static str {
         self.path.rsplit_once('.').map_or("", |(parent, _)| parent)
     }
 
-    /// Its row in a table of all keys.
+    /// Row of this key in a Markdown table of all keys.
     pub fn row(&self) -> String {
         format!(
             "| `{}` | {} | {} | {} | {} |",
--- a/crates/daemon/src/settings/value.rs
+++ b/crates/daemon/src/settings/value.rs
@@ -1,4 +1,4 @@
-//! Checks single values of a settings file.
+//! Checks of single values in a settings file.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,25 +10,25 @@
 use medlarrill_core::ids::VmId;
 use medlarrill_core::units::ByteSize;
 
-use super::keys::{Kind, MIN_SECRET, MIN_VARIETY, time_text};
+use super::keys::{Kind, MIN_DISTINCT_BYTES, MIN_SECRET, format_time};
 
-/// Result of a check; the error says what is wrong.
+/// Result of a check; the error describes the fault.
 pub(super) type Result = std::result::Result<(), String>;
 
 /// Checks a value, or one element of a list.
 pub(super) fn check(kind: Kind, value: &Value<'_>) -> Result {
-    if let Kind::Count(least, most) = kind {
-        return count(value, least, most);
+    if let Kind::Count(min, max) = kind {
+        return check_count(value, min, max);
     }
     let Value::StringLit(text) = value else {
         return Err(wrong_type(kind, value));
     };
     let text = text.value.as_ref();
     match kind {
-        Kind::Text(most) => length(text, most),
+        Kind::Text(max) => check_length(text, max),
         Kind::Name => text.parse::<VmId>().map(drop).map_err(|e| e.to_string()),
-        Kind::Secret => secret(text),
-        Kind::File => length(text, usize::MAX),
+        Kind::Secret => check_secret(text),
+        Kind::File => check_length(text, usize::MAX),
         Kind::Address | Kind::Addresses => match text.parse::<SocketAddr>() {
             Ok(_) => Ok(()),
             Err(_) => Err(format!("`{text}` is not an IP address and port")),
@@ -37,13 +37,13 @@
             Ok(_) => Ok(()),
             Err(error) => Err(format!("not a hash of 64 hexadecimal digits: {error}")),
         },
-        Kind::Time(least, most) => {
+        Kind::Time(min, max) => {
             let time = text.parse::<Millis>().map_err(|e| e.to_string())?;
-            within(time, least, most, &|time: &Millis| time_text(*time))
+            check_bounds(time, min, max, &|time: &Millis| format_time(*time))
         }
-        Kind::Size(least, most) => {
+        Kind::Size(min, max) => {
             let size = text.parse::<ByteSize>().map_err(|e| e.to_string())?;
-            within(size, least, most, &ByteSize::to_string)
+            check_bounds(size, min, max, &ByteSize::to_string)
         }
         Kind::Object | Kind::Count(..) => Err(wrong_type(kind, value)),
     }
@@ -61,33 +61,33 @@
     format!("wrong type: wanted {}, found {found}", kind.unit())
 }
 
-fn count(value: &Value<'_>, least: u32, most: u32) -> Result {
+fn check_count(value: &Value<'_>, min: u32, max: u32) -> Result {
     let Value::NumberLit(number) = value else {
-        return Err(wrong_type(Kind::Count(least, most), value));
+        return Err(wrong_type(Kind::Count(min, max), value));
     };
     match number.value.parse::<i64>() {
-        Ok(count) => within(count, least.into(), most.into(), &i64::to_string),
+        Ok(count) => check_bounds(count, min.into(), max.into(), &i64::to_string),
         Err(_) => Err(format!("`{}` is not a whole number", number.value)),
     }
 }
 
-fn within<T: PartialOrd + Copy>(
+fn check_bounds<T: PartialOrd + Copy>(
     value: T,
-    least: T,
-    most: T,
+    min: T,
+    max: T,
     show: &dyn Fn(&T) -> String,
 ) -> Result {
-    if value < least || value > most {
-        let [value, least, most] = [value, least, most].map(|value| show(&value));
-        return Err(format!("{value} is out of bounds: {least} to {most}"));
+    if value < min || value > max {
+        let [value, min, max] = [value, min, max].map(|value| show(&value));
+        return Err(format!("{value} is out of bounds: {min} to {max}"));
     }
     Ok(())
 }
 
-fn length(text: &str, most: usize) -> Result {
+fn check_length(text: &str, max: usize) -> Result {
     match text.len() {
         0 => Err("must not be empty".into()),
-        len if len > most => Err(format!("has {len} bytes, of at most {most}")),
+        len if len > max => Err(format!("has {len} bytes, of at most {max}")),
         _ => Ok(()),
     }
 }
@@ -96,45 +96,45 @@
 ///
 /// # Errors
 ///
-/// Why it is too easily guessed; the secret isn't shown.
-pub(super) fn secret(text: &str) -> Result {
-    let variety = text.bytes().collect::<BTreeSet<u8>>().len();
+/// When the secret is too weak; the message doesn't contain the secret.
+pub(super) fn check_secret(text: &str) -> Result {
+    let distinct = text.bytes().collect::<BTreeSet<u8>>().len();
     if text.len() < MIN_SECRET {
         let len = text.len();
         return Err(format!(
             "a weak secret: {len} bytes, of at least {MIN_SECRET}"
         ));
     }
-    if variety < MIN_VARIETY {
+    if distinct < MIN_DISTINCT_BYTES {
         return Err(format!(
-            "a weak secret: {variety} different bytes, of at least {MIN_VARIETY}"
+            "a weak secret: {distinct} different bytes, of at least {MIN_DISTINCT_BYTES}"
         ));
     }
     Ok(())
 }
 
-/// An address and where it stands in the text.
+/// An address and its position in the text.
 #[derive(Clone, Copy)]
-pub(super) struct Placed {
+pub(super) struct LocatedAddress {
     pub(super) address: SocketAddr,
-    pub(super) at: usize,
+    pub(super) offset: usize,
 }
 
-/// The address that a key of an object holds, if it is one.
-pub(super) fn address_at(object: &Object<'_>, name: &str) -> Option<Placed> {
+/// The address under a key of an object; `None` if it isn't a valid address.
+pub(super) fn address_at(object: &Object<'_>, name: &str) -> Option<LocatedAddress> {
     let literal = object.get_string(name)?;
     let address = literal.value.parse().ok()?;
-    let at = literal.range().start;
-    Some(Placed { address, at })
+    let offset = literal.range().start;
+    Some(LocatedAddress { address, offset })
 }
 
-impl Placed {
-    /// Whether it stands for every address of the VM.
+impl LocatedAddress {
+    /// Whether it is the wildcard address.
     pub(super) fn is_wildcard(self) -> bool {
         self.address.ip().is_unspecified()
     }
 
-    /// Whether both can't be bound at once.
+    /// Whether both cannot be bound at the same time.
     pub(super) fn overlaps(self, other: Self) -> bool {
         let port = self.address.port();
         let same_port = port != 0 && port == other.address.port();
