--- a/crates/daemon/src/args.rs
+++ b/crates/daemon/src/args.rs
@@ -13,25 +13,25 @@
     about = "The daemon of the router fleet"
 )]
 pub struct Args {
-    /// What to do.
+    /// Subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the daemon can be asked to do.
+/// Subcommands of `medlarrilld`.
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run the daemon until it is told to stop.
+    /// Run the daemon until it is signalled to stop.
     Run {
         /// Settings file, JSON with comments.
         #[arg(long, env = "MEDLARRILLD_SETTINGS")]
         settings: PathBuf,
-        /// How log lines are written.
+        /// Format of log lines.
         #[arg(long, value_enum, default_value_t = LogFormat::Text, env = "MEDLARRILLD_LOG_FORMAT")]
         log_format: LogFormat,
     },
-    /// Run on a platform that lists endpoints and routes, until told to stop.
+    /// Run as a router on a platform that lists endpoints and routes, until signalled to stop.
     Route {
         /// Settings file, JSON with comments.
         #[arg(long, env = "MEDLARRILLD_SETTINGS")]
@@ -44,13 +44,13 @@
     },
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 #[derive(ValueEnum)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one daemon share: identity, views and clients.
+//! State shared by the tasks of one daemon: identity, views and clients.
 
 use std::sync::Arc;
 
@@ -18,42 +18,42 @@
 use crate::peers::Peers;
 use crate::settings::Settings;
 
-/// Why a daemon that knows no configuration yet takes no callers.
+/// Reason that a daemon is not ready before it has a configuration.
 pub const NO_CONFIGURATION: &str = "no configuration";
 
-/// Handles that every task may use.
+/// Handles, views and clients available to every task.
 pub struct Context {
     /// Settings as read at start.
     pub settings: Settings,
-    /// This daemon and process.
+    /// Name and incarnation of this daemon.
     pub me: PeerId,
-    /// Counters.
+    /// Counters and gauges.
     pub metrics: Arc<Metrics>,
     /// The configuration in force.
     pub config: watch::Receiver<Arc<ConfigView>>,
-    /// The daemons held to be live.
+    /// Daemons considered live.
     pub fleet: watch::Receiver<Arc<FleetView>>,
     /// Sends to other daemons.
     pub peers: Peers,
-    /// Tries of this entry that wait for an answer.
+    /// Attempts of this entry that wait for an answer.
     pub attempts: AttemptTable,
-    /// Questions of operators that wait for other daemons.
+    /// Queries to other daemons for the state of their endpoints.
     pub state_queries: StateQueries,
-    /// What became of requests.
+    /// States of requests taken here.
     pub tracker: Tracker,
-    /// What became of requests that other daemons took.
+    /// States of requests taken by other daemons.
     pub states: RequestStates,
-    /// Set once the daemon is told to stop.
+    /// True once the daemon is stopping.
     pub stopping: watch::Receiver<bool>,
-    /// The claims task.
+    /// Handle of the claims task.
     pub claims: claims::Handle,
-    /// The limits task.
+    /// Handle of the limits task.
     pub limits: limits::Handle,
-    /// The home task.
+    /// Handle of the home task.
     pub home: home::Handle,
-    /// The configuration task.
+    /// Handle of the configuration task.
     pub configuration: configuration::Handle,
-    /// The membership task.
+    /// Handle of the membership task.
     pub fleet_task: fleet::Handle,
     /// Client of the platform.
     pub platform: platform::Client,
@@ -62,18 +62,18 @@
 }
 
 impl Context {
-    /// This process.
+    /// Incarnation of this process.
     pub const fn incarnation(&self) -> Incarnation {
         self.me.incarnation
     }
 
-    /// A fresh request identifier, which names this process.
+    /// A new request identifier: the incarnation in its high 64 bits, random low bits.
     pub fn new_request_id(&self) -> RequestId {
         let low: u64 = rand::random();
         RequestId(u128::from(self.me.incarnation.0) << 64 | u128::from(low))
     }
 
-    /// Why the daemon takes no callers, unless it does.
+    /// Why the daemon isn't ready for callers; `None` if it is.
     pub fn unready_reason(&self) -> Option<&'static str> {
         if *self.stopping.borrow() {
             return Some("stopping");
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The daemon of the router fleet: entry, home, claim owner and watcher in one process.
 //!
-//! Tasks own their sockets and state and talk by messages; the decisions are
-//! those of `medlarrill-core`. A request is followed through `entry` (from the
-//! caller), `home` (admission and dispatch) and back.
+//! Each task owns its sockets and state and communicates by messages; decisions
+//! are made in `medlarrill-core`. A request passes from the caller through
+//! `entry` to `home` (admission and dispatch), and its response back.
 
 pub mod args;
 pub mod claims;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs, written to standard error.
+//! Sets up logging to standard error.
 
 use logforth::append::Stderr;
 use logforth::filter::rustlog::RustLogFilterBuilder;
@@ -7,7 +7,7 @@
 
 use crate::args::LogFormat;
 
-/// Starts to write logs; levels are set by `RUST_LOG`, `info` unless set.
+/// Sets up logging at the levels in `RUST_LOG`, by default `info`.
 pub fn start(format: LogFormat) {
     let filter = RustLogFilterBuilder::from_default_env_or("info").build();
     let output = match format {
@@ -16,6 +16,6 @@
     };
     let builder = starter_log::builder();
     let builder = builder.dispatch(|dispatch| dispatch.filter(filter).append(output));
-    // A process that runs several daemons, as in tests, has set it up already.
+    // Fails if logging is set up already, as in tests that run several daemons in one process.
     builder.try_apply().ok();
 }
--- a/crates/daemon/src/mailbox.rs
+++ b/crates/daemon/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! The way to send to a task.
+//! Typed sender for the messages of one task.
 
 use derive_more::Debug;
 use tokio::sync::{mpsc, oneshot};
@@ -19,21 +19,21 @@
 }
 
 impl<M> Mailbox<M> {
-    /// A mailbox and what its task receives from.
+    /// A mailbox and the receiver for its task.
     pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<M>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self { sender }, receiver)
     }
 
-    /// Tells the task; false if it has ended.
+    /// Sends a message without waiting; false if the task has ended.
     pub fn send(&self, message: M) -> bool {
         self.sender.send(message).is_ok()
     }
 
-    /// Asks the task; `None` if it has ended.
-    pub async fn request<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> M) -> Option<T> {
+    /// Sends a request and waits for the reply; `None` if the task has ended.
+    pub async fn request<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> M) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
-        self.send(question(sender));
+        self.send(make(sender));
         receiver.await.ok()
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! Thin main of the daemon.
+//! The `medlarrilld` binary; its logic is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -9,7 +9,7 @@
 
 use crate::fleet::FleetView;
 
-/// The way to every daemon.
+/// Sends messages to every daemon of the fleet.
 pub struct Peers {
     me: PeerId,
     local: Handler,
@@ -18,7 +18,7 @@
 }
 
 impl Peers {
-    /// The way over `links`, and to `local` for this daemon itself.
+    /// Sends over `links`, and to `local` for messages to this daemon itself.
     pub const fn new(
         me: PeerId,
         local: Handler,
@@ -33,16 +33,16 @@
         }
     }
 
-    /// The links.
+    /// Links to other daemons.
     pub const fn links(&self) -> &Links {
         &self.links
     }
 
-    /// Sends a message, waiting for room on the link.
+    /// Sends a message, waiting while the link's queue is full.
     ///
     /// # Errors
     ///
-    /// When the daemon isn't known or can't be reached; then the message was not sent.
+    /// When the daemon is unknown or unreachable; the message was not sent.
     pub async fn send(&self, to: &DaemonId, body: Body) -> Result<()> {
         if *to == self.me.daemon {
             (self.local)(Event::Message(self.me.clone(), Box::new(body)));
@@ -51,7 +51,7 @@
         self.link(to).await?.send(body).await
     }
 
-    /// Sends a message if the link is up and has room; else it is dropped.
+    /// Sends a message if the link is up and its queue isn't full; else drops it.
     ///
     /// # Errors
     ///
@@ -66,7 +66,7 @@
 
     async fn link(&self, to: &DaemonId) -> Result<Link> {
         let known = self.fleet.borrow().peers.get(to).map(|peer| peer.address);
-        // One that has dialled and proved itself may not be in the view yet.
+        // A daemon that has connected and authenticated may not be in the view yet.
         let address = known.or_else(|| self.links.address_of(to));
         self.links.to(to, address.ok_or(LinkError::Closed)?).await
     }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -23,6 +23,7 @@
 use crate::claims;
 use crate::configuration::{self, ConfigView};
 use crate::context::Context;
+use crate::dispatcher::Dispatcher;
 use crate::entry::server::{self, ServerError, Serving};
 use crate::entry::{AttemptTable, RequestStates, StateQueue, StrayFrames, StrayQueue, Tracker};
 use crate::fleet::{self, FleetView, Outputs, follow_vms};
@@ -32,38 +33,37 @@
 use crate::operators::StateQueries;
 use crate::peers::Peers;
 use crate::settings::{Settings, SettingsError};
-use crate::dispatcher::Dispatcher;
 
 /// Result of running the daemon.
 pub type Result<T> = std::result::Result<T, StartError>;
 
-/// Calls for claims: four batches a second of each of eight shards, and takeovers, which
-/// read up to 64 objects of each of the shards that a stopped daemon owned.
+/// Budget of platform calls for claims: four batches a second for each of eight shards,
+/// and takeovers, which read up to 64 objects of each shard that a stopped daemon owned.
 const CLAIMS_BUDGET: platform::Budget = platform::Budget {
     rate: Rate(64.0),
     burst: 512,
 };
-/// Exit code when settings can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Why the daemon can't start.
+/// Why the daemon failed to start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// Settings can't be used.
+    /// The settings are invalid.
     #[display("{_0}")]
     Settings(SettingsError),
     /// A socket or signal handler failed.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// Callers can't be served.
+    /// The callers' server failed to start.
     #[display("{_0}")]
     Server(ServerError),
-    /// The router can't start.
+    /// The router failed to start.
     #[display("{_0}")]
     Router(medlarrill_router::start::StartError),
 }
 
-/// Where a daemon listens, printed as one line once it does.
+/// Identity and listen addresses of a daemon, printed as one line of JSON once it listens.
 #[derive(Debug, Serialize)]
 pub struct Started {
     daemon: DaemonId,
@@ -72,7 +72,7 @@
     peers: SocketAddr,
 }
 
-/// Runs the command line.
+/// Parses the command line and runs its command.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let args = Args::parse_from(args);
     let result = match args.command {
@@ -93,7 +93,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(StartError::Settings(error)) => {
             eprintln!("{error}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_BAD_SETTINGS)
         }
         Err(error) => {
             eprintln!("medlarrilld: {error}");
@@ -102,11 +102,11 @@
     }
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until it receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When it can't start.
+/// When it fails to start.
 pub fn run(settings: Settings, format: LogFormat) -> Result<()> {
     crate::logs::start(format);
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -127,15 +127,15 @@
     Ok(())
 }
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct Running {
-    /// What its tasks share.
+    /// State shared by its tasks.
     pub context: Arc<Context>,
     /// Its callers' server.
     pub server: Option<Serving>,
-    /// Set to stop.
+    /// Set to true to stop the daemon.
     pub stopping: watch::Sender<bool>,
-    /// How many peers know that it leaves.
+    /// Number of peers that acknowledged its departure.
     pub leave_acks: watch::Receiver<usize>,
 }
 
@@ -148,7 +148,7 @@
     let bound = server::bind(settings.listen.callers, &settings.limits)?;
     let own = listener.local_addr()?;
     let address = settings.listen.reachable(own);
-    announce(&me, bound.address, own);
+    print_started(&me, bound.address, own);
     let (channels, ends) = channels();
     let context = connect(settings, me, listener, channels)?;
     let mut running = spawn(&context, address, ends);
@@ -156,7 +156,7 @@
     Ok(running)
 }
 
-/// What the shared handles need.
+/// Senders and views, shared by all tasks.
 struct Channels {
     view: watch::Receiver<Arc<FleetView>>,
     config: watch::Receiver<Arc<ConfigView>>,
@@ -170,8 +170,8 @@
     states: RequestStates,
 }
 
-/// What the tasks own.
-struct Ends {
+/// Receivers and publishers, each owned by one task.
+struct TaskEnds {
     view: watch::Sender<Arc<FleetView>>,
     config: watch::Sender<Arc<ConfigView>>,
     stopping: watch::Sender<bool>,
@@ -184,7 +184,7 @@
     states: StateQueue,
 }
 
-fn channels() -> (Channels, Ends) {
+fn channels() -> (Channels, TaskEnds) {
     let (view_sender, view) = watch::channel(Arc::default());
     let (config_sender, config) = watch::channel(Arc::default());
     let (stopping_sender, stopping) = watch::channel(false);
@@ -207,7 +207,7 @@
         strays,
         states,
     };
-    let ends = Ends {
+    let ends = TaskEnds {
         view: view_sender,
         config: config_sender,
         stopping: stopping_sender,
@@ -222,7 +222,7 @@
     (channels, ends)
 }
 
-/// Opens the links and makes the handles that all tasks share.
+/// Starts the links and creates the context that all tasks share.
 fn connect(
     settings: Settings,
     me: PeerId,
@@ -277,7 +277,7 @@
     }))
 }
 
-fn spawn(context: &Arc<Context>, address: SocketAddr, ends: Ends) -> Running {
+fn spawn(context: &Arc<Context>, address: SocketAddr, ends: TaskEnds) -> Running {
     let (leave_acks_sender, leave_acks) = watch::channel(0);
     let (generation, generations) = mpsc::unbounded_channel();
     let outputs = Outputs {
@@ -309,7 +309,7 @@
     }
 }
 
-fn announce(me: &PeerId, callers: SocketAddr, peers: SocketAddr) {
+fn print_started(me: &PeerId, callers: SocketAddr, peers: SocketAddr) {
     let started = Started {
         daemon: me.daemon.clone(),
         incarnation: me.incarnation,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! A graceful stop: leave, finish what is in flight, exit.
+//! Graceful stop: leave the fleet, finish requests in flight, exit.
 
 use medlarrill_core::clock::Millis;
 use tokio::time::timeout;
@@ -6,32 +6,35 @@
 use crate::fleet::Message;
 use crate::start::Running;
 
-/// Time that the balancer and peers get to notice before the server closes.
-const NOTICE: Millis = Millis(500);
-/// Longest wait for peers to hear of the end.
-const FAREWELL: Millis = Millis::from_secs(2);
-/// Longest wait for the directory to be handed over; each entry left costs one prefill.
-const HANDOVER: Millis = Millis::from_secs(10);
-/// Time between two looks at what is in flight.
-const LOOK: Millis = Millis(50);
+/// Time for the load balancer and peers to notice before the server closes.
+const NOTICE_PERIOD: Millis = Millis(500);
+/// Maximum wait for a peer to acknowledge the departure.
+const MAX_LEAVE_WAIT: Millis = Millis::from_secs(2);
+/// Maximum wait for the handover of the directory; each entry not handed over costs one prefill.
+const MAX_HANDOVER_WAIT: Millis = Millis::from_secs(10);
+/// Interval between checks for work in flight.
+const CHECK_INTERVAL: Millis = Millis(50);
 
-/// Stops a daemon in order. Further signals change nothing.
+/// Stops a daemon gracefully. Further signals have no effect.
 pub async fn stop(mut running: Running) {
     let limit = running.context.settings.limits.stop;
     log::info!(target: "stop", "stop: leaving, {} requests in flight", running.context.attempts.len());
     running.stopping.send_replace(true);
     running.context.fleet_task.send(Message::Leave);
-    tokio::time::sleep(NOTICE.as_duration()).await;
+    tokio::time::sleep(NOTICE_PERIOD.as_duration()).await;
     let server = running.server.take();
     let closing = server.map(|server| tokio::spawn(server.stop(limit)));
-    if timeout(limit.as_duration(), idle(&running)).await.is_err() {
+    if timeout(limit.as_duration(), wait_until_idle(&running))
+        .await
+        .is_err()
+    {
         log::error!(target: "stop", "stop: the time limit passed with work in flight");
     }
-    // The last bytes of an answer may still wait for their caller.
+    // The last bytes of an answer may still wait to be sent.
     if let Some(closing) = closing {
         let _ = closing.await;
     }
-    let moved = timeout(HANDOVER.as_duration(), handed_over(&running));
+    let moved = timeout(MAX_HANDOVER_WAIT.as_duration(), wait_for_handover(&running));
     if moved.await.is_err() {
         let left = running.context.home.moving();
         log::warn!(target: "stop", "stop: {left} directory entries were not handed over");
@@ -39,18 +42,18 @@
     running.context.claims.stop().await;
     running.context.fleet_task.send(Message::Depart);
     running.leave_acks.mark_unchanged();
-    // Peers that don't hear of it find out by themselves.
-    let _ = timeout(FAREWELL.as_duration(), running.leave_acks.changed()).await;
+    // Peers that miss the message detect the departure themselves.
+    let _ = timeout(MAX_LEAVE_WAIT.as_duration(), running.leave_acks.changed()).await;
     log::info!(target: "stop", "stop: done");
 }
 
-async fn handed_over(running: &Running) {
+async fn wait_for_handover(running: &Running) {
     while running.context.home.moving() > 0 {
-        tokio::time::sleep(LOOK.as_duration()).await;
+        tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
     }
 }
 
-async fn idle(running: &Running) {
+async fn wait_until_idle(running: &Running) {
     let context = &running.context;
     loop {
         let entry = context.metrics.in_flight.get() == 0;
@@ -58,6 +61,6 @@
         if entry && home {
             return;
         }
-        tokio::time::sleep(LOOK.as_duration()).await;
+        tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
     }
 }
