--- a/crates/daemon/src/entry/attempts.rs
+++ b/crates/daemon/src/entry/attempts.rs
@@ -41,7 +41,7 @@
 impl Waiter {
     /// Records the sender of a frame; false if it isn't the one that has the attempt.
     ///
-    /// Frames of a home that the request was passed to may arrive before `Passed` does.
+    /// Frames of a home that the request was passed to may arrive before `Rerouted` does.
     fn accepts(&mut self, from: &PeerId, body: &Body) -> bool {
         if let Some(bound) = &self.bound {
             return bound == from;
--- a/crates/daemon/src/limits/handle.rs
+++ b/crates/daemon/src/limits/handle.rs
@@ -1,16 +1,16 @@
-//! Sends to the limits task.
+//! The handle by which requests reach the limits task.
 
 use medlarrill_core::clock::Millis;
 use medlarrill_core::ids::{AttemptId, PoolId};
 use medlarrill_core::reason::Reason;
 
-use super::message::{Ask, Message, Refusal};
+use super::message::{Message, PermitRequest, Refusal};
 use crate::mailbox::Mailbox;
 
-/// Sends to the limits task.
+/// Sends messages to the limits task. Cheap to clone.
 pub type Handle = Mailbox<Message>;
 
-/// Room of an account, given back when dropped.
+/// Permission to run a request within its account's limits; released when dropped.
 #[derive(Debug)]
 pub struct Permit {
     handle: Handle,
@@ -19,38 +19,42 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.handle.tell(Message::Done(self.id));
+        self.handle.send(Message::Release(self.id));
     }
 }
 
 impl Handle {
-    /// Asks for room of an account.
+    /// Acquires a permit within an account's limits.
     ///
     /// # Errors
     ///
     /// When the account's rate or concurrency is used up.
-    pub async fn enter(&self, ask: Ask) -> Result<Permit, Refusal> {
-        // Made first, so that a caller that goes away gives the room back.
+    pub async fn acquire(&self, request: PermitRequest) -> Result<Permit, Refusal> {
+        // Created first, so that a caller that goes away releases the permit.
         let permit = Permit {
             handle: self.clone(),
-            id: ask.id,
+            id: request.id,
         };
-        let verdict = self.ask(|sender| Message::Ask(ask, sender)).await;
+        let decision = self
+            .request(|sender| Message::Acquire(request, sender))
+            .await;
         let stopped = Refusal {
             reason: Reason::Stopping,
-            after: Millis::ZERO,
+            retry_after: Millis::ZERO,
         };
-        verdict.unwrap_or(Err(stopped)).map(|()| permit)
+        decision.unwrap_or(Err(stopped)).map(|()| permit)
     }
 
-    /// Counts a first try of a pool, which pays for a share of a retry.
-    pub fn first(&self, pool: PoolId) {
-        self.tell(Message::First(pool));
+    /// Records a first attempt in a pool, which adds a fraction of a retry to its budget.
+    pub fn record_attempt(&self, pool: PoolId) {
+        self.send(Message::FirstAttempt(pool));
     }
 
-    /// Takes a retry from a pool's budget; false if too much of its work is retries.
-    pub async fn spend(&self, pool: PoolId) -> bool {
-        let spent = self.ask(|sender| Message::Spend(pool, sender)).await;
-        spent.unwrap_or(false)
+    /// Takes a retry from a pool's budget; false if the budget is exhausted.
+    pub async fn take_retry(&self, pool: PoolId) -> bool {
+        let taken = self
+            .request(|sender| Message::TakeRetry(pool, sender))
+            .await;
+        taken.unwrap_or(false)
     }
 }
