--- a/crates/daemon/src/entry/handlers.rs
+++ b/crates/daemon/src/entry/handlers.rs
@@ -38,7 +38,7 @@
         response: &mut Response,
         _flow: &mut FlowCtrl,
     ) {
-        let id = self.0.draw_request();
+        let id = self.0.new_request_id();
         self.0.metrics.requests.inc();
         let header = HeaderValue::from_str(&id.to_string());
         if let Ok(value) = header {
@@ -91,14 +91,14 @@
         mut flight: InFlight,
     ) -> Result<InFlight, Box<Problem>> {
         let request = job.permit_request(self.0.incarnation());
-        match self.0.limits.enter(request).await {
+        match self.0.limits.acquire(request).await {
             Ok(permit) => Ok(flight.with_permit(permit)),
             Err(refusal) => {
                 let mut failure = match job.keyed {
                     Some(_) => Failure::unclaimed(refusal.reason),
                     None => Failure::new(refusal.reason),
                 };
-                failure.retry_after = Some(refusal.after);
+                failure.retry_after = Some(refusal.retry_after);
                 flight.failed(&failure);
                 Err(Box::new(Problem::of(&failure)))
             }
@@ -107,7 +107,7 @@
 
     /// Reads and classifies a request; the body is read only if the key is known.
     async fn read_job(&self, id: RequestId, request: &mut Request) -> Result<Job, Box<Problem>> {
-        if self.0.unready() == Some(NO_CONFIGURATION) {
+        if self.0.unready_reason() == Some(NO_CONFIGURATION) {
             let problem = Problem::new(Reason::NotReady);
             return Err(Box::new(problem.with_detail(NO_CONFIGURATION)));
         }
@@ -151,7 +151,7 @@
 
     /// Counts and records a request that was refused before it was sent to a home.
     fn record_refusal(&self, id: RequestId, problem: &Problem) {
-        self.0.metrics.refuse(problem.reason());
+        self.0.metrics.record_refusal(problem.reason());
         let state = State::Failed {
             code: problem.reason(),
             outcome: Outcome::NotRun,
@@ -176,7 +176,7 @@
         match state {
             Ok(state) => write_json(response, &state),
             Err(problem) => {
-                self.0.metrics.refuse(problem.reason());
+                self.0.metrics.record_refusal(problem.reason());
                 problem.write(response);
             }
         }
@@ -222,7 +222,7 @@
         response: &mut Response,
         _flow: &mut FlowCtrl,
     ) {
-        match self.0.unready() {
+        match self.0.unready_reason() {
             None => response.render("ready\n"),
             Some(reason) => {
                 response.status_code(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,13 +1,14 @@
 //! The daemon of the router fleet: entry, home, claim owner and watcher in one process.
 //!
-//! Tasks own their sockets and state and talk by messages; the decisions are
-//! those of `medlarrill-core`. A request is followed through `entry` (from the
-//! caller), `home` (admission and dispatch) and back.
+//! Each task owns its sockets and state and communicates by messages; decisions
+//! are made in `medlarrill-core`. A request passes from the caller through
+//! `entry` to `home` (admission and dispatch), and its response back.
 
 pub mod args;
 pub mod claims;
 pub mod configuration;
 pub mod context;
+pub mod dispatcher;
 pub mod entry;
 pub mod fleet;
 pub mod home;
@@ -20,4 +21,3 @@
 pub mod settings;
 pub mod start;
 pub mod stop;
-pub mod switch;
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -23,47 +23,47 @@
 use crate::claims;
 use crate::configuration::{self, ConfigView};
 use crate::context::Context;
+use crate::dispatcher::Dispatcher;
 use crate::entry::server::{self, ServerError, Serving};
 use crate::entry::{AttemptTable, RequestStates, StateQueue, StrayFrames, StrayQueue, Tracker};
 use crate::fleet::{self, FleetView, Outputs, follow_vms};
 use crate::home;
 use crate::limits;
 use crate::metrics::{ControlSources, Metrics};
-use crate::operators::Questions;
+use crate::operators::StateQueries;
 use crate::peers::Peers;
 use crate::settings::{Settings, SettingsError};
-use crate::switch::Switch;
 
 /// Result of running the daemon.
 pub type Result<T> = std::result::Result<T, StartError>;
 
-/// Calls for claims: four batches a second of each of eight shards, and takeovers, which
-/// read up to 64 objects of each of the shards that a stopped daemon owned.
+/// Budget of platform calls for claims: four batches a second for each of eight shards,
+/// and takeovers, which read up to 64 objects of each shard that a stopped daemon owned.
 const CLAIMS_BUDGET: platform::Budget = platform::Budget {
     rate: Rate(64.0),
     burst: 512,
 };
-/// Exit code when settings can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Why the daemon can't start.
+/// Why the daemon failed to start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// Settings can't be used.
+    /// The settings are invalid.
     #[display("{_0}")]
     Settings(SettingsError),
     /// A socket or signal handler failed.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// Callers can't be served.
+    /// The callers' server failed to start.
     #[display("{_0}")]
     Server(ServerError),
-    /// The router can't start.
+    /// The router failed to start.
     #[display("{_0}")]
     Router(medlarrill_router::start::StartError),
 }
 
-/// Where a daemon listens, printed as one line once it does.
+/// Identity and listen addresses of a daemon, printed as one line of JSON once it listens.
 #[derive(Debug, Serialize)]
 pub struct Started {
     daemon: DaemonId,
@@ -72,7 +72,7 @@
     peers: SocketAddr,
 }
 
-/// Runs the command line.
+/// Parses the command line and runs its command.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let args = Args::parse_from(args);
     let result = match args.command {
@@ -93,7 +93,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(StartError::Settings(error)) => {
             eprintln!("{error}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_BAD_SETTINGS)
         }
         Err(error) => {
             eprintln!("medlarrilld: {error}");
@@ -102,11 +102,11 @@
     }
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until it receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When it can't start.
+/// When it fails to start.
 pub fn run(settings: Settings, format: LogFormat) -> Result<()> {
     crate::logs::start(format);
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -127,16 +127,16 @@
     Ok(())
 }
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct Running {
-    /// What its tasks share.
+    /// State shared by its tasks.
     pub context: Arc<Context>,
     /// Its callers' server.
     pub server: Option<Serving>,
-    /// Set to stop.
+    /// Set to true to stop the daemon.
     pub stopping: watch::Sender<bool>,
-    /// How many peers know that it leaves.
-    pub farewell: watch::Receiver<usize>,
+    /// Number of peers that acknowledged its departure.
+    pub leave_acks: watch::Receiver<usize>,
 }
 
 async fn start(settings: Settings) -> Result<Running> {
@@ -148,7 +148,7 @@
     let bound = server::bind(settings.listen.callers, &settings.limits)?;
     let own = listener.local_addr()?;
     let address = settings.listen.reachable(own);
-    announce(&me, bound.address, own);
+    print_started(&me, bound.address, own);
     let (channels, ends) = channels();
     let context = connect(settings, me, listener, channels)?;
     let mut running = spawn(&context, address, ends);
@@ -156,7 +156,7 @@
     Ok(running)
 }
 
-/// What the shared handles need.
+/// Senders and views, shared by all tasks.
 struct Channels {
     view: watch::Receiver<Arc<FleetView>>,
     config: watch::Receiver<Arc<ConfigView>>,
@@ -170,8 +170,8 @@
     states: RequestStates,
 }
 
-/// What the tasks own.
-struct Ends {
+/// Receivers and publishers, each owned by one task.
+struct TaskEnds {
     view: watch::Sender<Arc<FleetView>>,
     config: watch::Sender<Arc<ConfigView>>,
     stopping: watch::Sender<bool>,
@@ -184,7 +184,7 @@
     states: StateQueue,
 }
 
-fn channels() -> (Channels, Ends) {
+fn channels() -> (Channels, TaskEnds) {
     let (view_sender, view) = watch::channel(Arc::default());
     let (config_sender, config) = watch::channel(Arc::default());
     let (stopping_sender, stopping) = watch::channel(false);
@@ -207,7 +207,7 @@
         strays,
         states,
     };
-    let ends = Ends {
+    let ends = TaskEnds {
         view: view_sender,
         config: config_sender,
         stopping: stopping_sender,
@@ -222,7 +222,7 @@
     (channels, ends)
 }
 
-/// Opens the links and makes the handles that all tasks share.
+/// Starts the links and creates the context that all tasks share.
 fn connect(
     settings: Settings,
     me: PeerId,
@@ -233,9 +233,9 @@
     let identity = identity(&settings, &me, address);
     let metrics = Arc::new(Metrics::new());
     let attempts = AttemptTable::new(metrics.buffered.clone());
-    let questions = Questions::default();
-    let switch = Switch {
-        questions: questions.clone(),
+    let state_queries = StateQueries::default();
+    let dispatcher = Dispatcher {
+        state_queries: state_queries.clone(),
         attempts: attempts.clone(),
         strays: channels.strays.clone(),
         states: channels.states.clone(),
@@ -246,11 +246,11 @@
         configuration: channels.configuration.clone(),
         metrics: Arc::clone(&metrics),
     };
-    let handler: Handler = Arc::new(move |event: Event| switch.take(event));
+    let handler: Handler = Arc::new(move |event: Event| dispatcher.handle_event(event));
     let links = Links::start(listener, identity, Arc::clone(&handler));
     let peers = Peers::new(me.clone(), handler, links, channels.view.clone());
     let platform = platform::Client::new(platform_settings(&settings));
-    metrics.watch_control(ControlSources {
+    metrics.set_control_sources(ControlSources {
         links: peers.links().clone(),
         platform: platform.clone(),
         config: channels.config.clone(),
@@ -263,7 +263,7 @@
         peers,
         attempts,
         tracker: Tracker::default(),
-        questions,
+        state_queries,
         states: channels.states,
         stopping: channels.stopping,
         home: channels.home,
@@ -277,14 +277,14 @@
     }))
 }
 
-fn spawn(context: &Arc<Context>, address: SocketAddr, ends: Ends) -> Running {
-    let (farewell_sender, farewell) = watch::channel(0);
+fn spawn(context: &Arc<Context>, address: SocketAddr, ends: TaskEnds) -> Running {
+    let (leave_acks_sender, leave_acks) = watch::channel(0);
     let (generation, generations) = mpsc::unbounded_channel();
     let outputs = Outputs {
         view: ends.view,
         home: context.home.clone(),
         generation,
-        leave_acks: farewell_sender,
+        leave_acks: leave_acks_sender,
     };
     let links = context.peers.links().clone();
     let members = fleet::Task::new(membership(context, address), links, outputs);
@@ -305,11 +305,11 @@
         context: Arc::clone(context),
         server: None,
         stopping: ends.stopping,
-        farewell,
+        leave_acks,
     }
 }
 
-fn announce(me: &PeerId, callers: SocketAddr, peers: SocketAddr) {
+fn print_started(me: &PeerId, callers: SocketAddr, peers: SocketAddr) {
     let started = Started {
         daemon: me.daemon.clone(),
         incarnation: me.incarnation,
