--- a/crates/router/src/endpoints/connections.rs
+++ b/crates/router/src/endpoints/connections.rs
@@ -27,8 +27,8 @@
 const IDLE_MARGIN: Millis = Millis(1200);
 /// Maximum number of idle connections per endpoint.
 const MAX_IDLE: u32 = 16;
-/// Share of the connections that an endpoint accepts which all daemons together may keep idle;
-/// the rest is for those in use.
+/// Share of an endpoint's maximum number of connections that all daemons together may keep idle;
+/// the rest is for connections in use.
 const IDLE_SHARE: f64 = 0.5;
 
 /// Result of sending a request.
@@ -183,8 +183,8 @@
     }
 }
 
-/// How many idle connections one daemon may keep to an endpoint that accepts `connections`,
-/// which `daemons` share.
+/// How many idle connections one daemon may keep to an endpoint that accepts `connections` from
+/// all `daemons` together.
 pub fn idle_limit(connections: u32, daemons: usize) -> usize {
     let share = f64::from(connections) * IDLE_SHARE / daemons.max(1) as f64;
     (share as u32).clamp(1, MAX_IDLE) as usize
--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -145,7 +145,7 @@
     }
 }
 
-/// Turns a refusal into `Unavailable`, with the time until the pool takes work again, if no
+/// Turns `NotRun` into `Unavailable`, with the time until the pool takes work again, if no
 /// endpoint of the pool takes any now.
 fn refine_refusal(routed: &RoutedRequest, refusal: Refusal, trace: &Trace) -> Refusal {
     if refusal != Refusal::NotRun {
@@ -195,12 +195,12 @@
 
 /// Timeout for the head of a response.
 fn head_timeout(plan: &RetryPlan) -> Millis {
-    let patience = plan.attempt_timeout(now());
+    let timeout = plan.attempt_timeout(now());
     let left = plan.deadline().since(now());
-    if patience >= left {
+    if timeout >= left {
         left + DEADLINE_GRACE
     } else {
-        patience
+        timeout
     }
 }
 
@@ -248,13 +248,13 @@
         return Ok(Dispatched::Answer(answer));
     }
     let mut failed = FailedAttempt::new(Fault::Failed, head.status);
-    // Not forwarded if its status would tell the caller that the request hasn't run: it may have.
+    // A status that promises that the request hasn't run isn't forwarded: it may have run.
     failed.answer = (!decoded.says_not_run()).then(|| Box::new(answer));
     Err(failed)
 }
 
-/// Applies what an endpoint reports of itself in the head of the response to a request that was
-/// sent at `sent_at`, since the Unix epoch.
+/// Applies what an endpoint reports of itself in the head of a response. `sent_at` is when the
+/// request was sent, since the Unix epoch.
 fn apply_head(routed: &RoutedRequest, id: &InstanceId, head: &AnswerHead, sent_at: Millis) {
     if !head.is_from(&id.endpoint, &routed.call.attempt) {
         return;
--- a/crates/router/src/entry/relay.rs
+++ b/crates/router/src/entry/relay.rs
@@ -196,7 +196,8 @@
     fn end(&mut self) {
         self.trace.record_answered();
         if let Some(source) = self.source.take() {
-            // Without a marked end, an endpoint that dies looks like one that has finished.
+            // Without framing, a stream ends the same way when its endpoint finishes and when it is
+            // lost.
             if source.is_framed {
                 self.routed
                     .shared
--- a/crates/router/src/entry/request.rs
+++ b/crates/router/src/entry/request.rs
@@ -39,7 +39,7 @@
     pub pool: PoolId,
     /// Decoded head.
     pub call: RequestHead,
-    /// Fingerprint, equal for requests that ask for the same.
+    /// Fingerprint, equal for requests with the same host, path, query, account and body.
     pub fingerprint: Fingerprint,
     /// HTTP method.
     pub method: Method,
--- a/crates/router/src/entry/server.rs
+++ b/crates/router/src/entry/server.rs
@@ -96,7 +96,7 @@
     response
 }
 
-/// Serves requests with a function that needs no waiting.
+/// Serves requests with a synchronous function.
 async fn serve_simple<F>(listener: TcpListener, respond: Arc<F>)
 where
     F: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Send + Sync + 'static,
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -57,8 +57,8 @@
 pub fn start() -> DropCount {
     let dropped = DropCount::default();
     let (lines, queue) = sync_channel(QUEUE_LINES);
-    let writer = Arc::clone(&dropped);
-    std::thread::spawn(move || write_lines(&queue, &writer));
+    let count = Arc::clone(&dropped);
+    std::thread::spawn(move || write_lines(&queue, &count));
     let append = QueueAppender {
         layout: JsonLayout::default(),
         lines,
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -56,13 +56,13 @@
     pub config_version: Gauge,
     /// Known endpoints.
     pub endpoints: Gauge,
-    /// Quarantined requests, by fingerprint.
+    /// Quarantined requests; those with one fingerprint count once.
     pub quarantined: Gauge,
     /// Endpoints in slow start.
     pub slow_starts: Gauge,
     /// Drained data centres.
     pub drains: Gauge,
-    /// Endpoints that currently ask for no requests.
+    /// Endpoints that currently ask for a pause without requests.
     pub pauses: Gauge,
     /// Dropped log lines.
     pub log_dropped: Gauge,
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -19,8 +19,8 @@
 /// Silence after which updates by relay count as interrupted.
 const RELAY_TIMEOUT: Millis = Millis(1200);
 
-/// Interval between reviews of endpoints' health. Each walks all endpoints, and does so only for
-/// the log.
+/// Interval between reviews, which expire old evidence and notices, and update slow starts. Each
+/// also checks the health of all endpoints, but only for the log.
 const REVIEW_INTERVAL: Millis = Millis(500);
 
 /// This daemon's view of the other daemons and of their roles.
@@ -130,7 +130,7 @@
                         live = update(&exchange, &shared, &roster, live);
                     }
                 }
-                // A datagram to a daemon that has ended is answered by such an error.
+                // A datagram sent to a daemon that has ended causes such an error.
                 Err(error) => log::debug!(target: "peers", "peers: nothing received: {error}"),
             },
             () = tokio::time::sleep(wait.as_duration()) => {
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -127,7 +127,7 @@
         Ok((choice, InFlight { placement, id }))
     }
 
-    /// Removes the record that an endpoint was sent a prefix, which it hasn't processed.
+    /// Removes the record that a prefix was sent to an endpoint, which didn't process it.
     pub fn retract_prefix(&self, prefix: &SharedPrefix, id: &InstanceId) {
         self.lock().retract_prefix(prefix, id);
     }
@@ -155,7 +155,7 @@
         self.lock().closed_for(pool, now)
     }
 
-    /// Number of endpoints that currently ask for no requests.
+    /// Number of endpoints that currently ask for a pause without requests.
     pub fn paused_count(&self, now: Millis) -> usize {
         self.lock().paused_count(now)
     }
@@ -170,13 +170,13 @@
         self.lock().record_failure(id, fault, now);
     }
 
-    /// Records that an endpoint was lost with a request, which counts against the request.
+    /// Records that an endpoint was lost with a request: quarantine evidence against the request.
     pub fn record_loss(&self, plan: &RetryPlan, id: &InstanceId, now: Millis) {
         let changes = self.lock().record_loss(plan, id, now);
         self.log_quarantine(&changes);
     }
 
-    /// Records that a request was answered completely, which counts for the request.
+    /// Records that a request was answered completely: quarantine evidence in its favour.
     pub fn record_served(&self, plan: &RetryPlan, now: Millis) {
         if let Some(fingerprint) = plan.fingerprint() {
             let changes = self.lock().quarantine().record_served(fingerprint, now);
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -60,7 +60,7 @@
     pub listen: Listen,
     /// Address of the platform's object store.
     pub platform: SocketAddr,
-    /// Addresses on the VMs of some daemons; they may be out of date, and the port is ignored.
+    /// Addresses of some daemons' VMs; they may be out of date, and the port is ignored.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Whether the complete fleet starts for the first time, long before its callers come: most
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -16,7 +16,7 @@
 /// State shared by all tasks.
 #[derive(Debug)]
 pub struct Shared {
-    /// Settings as read at the start of the process.
+    /// Settings as read at the start of the process, with the addresses that were bound.
     pub settings: Settings,
     /// The active configuration.
     pub config: watch::Receiver<ActiveConfig>,
--- a/crates/router/src/store/daemons.rs
+++ b/crates/router/src/store/daemons.rs
@@ -1,9 +1,9 @@
-//! Writes the list of daemons to the platform's store; by it, each daemon computes its share of
-//! what the fleet may send.
+//! Writes the list of daemons to the platform's store, from which each daemon computes its share
+//! of what the fleet may send.
 //!
 //! Each data centre has one object, written by its hubs, which receive reports
 //! from all daemons there. Daemons that end stay listed for long: an unused share
-//! does no harm, and a daemon that starts again finds its own.
+//! does no harm, and a daemon that starts again still has its share.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/router/src/store/direct.rs
+++ b/crates/router/src/store/direct.rs
@@ -109,7 +109,7 @@
     answered_at: Millis,
     /// Failed calls since the last response, if there are any.
     failures: Option<FailureSeries>,
-    /// When a call last failed, until an answer or [`CUT_OFF_PERIOD`] clears it.
+    /// When a call last failed, until a response or [`CUT_OFF_PERIOD`] clears it.
     failed_at: Option<Millis>,
 }
 
@@ -135,7 +135,7 @@
             let has_failed = self
                 .failed_at
                 .is_some_and(|at| now().since(at) < PEER_COPY_WAIT);
-            return (roster.is_watcher() || !has_failed) && !self.leaves_to_others(&roster);
+            return (roster.is_watcher() || !has_failed) && !self.waits_for_peers(&roster);
         };
         // After a restart of all daemons, each knows too few others at first to rely on them.
         let is_settled = now() >= SETTLE_TIME;
@@ -159,16 +159,16 @@
 
     /// Whether a daemon that has just started waits for others' copies instead of calling the
     /// platform.
-    fn leaves_to_others(&self, roster: &RosterState) -> bool {
+    fn waits_for_peers(&self, roster: &RosterState) -> bool {
         let passed = now();
         if self.store.first_start && !roster.is_seed() {
             return passed < FIRST_START_WAIT;
         }
-        let longest = match roster.following.is_indirect {
+        let max_wait = match roster.following.is_indirect {
             true => HUB_WAIT,
             false => SEED_WAIT,
         };
-        !roster.seeds.is_empty() && passed < longest
+        !roster.seeds.is_empty() && passed < max_wait
     }
 
     fn pause(&self) -> Millis {
@@ -248,7 +248,7 @@
             revision: page.revision,
             called_at,
         });
-        // Stale pages may come from copies of the store that lag behind each other.
+        // Stale pages may come from several replicas of the store, of which some lag behind others.
         list.revision = list.revision.min(page.revision);
         let is_last = !page.more;
         list.objects.extend(page.objects);
@@ -370,8 +370,8 @@
         } else {
             log::debug!(target: "store", "store: {} fails: {error}", self.kind);
         }
-        let knows = self.store.copies.age(self.kind, at).is_some();
-        let pause = backoff::pause(calls, knows, rand::rng().random());
+        let has_copy = self.store.copies.age(self.kind, at).is_some();
+        let pause = backoff::pause(calls, has_copy, rand::rng().random());
         tokio::time::sleep(pause.as_duration()).await;
     }
 }
--- a/crates/router/src/store/relay.rs
+++ b/crates/router/src/store/relay.rs
@@ -116,7 +116,7 @@
     connection: Connection,
     /// Revisions that it had reached when it subscribed.
     subscription: Subscription,
-    /// Kinds of which it was sent the changes that it lacked then.
+    /// Kinds of which the changes that it lacked then were sent to it.
     sent_kinds: Vec<Kind>,
 }
 
@@ -142,7 +142,7 @@
         let update = match self.sent_kinds.contains(&kind) {
             true => update,
             // If this copy was empty at the subscription, `update` adds all objects, but doesn't
-            // say which objects of the follower were removed.
+            // list the objects that the follower must remove.
             false => {
                 let missing = self
                     .store
--- a/crates/router/src/store/relay/message.rs
+++ b/crates/router/src/store/relay/message.rs
@@ -16,8 +16,8 @@
 /// fifth of that compressed; links of 10 Mbit/s carry it to 84 daemons.
 const COMPRESS_MIN: usize = 1024;
 /// Age below which a copy counts as fresh: a call held by the platform and the pause after it take
-/// 2.4 s together, and each daemon on the path adds at most half a second. A follower of an older
-/// copy looks for a fresh one itself, unless the platform is known to be unreachable.
+/// 2.4 s together, and each daemon on the path adds at most half a second. A follower that
+/// receives only older copies calls the platform itself, unless that is known to be unreachable.
 const MAX_FRESH_AGE: Millis = Millis(3000);
 /// Maximum size of a decompressed update, in bytes.
 const MAX_UPDATE: u64 = 32 << 20;
