--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -37,9 +37,11 @@
 pub const RENEWAL: Millis = Millis::from_secs(10);
 /// Factor on the validity and on the renewal interval of a grant while utilisation is low.
 const LOW_USE_FACTOR: u64 = 6;
-/// Number of daemons up to which the sum of shares is always kept within the limit, as that costs few messages there.
+/// Number of daemons up to which the sum of shares is always kept within the limit, as that costs
+/// few messages there.
 const STRICT_FLEET_SIZE: u32 = 32;
-/// Units of a rate in messages per request a second: rates are in hundredths.
+/// Factor from requests a second to the unit of rates in messages, a hundredth of a request a
+/// second.
 const RATE_UNIT: f64 = 100.0;
 
 /// Limits of an account over all daemons.
--- a/crates/core/src/limits/entry_account.rs
+++ b/crates/core/src/limits/entry_account.rs
@@ -24,9 +24,11 @@
 const MIN_IN_FLIGHT_CHANGE: u32 = 2;
 /// The constant for the rate, in hundredths of a request a second; see [`CHANGE_DIVISOR`].
 const MIN_RATE_CHANGE: u32 = 100;
-/// Share from which the end of a request waits for the regular report, even if other entries wait for shares.
+/// Share from which the end of a request waits for the regular report, even if other entries wait
+/// for shares.
 const SMALL_SHARE: u32 = 8;
-/// In a large fleet, a random one in this many of the requests admitted without asking is reported.
+/// Requests per sample: in a large fleet, one in this many of the requests admitted without asking,
+/// picked at random, is reported.
 const SAMPLE_RATIO: u32 = 8;
 /// Time constant of the offered rate.
 const RATE_TIME_CONSTANT: Millis = Millis::from_secs(5);
@@ -229,8 +231,8 @@
         }
     }
 
-    /// The use just before the last requests arrived. Requests that arrive at random see the mean use on
-    /// average, so the sum over all entries is unbiased, whatever makes them report.
+    /// The use just before the last requests arrived. Requests that arrive at random see the mean
+    /// use on average, so the sum over all entries is unbiased, whatever makes them report.
     fn use_before(&self, last: usize, now: Millis) -> AccountUse {
         AccountUse {
             in_flight: self.in_flight,
--- a/crates/core/src/limits/entry_limiter.rs
+++ b/crates/core/src/limits/entry_limiter.rs
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Handles an event and returns the resulting actions; `owner_of` returns the owner of an account.
+    /// Handles an event and returns the resulting actions; `owner_of` returns the owner of an
+    /// account.
     pub fn handle(
         &mut self,
         event: Event,
@@ -147,7 +148,8 @@
             actions.push(action);
             return;
         }
-        // One request for more at a time; requests that arrive until its grant are asked for in the next.
+        // One request for more at a time; requests that arrive until its grant are asked for in the
+        // next.
         if state.held.iter().all(|held| held.asked.is_none()) {
             self.urgent.insert(account);
         }
@@ -192,7 +194,8 @@
             }
             state.share.update(state.limits, self.live, now);
             let concurrency = cell(&grant.shares, row);
-            // The owner can grant the difference to others only when it knows that this entry has given it up.
+            // The owner can grant the difference to others only when it knows that this entry has
+            // given it up.
             let rate = rate_from_wire(cell(&grant.rates, row));
             if concurrency < state.share.concurrency || rate < state.share.rate {
                 self.urgent.insert(account);
@@ -206,7 +209,8 @@
         }
     }
 
-    /// Admits the held requests that fit, and refuses those of the rest that the owner has answered.
+    /// Admits the held requests that fit, and refuses those of the rest that the owner has
+    /// answered.
     fn resolve_held(
         &mut self,
         account: AccountHash,
--- a/crates/core/src/limits/entry_usage.rs
+++ b/crates/core/src/limits/entry_usage.rs
@@ -24,9 +24,9 @@
     pub(super) offered_rate: u32,
     /// When the entry last reported.
     pub(super) last_report: Millis,
-    /// When the owner last reduced the share unasked.
+    /// When the owner last reduced the share without a request for it.
     pub(super) last_reduction: Millis,
-    /// Number of the last grant that reduced the share unasked.
+    /// Number of the last grant that reduced the share without a request for it.
     pub(super) reducing_grant: u64,
     /// Highest number of a grant that the entry has confirmed.
     seen_grant: u64,
@@ -144,7 +144,8 @@
         self.in_flight.saturating_add(self.held_requests)
     }
 
-    /// Whether a grant should be sent: because it is requested, due, or differs enough from the last.
+    /// Whether a grant should be sent: because it is requested, due, or differs enough from the
+    /// last.
     pub(super) fn needs_grant(&self, row: &GrantRow, now: Millis) -> bool {
         let last = &self.last_grant;
         if self.held_requests > 0
--- a/crates/core/src/limits/event.rs
+++ b/crates/core/src/limits/event.rs
@@ -45,7 +45,8 @@
     Tick,
 }
 
-/// An action at an entry. Each [`Event::Acquire`] is admitted or refused once, unless released before.
+/// An action at an entry. Each [`Event::Acquire`] is admitted or refused once, unless released
+/// before.
 #[derive(Clone, PartialEq)]
 #[derive(Debug)]
 pub enum Action {
--- a/crates/core/src/limits/fair_split.rs
+++ b/crates/core/src/limits/fair_split.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Debug;
 
-/// Part of the unrequested rest of a limit that is given out in advance.
+/// Fraction of the surplus of a limit over the demands that is granted in advance.
 const HEADROOM: f64 = 0.5;
 
 /// Max-min fair division of a limit.
@@ -11,8 +11,8 @@
 pub(super) struct FairSplit {
     /// Level up to which every demand is met; infinite if all demands fit.
     pub(super) cap: f64,
-    /// Rest of the limit per unit of demand.
-    spare_ratio: f64,
+    /// Surplus of the limit over the demands, per unit of demand.
+    surplus_ratio: f64,
 }
 
 impl FairSplit {
@@ -21,9 +21,9 @@
         self.cap.is_finite()
     }
 
-    /// The share for a demand: the demand up to the cap, and part of the rest of the limit.
+    /// The share for a demand: the demand up to the cap, and part of the surplus.
     pub(super) fn share(&self, demand: f64) -> f64 {
-        demand.min(self.cap) * (1.0 + self.spare_ratio * HEADROOM)
+        demand.min(self.cap) * (1.0 + self.surplus_ratio * HEADROOM)
     }
 }
 
@@ -31,9 +31,9 @@
 pub(super) fn max_min_split(limit: u32, sum: u64, demands: impl Iterator<Item = u32>) -> FairSplit {
     let limit = f64::from(limit);
     if sum as f64 <= limit {
-        let spare_ratio = (limit - sum as f64) / (sum as f64).max(1.0);
+        let surplus_ratio = (limit - sum as f64) / (sum as f64).max(1.0);
         let cap = f64::INFINITY;
-        return FairSplit { cap, spare_ratio };
+        return FairSplit { cap, surplus_ratio };
     }
     let mut sorted: Vec<u32> = demands.collect();
     sorted.sort_unstable();
@@ -49,6 +49,6 @@
     }
     FairSplit {
         cap,
-        spare_ratio: 0.0,
+        surplus_ratio: 0.0,
     }
 }
--- a/crates/core/src/limits/owned_account.rs
+++ b/crates/core/src/limits/owned_account.rs
@@ -27,17 +27,20 @@
 const ADVANCE_SECS: f64 = 2.0;
 /// Divisor of the available tokens: the quotient is the most that is given in advance at once.
 const ADVANCE_DIVISOR: f64 = 16.0;
-/// Rate granted beyond the offered rate while utilisation is low, in hundredths of a request a second.
+/// Rate granted beyond the offered rate while utilisation is low, in hundredths of a request a
+/// second.
 const LOW_USE_RATE: f64 = 100.0;
 /// Concurrency granted beyond the demand while utilisation is low.
 const LOW_USE_SHARE: f64 = 3.0;
-/// Lowest rate that is granted unless utilisation is low, in hundredths of a request a second; below it, tokens are.
+/// Lowest rate that is granted unless utilisation is low, in hundredths of a request a second;
+/// below it, tokens are.
 const MIN_RATE: f64 = 50.0;
-/// Time for which an entry stops asking while others hold shares that they don't use, in milliseconds.
+/// Time for which an entry stops asking while others hold shares that they don't use, in
+/// milliseconds.
 const BACKOFF_UNUSED: u32 = 100;
 /// Time for which an entry stops asking when demand exceeds a limit, in milliseconds.
 const BACKOFF_EXCEEDED: u32 = 1000;
-/// Shortest time between two unasked reductions of an entry's share.
+/// Shortest time between two unrequested reductions of an entry's share.
 const REDUCTION_INTERVAL: Millis = Millis(500);
 
 /// The limits of an account, and their division between entries.
@@ -332,7 +335,8 @@
         (f64::from(usage.held_requests) + advance).min(self.tokens) as u32
     }
 
-    /// Concurrency that a new owner may grant while entries that haven't reported yet may hold some.
+    /// Concurrency that a new owner may grant while entries that haven't reported yet may hold
+    /// some.
     fn learning_limit(&self, usage: &EntryUsage, free: u32, now: Millis) -> u32 {
         if now >= self.learning_until {
             return free;
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -6,7 +6,8 @@
 
 use super::Limits;
 
-/// Time in which an entry that lost the owner moves half of the way from its grant to its equal share.
+/// Time in which an entry that lost the owner moves half of the way from its grant to its equal
+/// share.
 const HALF_LIFE: Millis = Millis::from_secs(2);
 /// Capacity of the token bucket beyond [`BURST_MIN`], in seconds of the rate.
 const BURST_SECS: f64 = 0.5;
--- a/crates/core/src/limits/share_allocator.rs
+++ b/crates/core/src/limits/share_allocator.rs
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Handles an event and returns the grants to send; `limits_of` returns the limits of an account.
+    /// Handles an event and returns the grants to send; `limits_of` returns the limits of an
+    /// account.
     pub fn handle(
         &mut self,
         event: AllocatorEvent,
--- a/crates/core/src/limits/utilisation.rs
+++ b/crates/core/src/limits/utilisation.rs
@@ -8,9 +8,11 @@
 use super::meter::Meter;
 use super::{Limits, STRICT_FLEET_SIZE};
 
-/// Fraction of a limit above which low utilisation ends, and the sum of shares is kept to the limit.
+/// Fraction of a limit above which low utilisation ends, and the sum of shares is kept to the
+/// limit.
 const LOW_END: f64 = 0.8;
-/// Fraction of a limit up to which low utilisation starts, and the sum of shares may exceed the limit.
+/// Fraction of a limit at or below which low utilisation starts, and the sum of shares may exceed
+/// the limit.
 const LOW_START: f64 = 0.6;
 /// Time constant of the arrival rate, which is estimated from requests for shares and from samples.
 const ARRIVALS_TIME_CONSTANT: Millis = Millis::from_secs(20);
--- a/crates/core/src/placement/decide.rs
+++ b/crates/core/src/placement/decide.rs
@@ -22,11 +22,12 @@
 /// Cached tokens that must be exceeded for a chat to return to a place.
 const MIN_CACHED: f64 = 64.0;
 
-/// Largest load above the least loaded endpoint's at which a chat still returns when no endpoint has room, as a
-/// multiple of its prompt's work.
+/// Largest excess over the least loaded endpoint's load at which a chat still returns to its place
+/// when no endpoint has room, as a multiple of its prompt's work.
 const MAX_EXCESS: f64 = 1.0;
 
-/// Exponent of the curve by which the chance that a prefix is cached falls around the age of the last eviction.
+/// Exponent of the curve by which the chance that a prefix is cached falls around the age of the
+/// last eviction.
 const EVICTION_STEEPNESS: i32 = 12;
 
 /// Chance that a prefix is still cached after a stored event, before its age is taken into account.
@@ -63,7 +64,7 @@
 pub enum PlacementReason {
     /// The endpoint served the chat last.
     Returned,
-    /// The endpoint served the chat before that.
+    /// The endpoint served the chat before the last one did.
     SecondPlace,
     /// The chat's places are over the bound, take no work or have too little cached.
     Spilled,
@@ -85,11 +86,12 @@
 
 /// Chooses an endpoint for a request.
 ///
-/// A chat returns to the place with the longest prefix expected to be cached. Own endpoints must have room under the
-/// bound; the load known here of other homes' endpoints is out of date, so their home decides. A new chat goes to its
-/// first-ranked endpoint if that is not loaded above the mean, which saves a hop. Any other request goes to one of the
-/// few least loaded endpoints with room, the nearest first. If none has room, a returning chat waits at its place,
-/// unless the load there exceeds the least loaded endpoint's by more than the work of the prompt.
+/// A chat returns to the place with the longest prefix expected to be cached. Own endpoints must
+/// have room under the bound; the load known here of other homes' endpoints is out of date, so
+/// their home decides. A new chat goes to its first-ranked endpoint if that is not loaded above the
+/// mean, which saves a hop. Any other request goes to one of the few least loaded endpoints with
+/// room, the nearest first. If none has room, a returning chat waits at its place, unless the load
+/// there exceeds the least loaded endpoint's by more than the work of the prompt.
 pub fn place(
     pool: &PoolView,
     request: &PlacementRequest<'_>,
@@ -117,8 +119,8 @@
     Ok(cached.unwrap_or_else(|| placement_at(&snapshot, request, least)))
 }
 
-/// Whether a home may forward a request: always while hops are left, after the last hop if another of its own
-/// endpoints has room.
+/// Whether a home may forward a request: always while hops are left, after the last hop if another
+/// of its own endpoints has room.
 pub fn can_forward(
     pool: &PoolView,
     request: &PlacementRequest<'_>,
@@ -142,7 +144,8 @@
     ahead <= prompt_work(cached)
 }
 
-/// Expected number of prompt tokens cached at a place, given the age of what its endpoint evicted last.
+/// Expected number of prompt tokens cached at a place, given the age of what its endpoint evicted
+/// last.
 pub fn expected_cached(
     place: &Place,
     prompt: Tokens,
@@ -187,7 +190,8 @@
         view.has_room() && self.load(view) <= self.pool.bound * self.mean
     }
 
-    /// Whether a returning chat may be sent to an endpoint: the home of a remote endpoint decides itself.
+    /// Whether a returning chat may be sent to an endpoint: the home of a remote endpoint decides
+    /// itself.
     fn accepts_return(&self, view: &EndpointView) -> bool {
         !view.is_own() || self.has_room_under_bound(view)
     }
@@ -232,7 +236,8 @@
         let Some(view) = snapshot.pool.get(&place.endpoint) else {
             continue;
         };
-        // The home of a remote endpoint may know its state, and can be asked only while hops are left.
+        // The home of a remote endpoint may know its state, and can be asked only while hops are
+        // left.
         let home_decides =
             view.state == EndpointState::Unknown && !view.is_own() && !request.own_only;
         let takes_work = view.takes_work() || home_decides;
--- a/crates/core/src/placement/directory.rs
+++ b/crates/core/src/placement/directory.rs
@@ -1,7 +1,8 @@
 //! The chat directory: a bounded LRU table of the endpoints that served each chat last.
 //!
-//! Entries lie in one slab, linked from the most to the least recently used, so that the table's memory is bounded by
-//! its capacity; a full table evicts the least recent entry. Each endpoint name is kept once; places hold its index.
+//! Entries lie in one slab, linked from the most to the least recently used, so that the table's
+//! memory is bounded by its capacity; a full table evicts the least recent entry. Each endpoint
+//! name is kept once; places hold its index.
 
 mod table;
 
@@ -190,9 +191,11 @@
         self.table.recent()
     }
 
-    /// Removes the next chats of a handover plan from the directory and returns them, at most `limit`.
+    /// Removes the next chats of a handover plan from the directory and returns them, at most
+    /// `limit`.
     ///
-    /// Chats that have left the directory since are skipped. The handover is complete when the plan is empty.
+    /// Chats that have left the directory since are skipped. The handover is complete when the plan
+    /// is empty.
     pub fn export(
         &mut self,
         plan: &mut std::collections::VecDeque<ChatHash>,
--- a/crates/core/src/placement/directory/table.rs
+++ b/crates/core/src/placement/directory/table.rs
@@ -65,7 +65,8 @@
         self.index.len()
     }
 
-    /// Allocated bytes. The standard map allocates 8 buckets for 7 entries; a bucket holds a pair and a control byte.
+    /// Allocated bytes. The standard map allocates 8 buckets for 7 entries; a bucket holds a pair
+    /// and a control byte.
     pub(super) fn state_bytes(&self) -> usize {
         let buckets = (self.index.capacity() * 8).div_ceil(7);
         let pair = size_of::<(ChatHash, u32)>() + 1;
--- a/crates/core/src/placement/fleet.rs
+++ b/crates/core/src/placement/fleet.rs
@@ -52,7 +52,8 @@
         self.all.is_empty()
     }
 
-    /// The home of an endpoint: a daemon of its data centre, else of its region, else of any region.
+    /// The home of an endpoint: a daemon of its data centre, else of its region, else of any
+    /// region.
     ///
     /// `region` is the region of the endpoint's data centre, if known.
     pub fn home_of(
@@ -75,7 +76,8 @@
         self.all.first(key)
     }
 
-    /// The `count` daemons of one data centre with the highest scores for a key, such as its watchers.
+    /// The `count` daemons of one data centre with the highest scores for a key, such as its
+    /// watchers.
     pub fn owners_in(&self, data_centre: &DataCentreId, key: u64, count: usize) -> Vec<&DaemonId> {
         let centre = self.data_centres.get(data_centre);
         centre.map_or_else(Vec::new, |centre| centre.top(key, count))
--- a/crates/core/src/placement/load.rs
+++ b/crates/core/src/placement/load.rs
@@ -1,9 +1,10 @@
 //! Load of endpoints and mean load of pools, as one daemon estimates them.
 //!
-//! Load is estimated work in flight, in generated tokens; prompt tokens count less, see [`PROMPT_TOKENS_PER_OUTPUT`].
-//! It is exact for the endpoints that the daemon is home of. For others it comes late, by gossip, and the daemon adds
-//! the work that it has sent there since. The mean is computed from the daemons' sums. The load of a sum that is not
-//! renewed decays, which lowers the mean and so tightens the load bound.
+//! Load is estimated work in flight, in generated tokens; prompt tokens count less, see
+//! [`PROMPT_TOKENS_PER_OUTPUT`]. It is exact for the endpoints that the daemon is home of. For
+//! others it comes late, by gossip, and the daemon adds the work that it has sent there since. The
+//! mean is computed from the daemons' sums. The load of a sum that is not renewed decays, which
+//! lowers the mean and so tightens the load bound.
 
 mod view;
 
@@ -19,7 +20,8 @@
 
 /// Prompt tokens that cost an engine as much as one generated token.
 ///
-/// In one step an engine computes many tokens of a prompt, but generates only one token of each request.
+/// In one step an engine computes many tokens of a prompt, but generates only one token of each
+/// request.
 pub const PROMPT_TOKENS_PER_OUTPUT: u64 = 12;
 
 /// The work of computing uncached prompt tokens, in generated tokens.
@@ -32,7 +34,8 @@
     prompt_work(uncached) + output
 }
 
-/// Distance of an endpoint from this daemon; nearer ones are preferred unless the chat has a prefix cached.
+/// Distance of an endpoint from this daemon; nearer ones are preferred unless the chat has a prefix
+/// cached.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Debug)]
 pub enum Distance {
--- a/crates/core/src/placement/load/view.rs
+++ b/crates/core/src/placement/load/view.rs
@@ -41,7 +41,8 @@
 }
 
 impl ReceivedSum {
-    /// The lower of the last two loads: sums arrive late, and too high a mean lets endpoints exceed the bound.
+    /// The lower of the last two loads: sums arrive late, and too high a mean lets endpoints exceed
+    /// the bound.
     fn lower_load(&self) -> f64 {
         self.previous_load.min(self.sum.load.0 as f64)
     }
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Updates the load of an endpoint from its home's report; a report older than the last one is ignored.
+    /// Updates the load of an endpoint from its home's report; a report older than the last one is
+    /// ignored.
     pub fn update_load(&mut self, load: &EndpointLoad, now: Millis) {
         let Some(endpoint) = self.get_mut(&load.endpoint) else {
             return;
@@ -129,7 +131,8 @@
         }
     }
 
-    /// Updates the sum of another daemon of this data centre; a sum older than the last one is ignored.
+    /// Updates the sum of another daemon of this data centre; a sum older than the last one is
+    /// ignored.
     pub fn update_sum(&mut self, daemon: &DaemonId, sum: PoolSum) {
         replace_older(&mut self.daemon_sums, daemon, sum);
     }
@@ -196,8 +199,8 @@
 
     /// The endpoint that a chat ranks first; its home keeps the chat's directory entry.
     ///
-    /// All endpoints of this region are ranked, whatever their state, so that entries of the region agree; endpoints of
-    /// other regions only if this region has none.
+    /// All endpoints of this region are ranked, whatever their state, so that entries of the region
+    /// agree; endpoints of other regions only if this region has none.
     pub fn first_ranked(&self, chat: ChatHash) -> Option<&EndpointId> {
         let near = |endpoint: &&EndpointView| endpoint.distance != Distance::OtherRegion;
         let region = self.endpoints.iter().filter(near);
@@ -346,8 +349,8 @@
         self.room
     }
 
-    /// Estimated work in flight and queued, in generated tokens. Where the known load is stale, the larger of the
-    /// pool's mean and half of that load is used.
+    /// Estimated work in flight and queued, in generated tokens. Where the known load is stale, the
+    /// larger of the pool's mean and half of that load is used.
     pub fn estimate(&self, mean: f64, now: Millis) -> f64 {
         let sent = (self.sent + self.sent_before).0 as f64;
         let load = (self.load + self.waiting).0 as f64;
--- a/crates/core/src/placement/rendezvous.rs
+++ b/crates/core/src/placement/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Weighted rendezvous hashing.
 //!
-//! A node's score for a key does not depend on the other nodes, so a node that joins or leaves moves only the keys
-//! that it gains or had.
+//! A node's score for a key does not depend on the other nodes, so a node that joins or leaves
+//! moves only the keys that it gains or had.
 
 use std::cmp::Ordering;
 
@@ -56,7 +56,8 @@
         Self { weight, ..self }
     }
 
-    /// The node's rank for a key among nodes of weight 1; the highest wins, in the same order as by score.
+    /// The node's rank for a key among nodes of weight 1; the highest wins, in the same order as by
+    /// score.
     pub fn rank(&self, key: u64) -> u64 {
         fraction(key, self.seed)
     }
