--- a/crates/router/src/entry/dispatch.rs
+++ b/crates/router/src/entry/dispatch.rs
@@ -195,12 +195,12 @@
 
 /// Timeout for the head of a response.
 fn head_timeout(plan: &RetryPlan) -> Millis {
-    let timeout = plan.attempt_timeout(now());
+    let attempt_timeout = plan.attempt_timeout(now());
     let left = plan.deadline().since(now());
-    if timeout >= left {
+    if attempt_timeout >= left {
         left + DEADLINE_GRACE
     } else {
-        timeout
+        attempt_timeout
     }
 }
 
