--- a/crates/core/tests/routing/instance.rs
+++ b/crates/core/tests/routing/instance.rs
@@ -3,34 +3,34 @@
 use medlarrill_core::routing::exchange::short_id;
 use medlarrill_core::routing::instance::{EntryKind, InstanceTracker};
 
-use super::support::{born, id};
+use super::support::{id, started_at};
 
 #[gtest]
 fn an_earlier_start_is_a_late_write_until_the_later_one_has_fallen_silent() {
     let mut births = InstanceTracker::default();
     expect_that!(
-        births.classify(&born("a", 500), Millis(0)),
+        births.classify(&started_at("a", 500), Millis(0)),
         eq(EntryKind::Current)
     );
     expect_that!(
-        births.classify(&born("a", 900), Millis(100)),
+        births.classify(&started_at("a", 900), Millis(100)),
         eq(EntryKind::Current)
     );
     expect_that!(
-        births.classify(&born("a", 500), Millis(6000)),
+        births.classify(&started_at("a", 500), Millis(6000)),
         eq(EntryKind::Late)
     );
     expect_that!(
-        births.classify(&born("a", 900), Millis(7000)),
+        births.classify(&started_at("a", 900), Millis(7000)),
         eq(EntryKind::Current)
     );
     expect_that!(
-        births.classify(&born("a", 500), Millis(14_999)),
+        births.classify(&started_at("a", 500), Millis(14_999)),
         eq(EntryKind::Late)
     );
     // Nobody spoke for the later start: the endpoint's clock was set back.
     expect_that!(
-        births.classify(&born("a", 500), Millis(15_000)),
+        births.classify(&started_at("a", 500), Millis(15_000)),
         eq(EntryKind::Current)
     );
 }
@@ -41,7 +41,7 @@
     expect_that!(births.classify(&id("a"), Millis(0)), eq(EntryKind::Current));
     expect_that!(births.has_start_times(), eq(false));
     expect_that!(
-        births.classify(&born("b", 500), Millis(0)),
+        births.classify(&started_at("b", 500), Millis(0)),
         eq(EntryKind::Current)
     );
     expect_that!(births.has_start_times(), eq(true));
@@ -51,8 +51,11 @@
 #[gtest]
 fn what_daemons_tell_of_one_instance_does_not_name_the_next() {
     expect_that!(
-        short_id(&born("a", 500)),
-        not(eq(short_id(&born("a", 900))))
+        short_id(&started_at("a", 500)),
+        not(eq(short_id(&started_at("a", 900))))
+    );
+    expect_that!(
+        short_id(&started_at("a", 500)),
+        eq(short_id(&started_at("a", 500)))
     );
-    expect_that!(short_id(&born("a", 500)), eq(short_id(&born("a", 500))));
 }
--- a/crates/core/tests/routing/notices.rs
+++ b/crates/core/tests/routing/notices.rs
@@ -25,7 +25,7 @@
 
 fn born(name: &str, at: Millis) -> Endpoint {
     Endpoint {
-        id: support::born(name, at.0),
+        id: support::started_at(name, at.0),
         ..endpoint(name)
     }
 }
--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::support::{Told, endpoint, pool, route, view};
+use super::support::{SimulatedHub, endpoint, pool, route, view};
 
 const DAEMONS: usize = 60;
 const DATA_CENTRES: [&str; 3] = ["dc-a", "dc-b", "dc-c"];
@@ -68,7 +68,7 @@
     rng: Pcg32,
     servers: Vec<Server>,
     daemons: Vec<View>,
-    told: Told,
+    told: SimulatedHub,
     got: Got,
     asked: f64,
     /// Requests asked and answered in time, by caller.
@@ -118,7 +118,7 @@
             rng: Pcg32::seed_from_u64(5),
             servers: works.iter().enumerate().map(server).collect(),
             daemons: (0..DAEMONS).map(daemon).collect(),
-            told: Told::new(TICK),
+            told: SimulatedHub::new(TICK),
             got: Got::default(),
             asked: 0.0,
             by_caller: HashMap::new(),
@@ -245,7 +245,7 @@
     fn play_on(&mut self, per_second: f64) {
         for now in 0..LENGTH {
             (0..self.servers.len()).for_each(|at| self.run(at, now));
-            self.told.tell(&mut self.daemons, now);
+            self.told.exchange_reports(&mut self.daemons, now);
             self.come_back(now);
             if self.rng.random::<f64>() < per_second / 1000.0 {
                 self.arrive(now);
--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::support::{Told, endpoint, pool, prefix, route, view};
+use super::support::{SimulatedHub, endpoint, pool, prefix, route, view};
 
 const DAEMONS: usize = 60;
 const ENGINES: usize = 60;
@@ -129,7 +129,7 @@
     rng: Pcg32,
     engines: Vec<Engine>,
     daemons: Vec<View>,
-    told: Told,
+    told: SimulatedHub,
     /// Requests, and those in time, that arrived in the first seconds and later.
     counts: [(f64, f64); 2],
     /// Requests whose engine had to read their shared prefix.
@@ -158,7 +158,7 @@
             rng: Pcg32::seed_from_u64(3),
             engines: (0..ENGINES).map(engine).collect(),
             daemons: (0..DAEMONS).map(daemon).collect(),
-            told: Told::new(TICK),
+            told: SimulatedHub::new(TICK),
             counts: [(0.0, 0.0); 2],
             readings: 0.0,
             prefixes: HashSet::new(),
@@ -220,7 +220,7 @@
     fn play(mut self, scale: f64) -> Got {
         for now in 0..LENGTH {
             (0..ENGINES).for_each(|at| self.run(at, now));
-            self.told.tell(&mut self.daemons, now);
+            self.told.exchange_reports(&mut self.daemons, now);
             let mut first = 0;
             for kind in KINDS {
                 let per_ms = scale * kind.rate * ENGINES as f64 / 1000.0;
--- a/crates/core/tests/routing/slow_start.rs
+++ b/crates/core/tests/routing/slow_start.rs
@@ -16,7 +16,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::support::{Starts, endpoint, id, pool, prefix, route, view};
+use super::support::{FleetSlowStarts, endpoint, id, pool, prefix, route, view};
 
 const START: Millis = Millis(60_000);
 const SPAN: Millis = Millis(3000);
@@ -40,15 +40,15 @@
     (0..count).map(address).collect()
 }
 
-fn starts(me: usize, listed: Vec<SocketAddr>, rate: f64) -> Starts {
-    let mut starts = Starts::new(Millis(0));
+fn starts(me: usize, listed: Vec<SocketAddr>, rate: f64) -> FleetSlowStarts {
+    let mut starts = FleetSlowStarts::new(Millis(0));
     starts.configure([(pool(), slow(rate))].into());
-    starts.deal(address(me), "near", listed);
+    starts.set_daemons(address(me), "near", listed);
     starts
 }
 
 /// Sends as much as each daemon may for some seconds; returns when.
-fn flood(daemons: &mut [Starts], to: &InstanceId, from: Millis, seconds: u64) -> Vec<u64> {
+fn flood(daemons: &mut [FleetSlowStarts], to: &InstanceId, from: Millis, seconds: u64) -> Vec<u64> {
     let mut rng = Pcg32::seed_from_u64(5);
     let mut sent = Vec::new();
     for now in (from.0..from.0 + seconds * SECOND).step_by(20) {
@@ -88,7 +88,7 @@
         (68, 1.0),
         (68, 2.5),
     ] {
-        let mut fleet: Vec<Starts> = (0..count)
+        let mut fleet: Vec<FleetSlowStarts> = (0..count)
             .map(|number| starts(number, listed(count), rate))
             .collect();
         for name in ["e-0", "e-1", "e-2"] {
@@ -106,7 +106,7 @@
 
 #[gtest]
 fn less_than_one_request_a_second_is_borne_too() {
-    let mut fleet: Vec<Starts> = (0..9)
+    let mut fleet: Vec<FleetSlowStarts> = (0..9)
         .map(|number| starts(number, listed(9), 0.25))
         .collect();
     let to = id("e-0");
@@ -128,7 +128,7 @@
         eq(Allowance::Nothing)
     );
 
-    let mut without_list = Starts::new(Millis(0));
+    let mut without_list = FleetSlowStarts::new(Millis(0));
     without_list.configure([(pool(), slow(RATE))].into());
     without_list.begin(&to, SPAN, START);
     expect_that!(
@@ -158,9 +158,9 @@
     for now in START.0..START.0 + 10 * SECOND {
         if now % 700 == 0 {
             started = Millis(now);
-            daemon = Starts::new(started);
+            daemon = FleetSlowStarts::new(started);
             daemon.configure([(pool(), slow(1.0))].into());
-            daemon.deal(address(0), "near", listed(1));
+            daemon.set_daemons(address(0), "near", listed(1));
             daemon.begin(&to, Millis(60_000), started);
         }
         if daemon.allowance(&to, &pool(), Millis(now)) == Allowance::One {
@@ -176,7 +176,7 @@
 fn lists_of_different_age_deal_no_more_than_the_daemons_by_which_they_differ() {
     for added in [1, 7, 13, 34] {
         let new = listed(68 + added);
-        let mut fleet: Vec<Starts> = (0..68 + added)
+        let mut fleet: Vec<FleetSlowStarts> = (0..68 + added)
             .map(|number| {
                 // One in three of the older daemons knows the old list still.
                 let old = number < 68 && number % 3 == 0;
@@ -198,10 +198,10 @@
 
 #[gtest]
 fn shares_are_spread_over_daemons() {
-    let fleet: Vec<Starts> = (0..68)
+    let fleet: Vec<FleetSlowStarts> = (0..68)
         .map(|number| starts(number, listed(68), RATE))
         .collect();
-    let shares = |mut daemon: Starts| {
+    let shares = |mut daemon: FleetSlowStarts| {
         let spared = (0..60).map(|number| id(&format!("e-{number}")));
         let given = spared.filter(|to| {
             daemon.begin(to, SPAN, START);
@@ -219,7 +219,7 @@
 fn several_parts_of_the_list_count_each_daemon_once() {
     let to = id("e-0");
     let mut daemon = starts(0, listed(1), RATE);
-    daemon.deal(address(0), "far", listed(1));
+    daemon.set_daemons(address(0), "far", listed(1));
     daemon.begin(&to, SPAN, START);
     let sent = flood(&mut [daemon], &to, START, 1);
     expect_that!(sent.len(), eq(8));
@@ -253,7 +253,7 @@
 
 #[gtest]
 fn a_pool_without_slow_start_is_not_spared() {
-    let mut daemon = Starts::new(Millis(0));
+    let mut daemon = FleetSlowStarts::new(Millis(0));
     daemon.begin(&id("e-0"), SPAN, START);
     expect_that!(
         daemon.allowance(&id("e-0"), &pool(), START),
--- a/crates/core/tests/routing/slow_start_ways.rs
+++ b/crates/core/tests/routing/slow_start_ways.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::support::{Starts, id, pool};
+use super::support::{FleetSlowStarts, id, pool};
 
 const DAEMONS: usize = 68;
 const ENDPOINTS: usize = 60;
@@ -76,15 +76,15 @@
     };
     let ids: Vec<InstanceId> = (0..ENDPOINTS).map(|e| id(&format!("e-{e}"))).collect();
     let daemon = |number| {
-        let mut daemon = Starts::new(Millis(0));
+        let mut daemon = FleetSlowStarts::new(Millis(0));
         daemon.configure([(pool(), slow)].into());
-        daemon.deal(address(number), "near", (0..DAEMONS).map(address).collect());
+        daemon.set_daemons(address(number), "near", (0..DAEMONS).map(address).collect());
         for id in &ids {
             daemon.begin(id, Millis(SPAN * 2), Millis(START));
         }
         daemon
     };
-    let mut daemons: Vec<Starts> = (0..DAEMONS).map(daemon).collect();
+    let mut daemons: Vec<FleetSlowStarts> = (0..DAEMONS).map(daemon).collect();
     Box::new(move |daemon, endpoint, now| {
         let (daemon, id) = (&mut daemons[daemon], &ids[endpoint]);
         let may = daemon.allowance(id, &pool(), Millis(now)) == Allowance::One;
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -25,7 +25,7 @@
 }
 
 /// An endpoint that started at a time.
-pub fn born(name: &str, at: u64) -> InstanceId {
+pub fn started_at(name: &str, at: u64) -> InstanceId {
     InstanceId::new(name.parse().expect("a name"), Some(StartTime(at)))
 }
 
@@ -72,12 +72,12 @@
 }
 
 /// Slow starts as a daemon sees them that shares them with others.
-pub struct Starts {
+pub struct FleetSlowStarts {
     fleet: Fleet,
     starts: SlowStarts,
 }
 
-impl Starts {
+impl FleetSlowStarts {
     pub fn new(now: Millis) -> Self {
         Self {
             fleet: Fleet::new(now),
@@ -85,7 +85,7 @@
         }
     }
 
-    pub fn deal(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
+    pub fn set_daemons(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
         self.fleet.set_listed(me, part, daemons);
         self.starts.clear_shares();
     }
@@ -95,7 +95,7 @@
     }
 }
 
-impl Deref for Starts {
+impl Deref for FleetSlowStarts {
     type Target = SlowStarts;
 
     fn deref(&self) -> &SlowStarts {
@@ -103,7 +103,7 @@
     }
 }
 
-impl DerefMut for Starts {
+impl DerefMut for FleetSlowStarts {
     fn deref_mut(&mut self) -> &mut SlowStarts {
         &mut self.starts
     }
@@ -147,12 +147,12 @@
 }
 
 /// Daemons that report at their own ticks; a hub tells each the sum of what the others have.
-pub struct Told {
+pub struct SimulatedHub {
     tick: u64,
     reports: Vec<Report>,
 }
 
-impl Told {
+impl SimulatedHub {
     /// Nothing was reported yet; `tick` is the time between two reports of a daemon, and between
     /// two summaries of the hub.
     pub fn new(tick: u64) -> Self {
@@ -162,7 +162,7 @@
         }
     }
 
-    pub fn tell(&mut self, daemons: &mut [View], now: u64) {
+    pub fn exchange_reports(&mut self, daemons: &mut [View], now: u64) {
         self.reports.resize_with(daemons.len(), Report::default);
         for (number, daemon) in daemons.iter_mut().enumerate() {
             if (now + number as u64 * 4).is_multiple_of(self.tick) {
--- a/crates/core/tests/routing/view.rs
+++ b/crates/core/tests/routing/view.rs
@@ -12,7 +12,7 @@
 use medlarrill_core::routing::plan::RetryPlan;
 use medlarrill_core::routing::view::{ListingChange, View};
 
-use super::support::{born, endpoint, id, pool, prefix, route, view};
+use super::support::{endpoint, id, pool, prefix, route, started_at, view};
 
 const START: Millis = Millis(60_000);
 
@@ -46,7 +46,7 @@
 fn settled() -> View {
     let mut view = view("near", 7);
     for name in ["a", "b", "c"] {
-        view.upsert(instance(born(name, 500)), Millis(0));
+        view.upsert(instance(started_at(name, 500)), Millis(0));
     }
     view
 }
@@ -54,14 +54,14 @@
 /// A prefix that goes to `a` in a pool of three.
 fn key_of_a() -> u64 {
     let mut view = settled();
-    let goes_to_a = |key: &u64| pick(&mut view, *key, START).endpoint.id == born("a", 500);
+    let goes_to_a = |key: &u64| pick(&mut view, *key, START).endpoint.id == started_at("a", 500);
     (0..64).find(goes_to_a).expect("a prefix")
 }
 
 #[gtest]
 fn an_endpoint_that_starts_again_under_its_id_has_no_work_and_no_failures() {
     let mut view = settled();
-    let old = born("a", 500);
+    let old = started_at("a", 500);
     view.report(&old, busy(30), START);
     for _ in 0..10 {
         view.record_failure(&old, Fault::Lost, START);
@@ -70,7 +70,7 @@
     let key = key_of_a();
     expect_that!(pick(&mut view, key, START).endpoint.id, not(eq(&old)));
 
-    let new = born("a", 900);
+    let new = started_at("a", 900);
     let listed = view.upsert(instance(new.clone()), START);
     expect_that!(listed, eq(&ListingChange::Restarted(old.clone())));
     let picked = pick(&mut view, key, START);
@@ -85,8 +85,8 @@
     let mut view = settled();
     let key = key_of_a();
     let old = pick(&mut view, key, START).endpoint.id.clone();
-    expect_that!(old, eq(&born("a", 500)));
-    let new = born("a", 900);
+    expect_that!(old, eq(&started_at("a", 500)));
+    let new = started_at("a", 900);
     view.upsert(instance(new.clone()), START);
     pick(&mut view, key, START);
     // The request at the old instance ends, and fails; other daemons speak of it still.
@@ -120,9 +120,9 @@
     let key = key_of_a();
     view.remove(&id("a").endpoint);
     let meanwhile = pick(&mut view, key, START).endpoint.id.clone();
-    view.upsert(instance(born("a", 900)), START);
+    view.upsert(instance(started_at("a", 900)), START);
     let back = pick(&mut view, key, START);
-    expect_that!(back.endpoint.id, eq(&born("a", 900)));
+    expect_that!(back.endpoint.id, eq(&started_at("a", 900)));
     let source = back.source.expect("a source");
     expect_that!(source.id, eq(&meanwhile));
 }
@@ -132,23 +132,23 @@
     let mut view = view("near", 7);
     view.upsert(endpoint("a"), Millis(0));
     expect_that!(view.endpoints(), eq(1));
-    view.upsert(instance(born("b", 500)), Millis(10));
+    view.upsert(instance(started_at("b", 500)), Millis(10));
     expect_that!(view.endpoints(), eq(1));
     expect_that!(
         view.upsert(endpoint("a"), Millis(20)),
         eq(&ListingChange::Ignored(EntryKind::Foreign))
     );
-    view.upsert(instance(born("a", 700)), Millis(30));
+    view.upsert(instance(started_at("a", 700)), Millis(30));
     expect_that!(view.endpoints(), eq(2));
 }
 
 #[gtest]
 fn a_late_write_of_the_instance_before_changes_nothing() {
     let mut view = settled();
-    view.upsert(instance(born("a", 900)), START);
-    let late = view.upsert(instance(born("a", 500)), START + Millis(3000));
+    view.upsert(instance(started_at("a", 900)), START);
+    let late = view.upsert(instance(started_at("a", 500)), START + Millis(3000));
     expect_that!(late, eq(&ListingChange::Ignored(EntryKind::Late)));
-    let again = view.upsert(instance(born("a", 900)), START + Millis(3500));
+    let again = view.upsert(instance(started_at("a", 900)), START + Millis(3500));
     expect_that!(again, eq(&ListingChange::Same));
 }
 
@@ -166,7 +166,7 @@
 fn a_prefix_that_was_passed_on_is_fetched_from_where_it_went_by_other_daemons_too() {
     let (mut one, mut two) = (settled(), settled());
     let key = key_of_a();
-    let first = born("a", 500);
+    let first = started_at("a", 500);
     one.report(&first, busy(40), START);
     let passed = pick(&mut one, key, START);
     expect_that!(passed.endpoint.id, not(eq(&first)));
@@ -189,7 +189,7 @@
     pick(&mut view, key, START);
     expect_that!(view.take_report(false).moved.len(), eq(0));
     view.remove(&id("a").endpoint);
-    view.upsert(instance(born("a", 900)), START);
+    view.upsert(instance(started_at("a", 900)), START);
     for _ in 0..5 {
         pick(&mut view, key, START);
     }
@@ -200,10 +200,10 @@
 fn a_prefix_is_not_fetched_from_where_an_attempt_with_it_failed() {
     let mut view = settled();
     let key = key_of_a();
-    view.report(&born("a", 500), busy(40), START);
+    view.report(&started_at("a", 500), busy(40), START);
     let passed = pick(&mut view, key, START).endpoint.id.clone();
     view.retract_prefix(&prefix(key), &passed);
     let back = pick(&mut view, key, START + Millis(9000));
-    expect_that!(back.endpoint.id, eq(&born("a", 500)));
+    expect_that!(back.endpoint.id, eq(&started_at("a", 500)));
     expect_that!(back.source, none());
 }
