--- a/crates/core/tests/routing/centres.rs
+++ b/crates/core/tests/routing/centres.rs
@@ -32,15 +32,15 @@
 
 /// What a daemon has to know of the fleet two seconds after a fault.
 fn expect_full_knowledge(world: &mut World, after: &str) {
-    expect_that!(world.most_wrong(), lt(WELL), "{after}");
-    let ages = world.ages(6);
+    expect_that!(world.max_load_error(), lt(WELL), "{after}");
+    let ages = world.propagation_times(6);
     expect_that!(ages.last(), some(lt(&SOON)), "{after}");
-    let live: Vec<usize> = world.living().collect();
+    let live: Vec<usize> = world.live().collect();
     for number in &live {
         let daemon = &world.daemons[*number];
         let counted = daemon
             .exchange
-            .live_count(Millis(world.now - daemon.behind));
+            .live_count(Millis(world.now - daemon.clock_lag));
         expect_that!(counted, eq(live.len()), "{after}, daemon {number}");
     }
 }
@@ -60,11 +60,11 @@
         world.run(4000);
         world.count_bytes();
         let start = world.now;
-        let ages = world.ages(probes);
+        let ages = world.propagation_times(probes);
         expect_that!(part(&ages, 0.5), lt(214), "{daemons}");
         expect_that!(part(&ages, 0.99), lt(397), "{daemons}");
         let seconds = (world.now - start) as f64 / 1000.0;
-        let between = world.between as f64 / seconds / 1000.0;
+        let between = world.remote_bytes as f64 / seconds / 1000.0;
         let loads = world
             .daemons
             .iter()
@@ -92,13 +92,16 @@
     let mut world = World::new(60, 5, 66);
     world.run(3000);
     for origin in [7, 8, 9] {
-        world.daemons[origin].bad = 3;
+        world.daemons[origin].failures = 3;
         world.run(1500);
         for number in (0..60).filter(|number| *number != origin) {
-            let heard = std::mem::take(&mut world.daemons[number].heard_bad);
+            let heard = std::mem::take(&mut world.daemons[number].peer_failures);
             expect_that!(heard, eq(3), "daemon {number}");
         }
-        expect_that!(std::mem::take(&mut world.daemons[origin].heard_bad), eq(0));
+        expect_that!(
+            std::mem::take(&mut world.daemons[origin].peer_failures),
+            eq(0)
+        );
     }
 }
 
@@ -123,7 +126,7 @@
     world.run(2000);
     let others: Vec<usize> = (0..100).filter(|number| *number != hub).collect();
     let wrong = |world: &World| {
-        let wrong = others.iter().map(|number| world.wrong(*number));
+        let wrong = others.iter().map(|number| world.load_error(*number));
         wrong.fold(0.0, f64::max)
     };
     // What it brings itself isn't known, one in a hundred.
@@ -143,7 +146,7 @@
     let is_cut = move |number: usize| {
         number % 5 == hub % 5 && (number / 5).is_multiple_of(2) && number != hub
     };
-    world.passes =
+    world.delivers =
         Box::new(move |from, to| !(from == hub && is_cut(to) || to == hub && is_cut(from)));
     world.run(2000);
     expect_full_knowledge(&mut world, "half cut off");
@@ -155,8 +158,8 @@
     let hub = hubs(&world, 3)[0];
     let seeds = vec![address(0), address(1), address(2)];
     let exchange = Exchange::new(address(hub), seeds);
-    let centre = DataCentreHash(world.daemons[hub].centre as u32 + 1);
-    world.daemons[hub].exchange = exchange.with_data_centre(centre).with_epoch(77);
+    let data_centre = DataCentreHash(world.daemons[hub].data_centre as u32 + 1);
+    world.daemons[hub].exchange = exchange.with_data_centre(data_centre).with_epoch(77);
     world.run(2000);
     expect_full_knowledge(&mut world, "restart");
 }
@@ -165,14 +168,14 @@
 fn a_data_centre_that_is_cut_off_knows_its_own_and_is_joined_again() {
     for length in [3000, 15_000] {
         let mut world = settled();
-        world.passes = Box::new(|from, to| (from % 5 == 0) == (to % 5 == 0));
+        world.delivers = Box::new(|from, to| (from % 5 == 0) == (to % 5 == 0));
         world.run(length);
         for number in 0..100 {
             let live = world.daemons[number].exchange.live_count(Millis(world.now));
             let expected = if number % 5 == 0 { 20 } else { 80 };
             expect_that!(live, eq(expected), "daemon {number} after {length}");
         }
-        world.passes = Box::new(|_, _| true);
+        world.delivers = Box::new(|_, _| true);
         world.run(if length < 10_000 { 2000 } else { 5000 });
         expect_full_knowledge(&mut world, "joined again");
     }
@@ -190,17 +193,17 @@
     let following = exchange.following(false, Millis(world.now));
     expect_that!(following.sources.len(), eq(2));
     world.run(300);
-    expect_that!(world.wrong(63), lt(WELL));
+    expect_that!(world.load_error(63), lt(WELL));
 }
 
 #[gtest]
 fn lost_datagrams_cost_no_knowledge() {
     let mut world = World::new(100, 5, 110);
     let lot = std::cell::RefCell::new(Pcg32::seed_from_u64(3));
-    world.passes = Box::new(move |_, _| lot.borrow_mut().random::<f64>() > 0.06);
+    world.delivers = Box::new(move |_, _| lot.borrow_mut().random::<f64>() > 0.06);
     world.run(4000);
-    expect_that!(world.most_wrong(), lt(WELL));
-    let ages = world.ages(6);
+    expect_that!(world.max_load_error(), lt(WELL));
+    let ages = world.propagation_times(6);
     // Each of three ways may take a tick or two more.
     expect_that!(part(&ages, 0.99), lt(SOON + 300));
 }
--- a/crates/core/tests/routing/evidence.rs
+++ b/crates/core/tests/routing/evidence.rs
@@ -35,7 +35,7 @@
         let quarantine = &world.daemons[*number].quarantine;
         quarantine.remaining(CRASHING, now).is_none()
     };
-    world.living().filter(is_unaware).collect()
+    world.live().filter(is_unaware).collect()
 }
 
 #[gtest]
@@ -52,7 +52,7 @@
 fn a_third_of_all_datagrams_may_be_lost() {
     let mut world = settled(100, 5);
     let count = std::cell::Cell::new(0u32);
-    world.passes = Box::new(move |_, _| {
+    world.delivers = Box::new(move |_, _| {
         count.set(
             count
                 .get()
@@ -106,13 +106,13 @@
 #[gtest]
 fn parts_that_lost_each_other_agree_once_they_meet() {
     let mut world = settled(60, 3);
-    world.passes = Box::new(|from, to| from % 3 == to % 3);
+    world.delivers = Box::new(|from, to| from % 3 == to % 3);
     world.run(3000);
     lose_three(&mut world, [0, 3, 6]);
     world.run(IN_TIME);
     let apart: Vec<usize> = (0..60).filter(|number| number % 3 != 0).collect();
     expect_that!(unaware(&world), eq(&apart));
-    world.passes = Box::new(|_, _| true);
+    world.delivers = Box::new(|_, _| true);
     world.run(IN_TIME);
     expect_that!(unaware(&world), is_empty());
 }
@@ -120,12 +120,12 @@
 #[gtest]
 fn three_parts_that_found_one_loss_each_put_them_together() {
     let mut world = settled(60, 3);
-    world.passes = Box::new(|from, to| from % 3 == to % 3);
+    world.delivers = Box::new(|from, to| from % 3 == to % 3);
     world.run(3000);
     lose_three(&mut world, [0, 1, 2]);
     world.run(IN_TIME);
     expect_that!(unaware(&world).len(), eq(60));
-    world.passes = Box::new(|_, _| true);
+    world.delivers = Box::new(|_, _| true);
     world.run(IN_TIME);
     expect_that!(unaware(&world), is_empty());
 }
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -24,18 +24,18 @@
 pub struct Daemon {
     pub exchange: Exchange,
     pub quarantine: Quarantine,
-    pub centre: usize,
+    pub data_centre: usize,
     pub due: u64,
     flights: Vec<u32>,
     /// Outcomes since the last report, at the probed endpoint.
-    pub bad: u32,
+    pub failures: u32,
     heard: PeerUpdate,
     /// Failed attempts heard of.
-    pub heard_bad: u32,
+    pub peer_failures: u32,
     /// When it wakes, where it is frozen; its clock stands still till then.
     pub frozen: Option<u64>,
     /// For how long it was frozen.
-    pub behind: u64,
+    pub clock_lag: u64,
     pub sent: usize,
     pub received: usize,
 }
@@ -43,16 +43,16 @@
 /// A fleet over some data centres.
 pub struct World {
     pub daemons: Vec<Daemon>,
-    centres: usize,
+    data_centres: usize,
     endpoints: u32,
     pub now: u64,
     mail: BTreeMap<u64, Vec<(usize, usize, Vec<u8>)>>,
     /// Daemons that are gone.
     pub lost: Vec<usize>,
     /// Whether datagrams pass.
-    pub passes: Box<dyn Fn(usize, usize) -> bool>,
+    pub delivers: Box<dyn Fn(usize, usize) -> bool>,
     /// Bytes between data centres.
-    pub between: usize,
+    pub remote_bytes: usize,
     rng: Pcg32,
 }
 
@@ -61,21 +61,21 @@
 }
 
 impl World {
-    pub fn new(daemons: usize, centres: usize, endpoints: u32) -> Self {
+    pub fn new(daemons: usize, data_centres: usize, endpoints: u32) -> Self {
         let mut rng = Pcg32::seed_from_u64(11);
         let mut daemon = |number| {
             let due = 1000 + rng.random_range(0..300);
-            Daemon::new(number, centres, due)
+            Daemon::new(number, data_centres, due)
         };
         Self {
             daemons: (0..daemons).map(&mut daemon).collect(),
-            centres,
+            data_centres,
             endpoints,
             now: 1000,
             mail: BTreeMap::new(),
             lost: Vec::new(),
-            passes: Box::new(|_, _| true),
-            between: 0,
+            delivers: Box::new(|_, _| true),
+            remote_bytes: 0,
             rng: Pcg32::seed_from_u64(5),
         }
     }
@@ -83,7 +83,7 @@
     /// Starts a lost daemon again, which knows nothing of before.
     pub fn restart(&mut self, number: usize) {
         self.lost.retain(|lost| *lost != number);
-        let started = Daemon::new(number, self.centres, self.now);
+        let started = Daemon::new(number, self.data_centres, self.now);
         let epoch = self.now as u32;
         self.daemons[number] = Daemon {
             exchange: started.exchange.with_epoch(epoch),
@@ -120,7 +120,7 @@
 
     fn deliver(&mut self) {
         for (from, to, bytes) in self.mail.remove(&self.now).unwrap_or_default() {
-            let now = Millis(self.now - self.daemons[to].behind);
+            let now = Millis(self.now - self.daemons[to].clock_lag);
             let daemon = &mut self.daemons[to];
             if self.lost.contains(&to) {
                 continue;
@@ -149,7 +149,7 @@
         let daemon = &mut self.daemons[number];
         if let Some(wakes) = daemon.frozen {
             if wakes > self.now {
-                daemon.behind += 1;
+                daemon.clock_lag += 1;
                 return;
             }
             daemon.frozen = None;
@@ -157,7 +157,7 @@
         if daemon.due > self.now {
             return;
         }
-        let now = Millis(self.now - daemon.behind);
+        let now = Millis(self.now - daemon.clock_lag);
         if daemon.exchange.has_reports()
             && let Some(heard) = daemon.exchange.hub_update(now)
         {
@@ -176,30 +176,30 @@
         for (to, message) in out {
             let to = usize::from(to.port()) - 1;
             let bytes = message.encode().to_vec();
-            let is_far = self.daemons[to].centre != self.daemons[number].centre;
+            let is_far = self.daemons[to].data_centre != self.daemons[number].data_centre;
             self.daemons[number].sent += bytes.len();
             if is_far {
-                self.between += bytes.len();
+                self.remote_bytes += bytes.len();
             }
-            if (self.passes)(number, to) && !self.lost.contains(&to) {
+            if (self.delivers)(number, to) && !self.lost.contains(&to) {
                 let at = self.now + 1 + u64::from(is_far);
                 self.mail.entry(at).or_default().push((number, to, bytes));
             }
         }
     }
 
-    pub fn living(&self) -> impl Iterator<Item = usize> {
+    pub fn live(&self) -> impl Iterator<Item = usize> {
         (0..self.daemons.len()).filter(|number| !self.lost.contains(number))
     }
 
     /// Share of what the others have at all endpoints that a daemon has wrong.
-    pub fn wrong(&self, number: usize) -> f64 {
+    pub fn load_error(&self, number: usize) -> f64 {
         let known = |endpoint: u32| {
             let others = self.daemons[number].heard.endpoints.get(&endpoint);
             others.map_or(0, |others| others.in_flight)
         };
         let mut counts: HashMap<u32, u32> = HashMap::new();
-        for other in self.living().filter(|other| *other != number) {
+        for other in self.live().filter(|other| *other != number) {
             for flight in &self.daemons[other].flights {
                 *counts.entry(*flight).or_default() += 1;
             }
@@ -214,14 +214,14 @@
     }
 
     /// The largest share that any daemon has wrong.
-    pub fn most_wrong(&self) -> f64 {
-        self.living()
-            .map(|number| self.wrong(number))
+    pub fn max_load_error(&self) -> f64 {
+        self.live()
+            .map(|number| self.load_error(number))
             .fold(0.0, f64::max)
     }
 
     /// Times until daemons know of a request, over some requests.
-    pub fn ages(&mut self, probes: u32) -> Vec<u64> {
+    pub fn propagation_times(&mut self, probes: u32) -> Vec<u64> {
         let mut ages = Vec::new();
         for probe in 0..probes {
             let wait = self.rng.random_range(0..400);
@@ -229,7 +229,7 @@
             let endpoint = PROBE + probe;
             let origin = self.rng.random_range(0..self.daemons.len());
             let start = self.now;
-            let mut waiting: Vec<usize> = self.living().filter(|n| *n != origin).collect();
+            let mut waiting: Vec<usize> = self.live().filter(|n| *n != origin).collect();
             while !waiting.is_empty() && self.now < start + 3000 {
                 // It stays among the requests in flight, however many begin after it.
                 let flights = &mut self.daemons[origin].flights;
@@ -256,7 +256,7 @@
     }
 
     pub fn count_bytes(&mut self) {
-        self.between = 0;
+        self.remote_bytes = 0;
         for daemon in &mut self.daemons {
             (daemon.sent, daemon.received) = (0, 0);
         }
@@ -264,23 +264,23 @@
 }
 
 impl Daemon {
-    fn new(number: usize, centres: usize, due: u64) -> Self {
+    fn new(number: usize, data_centres: usize, due: u64) -> Self {
         let seeds = vec![address(0), address(1), address(2)];
-        let centre = number % centres;
+        let data_centre = number % data_centres;
         let exchange = Exchange::new(address(number), seeds);
         Self {
             exchange: exchange
-                .with_data_centre(DataCentreHash(centre as u32 + 1))
+                .with_data_centre(DataCentreHash(data_centre as u32 + 1))
                 .with_epoch(number as u32),
             quarantine: Quarantine::default(),
-            centre,
+            data_centre,
             due,
             flights: Vec::new(),
-            bad: 0,
+            failures: 0,
             heard: PeerUpdate::default(),
-            heard_bad: 0,
+            peer_failures: 0,
             frozen: None,
-            behind: 0,
+            clock_lag: 0,
             sent: 0,
             received: 0,
         }
@@ -298,7 +298,7 @@
             bad: 0,
         };
         let mut entries: Vec<ReportEntry> = counts.into_iter().map(entry).collect();
-        let bad = std::mem::take(&mut self.bad);
+        let bad = std::mem::take(&mut self.failures);
         if bad > 0 {
             entries.push(ReportEntry {
                 endpoint: PROBE,
@@ -314,7 +314,7 @@
     }
 
     fn hear(&mut self, heard: PeerUpdate) {
-        self.heard_bad += heard
+        self.peer_failures += heard
             .endpoints
             .values()
             .map(|others| others.bad)
