--- a/crates/core/tests/routing/bound.rs
+++ b/crates/core/tests/routing/bound.rs
@@ -1,7 +1,7 @@
-//! The load bound over many daemons that each see a sliver of the traffic, in model time.
+//! Simulates the load bound with many daemons that each see a small part of the traffic.
 //!
 //! Requests arrive at random daemons; a fifth of them share one prefix. Each daemon knows its
-//! own requests, and those of others as of its last summary.
+//! own requests, and those of others as of the last summary it received.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,38 +22,40 @@
 
 use super::support::{endpoint, prefix};
 
-/// Load over which an endpoint is given too much: twice the mean and 3.
-const TWICE: f64 = 2.0;
-const GRAIN: f64 = 3.0;
+/// An endpoint is overloaded when its load exceeds `MEAN_FACTOR` times the mean plus `MARGIN`.
+const MEAN_FACTOR: f64 = 2.0;
+const MARGIN: f64 = 3.0;
 /// Prefixes in use.
 const PREFIXES: u64 = 200;
 /// Share of requests with the one hot prefix.
 const HOT: f64 = 0.2;
-/// Length of a request.
-const LENGTH: u64 = 1500;
-/// Requests a second at one endpoint.
-const PACE: u64 = 8;
+/// Duration of a request in milliseconds.
+const DURATION: u64 = 1500;
+/// Mean requests per second at one endpoint.
+const RATE: u64 = 8;
+/// Default interval of reports in the simulation, in milliseconds.
 const TICK: u64 = 250;
-/// Between two words of a daemon.
-const OWN_TICK: u64 = exchange::TICK.0;
+/// Interval of a daemon's reports in the product, in milliseconds.
+const PRODUCT_TICK: u64 = exchange::TICK.0;
 
 struct Fleet {
     daemons: Vec<(Exchange, LoadTracker)>,
     endpoints: Vec<Arc<Endpoint>>,
     at_endpoint: HashMap<String, f64>,
     rng: Pcg32,
-    told: bool,
+    /// Whether daemons exchange reports.
+    shares_loads: bool,
     tick: u64,
     sent: Vec<Vec<PrefixCount>>,
     hot: Vec<HashMap<u32, f64>>,
-    /// When each third endpoint is drained.
+    /// When every third endpoint is drained, in milliseconds.
     drained: u64,
-    /// Times that the usual requests come.
+    /// Factor on the request rate, from `5 * DURATION` on.
     surge: f64,
 }
 
 impl Fleet {
-    fn new(daemons: u16, endpoints: usize, told: bool) -> Self {
+    fn new(daemons: u16, endpoints: usize, shares_loads: bool) -> Self {
         let address = |number: u16| SocketAddr::from(([10, 0, 0, 1], number));
         let seeds = vec![address(1), address(2)];
         let daemon = |number| {
@@ -68,7 +70,7 @@
             endpoints: (0..endpoints).map(endpoint).collect(),
             at_endpoint: HashMap::new(),
             rng: Pcg32::seed_from_u64(7),
-            told,
+            shares_loads,
             tick: TICK,
             sent: vec![Vec::new(); usize::from(daemons)],
             hot: vec![HashMap::new(); usize::from(daemons)],
@@ -77,10 +79,10 @@
         }
     }
 
-    /// Drains each third endpoint after the warm-up, and brings more requests a little later.
+    /// Drains every third endpoint after the warm-up, and raises the request rate a little later.
     fn with_drain(self, surge: f64) -> Self {
         Self {
-            drained: 3 * LENGTH,
+            drained: 3 * DURATION,
             surge,
             ..self
         }
@@ -90,13 +92,13 @@
         Self { tick, ..self }
     }
 
-    /// Share of requests that reached an endpoint over twice the mean, after a warm-up.
-    fn play(&mut self, length: u64) -> f64 {
+    /// Share of requests that reached an overloaded endpoint, after a warm-up.
+    fn run(&mut self, duration: u64) -> f64 {
         let mut ends: Vec<(u64, usize, usize)> = Vec::new();
         let (mut over, mut all) = (0.0, 0.0);
-        let pause = 1000.0 / (PACE * self.endpoints.len() as u64) as f64;
+        let interval = 1000.0 / (RATE * self.endpoints.len() as u64) as f64;
         let mut next = 0.0;
-        for now in 0..length {
+        for now in 0..duration {
             ends.retain(|(at, daemon, endpoint)| {
                 if *at == now {
                     let id = &self.endpoints[*endpoint].id;
@@ -105,16 +107,16 @@
                 }
                 *at > now
             });
-            if self.told && now % self.tick == 0 {
+            if self.shares_loads && now % self.tick == 0 {
                 self.exchange(Millis(now));
             }
-            let surge = if now > 5 * LENGTH { self.surge } else { 1.0 };
+            let surge = if now > 5 * DURATION { self.surge } else { 1.0 };
             while next <= now as f64 {
-                next += pause / surge;
+                next += interval / surge;
                 let daemon = self.rng.random_range(0..self.daemons.len());
                 let (endpoint, is_over) = self.send(daemon, Millis(now));
-                ends.push((now + LENGTH, daemon, endpoint));
-                if now > 3 * LENGTH {
+                ends.push((now + DURATION, daemon, endpoint));
+                if now > 3 * DURATION {
                     all += 1.0;
                     over += if is_over { 1.0 } else { 0.0 };
                 }
@@ -154,9 +156,9 @@
         let id = choice.expect("a choice").endpoint.id.clone();
         loads.begin(&id);
         let mean = self.at_endpoint.values().sum::<f64>() / self.endpoints.len() as f64;
-        let held = self.at_endpoint.entry(id.to_string()).or_default();
-        let is_over = *held > TWICE * mean + GRAIN;
-        *held += 1.0;
+        let in_flight_here = self.at_endpoint.entry(id.to_string()).or_default();
+        let is_over = *in_flight_here > MEAN_FACTOR * mean + MARGIN;
+        *in_flight_here += 1.0;
         let same = |endpoint: &Arc<Endpoint>| endpoint.id == id;
         (
             self.endpoints.iter().position(same).expect("known"),
@@ -179,10 +181,10 @@
                 ..Report::default()
             };
             if exchange.has_reports() {
-                let gathered = exchange.hub_update(now);
-                if let Some(heard) = gathered {
-                    take(loads, &self.endpoints, &heard, now);
-                    self.hot[number] = heard.hot;
+                let update = exchange.hub_update(now);
+                if let Some(update) = update {
+                    apply_update(loads, &self.endpoints, &update, now);
+                    self.hot[number] = update.hot;
                 }
             }
             let from = SocketAddr::from(([10, 0, 0, 1], number as u16 + 1));
@@ -191,19 +193,24 @@
         }
         while let Some((from, to, message)) = sent.pop_front() {
             let (exchange, loads) = &mut self.daemons[usize::from(to.port()) - 1];
-            if let Some(heard) = exchange.receive(from, message, now) {
-                take(loads, &self.endpoints, &heard, now);
-                self.hot[usize::from(to.port()) - 1] = heard.hot;
+            if let Some(update) = exchange.receive(from, message, now) {
+                apply_update(loads, &self.endpoints, &update, now);
+                self.hot[usize::from(to.port()) - 1] = update.hot;
             }
-            let answers = exchange.replies(now).into_iter();
-            sent.extend(answers.map(|(back, message)| (to, back, message)));
+            let replies = exchange.replies(now).into_iter();
+            sent.extend(replies.map(|(back, message)| (to, back, message)));
         }
     }
 }
 
-fn take(loads: &mut LoadTracker, endpoints: &[Arc<Endpoint>], heard: &PeerUpdate, now: Millis) {
+fn apply_update(
+    loads: &mut LoadTracker,
+    endpoints: &[Arc<Endpoint>],
+    update: &PeerUpdate,
+    now: Millis,
+) {
     for endpoint in endpoints {
-        let others = heard.endpoints.get(&short_id(&endpoint.id));
+        let others = update.endpoints.get(&short_id(&endpoint.id));
         let in_flight = others.map_or(0, |others| others.in_flight);
         loads.set_others(&endpoint.id, in_flight, now);
     }
@@ -211,30 +218,30 @@
 
 #[gtest]
 fn at_84_daemons_told_loads_keep_endpoints_under_twice_the_mean() {
-    let share = Fleet::new(84, 60, true).play(8000);
+    let share = Fleet::new(84, 60, true).run(8000);
     expect_that!(share, lt(0.03));
 }
 
 #[gtest]
 fn at_350_daemons_too() {
-    let share = Fleet::new(350, 60, true).play(8000);
+    let share = Fleet::new(350, 60, true).run(8000);
     expect_that!(share, lt(0.03));
 }
 
 #[gtest]
 fn daemons_that_know_only_their_own_requests_pass_it() {
-    let share = Fleet::new(84, 60, false).play(8000);
+    let share = Fleet::new(84, 60, false).run(8000);
     expect_that!(share, gt(0.03));
 }
 
 #[gtest]
 fn while_a_third_is_drained_and_traffic_jumps_the_rest_stay_under_twice_the_mean_of_all() {
-    let share = Fleet::new(68, 60, true).with_drain(1.7).play(14_000);
+    let share = Fleet::new(68, 60, true).with_drain(1.7).run(14_000);
     expect_that!(share, lt(0.03));
 }
 
 #[gtest]
 fn a_drained_third_and_a_jump_of_traffic_fill_few_endpoints_over_twice_the_mean_of_all() {
-    let fleet = Fleet::new(68, 60, true).with_tick(OWN_TICK);
-    expect_that!(fleet.with_drain(1.7).play(14_000), lt(0.01));
+    let fleet = Fleet::new(68, 60, true).with_tick(PRODUCT_TICK);
+    expect_that!(fleet.with_drain(1.7).run(14_000), lt(0.01));
 }
--- a/crates/core/tests/routing/budget.rs
+++ b/crates/core/tests/routing/budget.rs
@@ -10,7 +10,7 @@
     slack: 54.0,
 };
 
-/// Some time after the daemon's start.
+/// A time well after the daemon's start at 0.
 const NOW: Millis = Millis(60_000);
 
 fn budget(daemons: u32) -> RetryBudget {
@@ -19,19 +19,20 @@
     budget
 }
 
-fn spent(budget: &mut RetryBudget, now: Millis) -> usize {
+fn spend_all(budget: &mut RetryBudget, now: Millis) -> usize {
     (0..1000)
         .take_while(|_| budget.try_spend(&pool(), now))
         .count()
 }
 
-/// Spends all that is left after each request of a window; returns how many repeats.
-fn spent_along(budget: &mut RetryBudget, from: Millis, requests: u64) -> usize {
-    let gap = FLEET.window.0 / requests;
+/// Records requests evenly over a window and spends all that is left after each; returns the
+/// number of retries.
+fn spend_over_window(budget: &mut RetryBudget, from: Millis, requests: u64) -> usize {
+    let interval = FLEET.window.0 / requests;
     let spend = |number| {
-        let now = from + Millis(number * gap);
+        let now = from + Millis(number * interval);
         budget.record_request(&pool(), now);
-        spent(budget, now)
+        spend_all(budget, now)
     };
     (0..requests).map(spend).sum()
 }
@@ -39,10 +40,13 @@
 #[gtest]
 fn repeats_stay_within_the_share_of_requests_and_this_daemons_part_of_the_slack() {
     let mut budget = budget(9);
-    // What is held: 0.5 x 54 / 9 = 3; earned: 0.8 x 0.2 x 100 + 0.25 x 54 / 9 = 17.5
-    expect_that!(spent_along(&mut budget, NOW, 100), eq(20));
-    // 0.5 was left over, but for what the last hundredth of the window earns.
-    expect_that!(spent_along(&mut budget, NOW + FLEET.window, 100), eq(17));
+    // Initially held: 0.5 x 54 / 9 = 3; earned: 0.8 x 0.2 x 100 + 0.25 x 54 / 9 = 17.5
+    expect_that!(spend_over_window(&mut budget, NOW, 100), eq(20));
+    // 17.5 again, and 0.5 left over, less what the last hundredth of the window earns.
+    expect_that!(
+        spend_over_window(&mut budget, NOW + FLEET.window, 100),
+        eq(17)
+    );
 }
 
 #[gtest]
@@ -52,7 +56,7 @@
         budget.record_request(&pool(), NOW + Millis(number * 99));
     }
     // 0.5 x 54 / 9 + 0.15 x 0.2 x 100 = 6
-    expect_that!(spent(&mut budget, NOW + Millis(9900)), eq(6));
+    expect_that!(spend_all(&mut budget, NOW + Millis(9900)), eq(6));
 }
 
 #[gtest]
@@ -61,7 +65,7 @@
     let mut sum = 0;
     for _ in 0..daemons {
         let mut budget = budget(daemons);
-        sum += spent_along(&mut budget, NOW, 10);
+        sum += spend_over_window(&mut budget, NOW, 10);
     }
     expect_that!(sum as f64, le(0.2 * f64::from(daemons) * 10.0 + 54.0));
 }
@@ -69,28 +73,28 @@
 #[gtest]
 fn a_pause_brings_back_no_more_than_the_part_of_the_slack() {
     let mut budget = budget(9);
-    spent_along(&mut budget, NOW, 100);
-    expect_that!(spent(&mut budget, NOW + Millis(9950)), eq(0));
-    // 0.25 x 54 / 9 = 1.5 come in a window, 0.5 x 54 / 9 = 3 are held at most.
-    expect_that!(spent(&mut budget, NOW + Millis(20_000)), eq(1));
-    expect_that!(spent(&mut budget, NOW + Millis(600_000)), eq(3));
+    spend_over_window(&mut budget, NOW, 100);
+    expect_that!(spend_all(&mut budget, NOW + Millis(9950)), eq(0));
+    // 0.25 x 54 / 9 = 1.5 are earned per window, 0.5 x 54 / 9 = 3 are held at most.
+    expect_that!(spend_all(&mut budget, NOW + Millis(20_000)), eq(1));
+    expect_that!(spend_all(&mut budget, NOW + Millis(600_000)), eq(3));
 }
 
 #[gtest]
 fn a_daemon_that_has_just_started_spends_what_its_requests_have_earned() {
-    // What it spent before it was killed still counts for the fleet.
+    // What the daemon spent before it was killed still counts towards the fleet's budget.
     let mut budget = RetryBudget::new(FLEET, Millis(5000));
-    expect_that!(spent(&mut budget, Millis(5500)), eq(1));
+    expect_that!(spend_all(&mut budget, Millis(5500)), eq(1));
     // 0.8 x 0.2 x 100 = 16
-    let unlisted = spent_along(&mut budget, Millis(6000), 100);
-    expect_that!(unlisted, all![ge(15), le(16)]);
+    let earned = spend_over_window(&mut budget, Millis(6000), 100);
+    expect_that!(earned, all![ge(15), le(16)]);
 }
 
 #[gtest]
 fn with_fewer_daemons_each_may_spend_more() {
     let mut budget = budget(100);
-    expect_that!(spent(&mut budget, NOW), eq(1));
+    expect_that!(spend_all(&mut budget, NOW), eq(1));
     budget.set_share(0.5);
     // 0.5 x 54 / 2 = 13.5
-    expect_that!(spent(&mut budget, NOW + Millis(100_000)), eq(13));
+    expect_that!(spend_all(&mut budget, NOW + Millis(100_000)), eq(13));
 }
--- a/crates/core/tests/routing/centres.rs
+++ b/crates/core/tests/routing/centres.rs
@@ -1,5 +1,5 @@
-//! Sums told between data centres, in model time: how soon loads are known, in how many bytes,
-//! and what hubs that fail do to it.
+//! Simulates the exchange of load sums between data centres: how soon loads are known, how many
+//! bytes that takes, and how failed hubs affect it.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -9,8 +9,8 @@
 
 use super::world::{World, address};
 
-/// A hundred daemons over five data centres that know each other.
-fn settled() -> World {
+/// 100 daemons in five data centres, run until they know each other.
+fn converged() -> World {
     let mut world = World::new(100, 5, 110);
     world.run(3000);
     world
@@ -21,20 +21,20 @@
     hubs.iter().map(|hub| usize::from(hub.port()) - 1).collect()
 }
 
-fn part(sorted: &[u64], share: f64) -> u64 {
+fn quantile(sorted: &[u64], share: f64) -> u64 {
     sorted[((sorted.len() - 1) as f64 * share) as usize]
 }
 
-/// Known wrong while all is well: loads change 22 times a second and daemon here.
-const WELL: f64 = 0.5;
-/// Longest time until all know of a request while all is well.
-const SOON: u64 = 600;
+/// Bound of the load error without faults; loads change 22 times per second and daemon here.
+const MAX_LOAD_ERROR: f64 = 0.5;
+/// Bound of the time until all daemons know of a request without faults, in milliseconds.
+const MAX_PROPAGATION: u64 = 600;
 
-/// What a daemon has to know of the fleet two seconds after a fault.
+/// Checks what daemons know of the fleet, two seconds after a fault or later.
 fn expect_full_knowledge(world: &mut World, after: &str) {
-    expect_that!(world.max_load_error(), lt(WELL), "{after}");
-    let ages = world.propagation_times(6);
-    expect_that!(ages.last(), some(lt(&SOON)), "{after}");
+    expect_that!(world.max_load_error(), lt(MAX_LOAD_ERROR), "{after}");
+    let times = world.propagation_times(6);
+    expect_that!(times.last(), some(lt(&MAX_PROPAGATION)), "{after}");
     let live: Vec<usize> = world.live().collect();
     for number in &live {
         let daemon = &world.daemons[*number];
@@ -45,7 +45,7 @@
     }
 }
 
-/// Milliseconds at which half and 99 of 100 know of a request, and KB a second between data
+/// Milliseconds until 50 % and 99 % of daemons know of a request, and KB per second between data
 /// centres and at the busiest daemon. Before, with one pair of hubs for the fleet and ticks of
 /// 250 ms: 214, 399, 118 and 60 with 30 daemons; 246, 397, 956 and 470 with 100; 243, 424, 7,592
 /// and 3,647 with 295. Now: 170, 357, 96 and 30; 163, 352, 217 and 97; 181, 338, 545 and 399.
@@ -60,9 +60,9 @@
         world.run(4000);
         world.count_bytes();
         let start = world.now;
-        let ages = world.propagation_times(probes);
-        expect_that!(part(&ages, 0.5), lt(214), "{daemons}");
-        expect_that!(part(&ages, 0.99), lt(397), "{daemons}");
+        let times = world.propagation_times(probes);
+        expect_that!(quantile(&times, 0.5), lt(214), "{daemons}");
+        expect_that!(quantile(&times, 0.99), lt(397), "{daemons}");
         let seconds = (world.now - start) as f64 / 1000.0;
         let between = world.remote_bytes as f64 / seconds / 1000.0;
         let loads = world
@@ -77,7 +77,7 @@
 
 #[gtest]
 fn each_data_centre_has_two_hubs_and_all_daemons_know_all_loads() {
-    let mut world = settled();
+    let mut world = converged();
     for number in 0..100 {
         let hubs = hubs(&world, number);
         expect_that!(hubs.len(), eq(2));
@@ -95,8 +95,8 @@
         world.daemons[origin].failures = 3;
         world.run(1500);
         for number in (0..60).filter(|number| *number != origin) {
-            let heard = std::mem::take(&mut world.daemons[number].peer_failures);
-            expect_that!(heard, eq(3), "daemon {number}");
+            let reported = std::mem::take(&mut world.daemons[number].peer_failures);
+            expect_that!(reported, eq(3), "daemon {number}");
         }
         expect_that!(
             std::mem::take(&mut world.daemons[origin].peer_failures),
@@ -107,7 +107,7 @@
 
 #[gtest]
 fn hubs_that_die_are_replaced_within_two_seconds() {
-    let mut world = settled();
+    let mut world = converged();
     let first = hubs(&world, 3)[0];
     world.lost = vec![first];
     world.run(2000);
@@ -120,28 +120,28 @@
 
 #[gtest]
 fn a_hub_that_freezes_is_passed_over_and_tells_nothing_old_when_it_wakes() {
-    let mut world = settled();
+    let mut world = converged();
     let hub = hubs(&world, 3)[0];
     world.daemons[hub].frozen = Some(world.now + 5000);
     world.run(2000);
     let others: Vec<usize> = (0..100).filter(|number| *number != hub).collect();
-    let wrong = |world: &World| {
-        let wrong = others.iter().map(|number| world.load_error(*number));
-        wrong.fold(0.0, f64::max)
+    let max_error = |world: &World| {
+        let errors = others.iter().map(|number| world.load_error(*number));
+        errors.fold(0.0, f64::max)
     };
-    // What it brings itself isn't known, one in a hundred.
-    expect_that!(wrong(&world), lt(WELL));
+    // The load of the frozen hub itself, one daemon in a hundred, isn't known.
+    expect_that!(max_error(&world), lt(MAX_LOAD_ERROR));
     world.run(3000);
     for _ in 0..20 {
         world.run(50);
-        expect_that!(wrong(&world), lt(WELL));
+        expect_that!(max_error(&world), lt(MAX_LOAD_ERROR));
     }
     expect_full_knowledge(&mut world, "thawed");
 }
 
 #[gtest]
 fn a_hub_that_half_of_its_daemons_cant_reach_is_passed_over() {
-    let mut world = settled();
+    let mut world = converged();
     let hub = hubs(&world, 3)[0];
     let is_cut = move |number: usize| {
         number % 5 == hub % 5 && (number / 5).is_multiple_of(2) && number != hub
@@ -154,7 +154,7 @@
 
 #[gtest]
 fn a_hub_that_starts_again_is_heard_anew() {
-    let mut world = settled();
+    let mut world = converged();
     let hub = hubs(&world, 3)[0];
     let seeds = vec![address(0), address(1), address(2)];
     let exchange = Exchange::new(address(hub), seeds);
@@ -167,7 +167,7 @@
 #[gtest]
 fn a_data_centre_that_is_cut_off_knows_its_own_and_is_joined_again() {
     for length in [3000, 15_000] {
-        let mut world = settled();
+        let mut world = converged();
         world.delivers = Box::new(|from, to| (from % 5 == 0) == (to % 5 == 0));
         world.run(length);
         for number in 0..100 {
@@ -193,17 +193,17 @@
     let following = exchange.following(false, Millis(world.now));
     expect_that!(following.sources.len(), eq(2));
     world.run(300);
-    expect_that!(world.load_error(63), lt(WELL));
+    expect_that!(world.load_error(63), lt(MAX_LOAD_ERROR));
 }
 
 #[gtest]
 fn lost_datagrams_cost_no_knowledge() {
     let mut world = World::new(100, 5, 110);
-    let lot = std::cell::RefCell::new(Pcg32::seed_from_u64(3));
-    world.delivers = Box::new(move |_, _| lot.borrow_mut().random::<f64>() > 0.06);
+    let rng = std::cell::RefCell::new(Pcg32::seed_from_u64(3));
+    world.delivers = Box::new(move |_, _| rng.borrow_mut().random::<f64>() > 0.06);
     world.run(4000);
-    expect_that!(world.max_load_error(), lt(WELL));
-    let ages = world.propagation_times(6);
-    // Each of three ways may take a tick or two more.
-    expect_that!(part(&ages, 0.99), lt(SOON + 300));
+    expect_that!(world.max_load_error(), lt(MAX_LOAD_ERROR));
+    let times = world.propagation_times(6);
+    // Each of three hops may take a tick or two more.
+    expect_that!(quantile(&times, 0.99), lt(MAX_PROPAGATION + 300));
 }
--- a/crates/core/tests/routing/choose.rs
+++ b/crates/core/tests/routing/choose.rs
@@ -17,9 +17,9 @@
     choose(all, Some(&prefix(key)), 0.0, &near(), false, &mut rng).expect("a choice")
 }
 
-fn by_load(all: &[Candidate], trial: bool) -> Choice {
+fn by_load(all: &[Candidate], probe: bool) -> Choice {
     let mut rng = Pcg32::seed_from_u64(1);
-    choose(all, None, 0.0, &near(), trial, &mut rng).expect("a choice")
+    choose(all, None, 0.0, &near(), probe, &mut rng).expect("a choice")
 }
 
 fn position(all: &[Candidate], choice: &Choice) -> usize {
@@ -64,7 +64,7 @@
 
 #[gtest]
 fn where_all_are_over_the_bound_the_least_loaded_is_chosen() {
-    // Idle endpoints in trouble keep the mean low.
+    // Idle endpoints that are down keep the mean low.
     let mut all = candidates(10, 0.0);
     for (number, candidate) in all.iter_mut().enumerate() {
         match number < 3 {
@@ -136,12 +136,12 @@
     }
 }
 
-/// How often each of some endpoints is drawn of 3,000 times.
-fn drawn(all: &[Candidate], trial: bool) -> Vec<usize> {
+/// How often each endpoint is chosen in 3,000 draws.
+fn draw_counts(all: &[Candidate], probe: bool) -> Vec<usize> {
     let mut rng = Pcg32::seed_from_u64(1);
     let mut counts = vec![0; all.len()];
     for _ in 0..3000 {
-        let choice = choose(all, None, 0.0, &near(), trial, &mut rng).expect("a choice");
+        let choice = choose(all, None, 0.0, &near(), probe, &mut rng).expect("a choice");
         counts[position(all, &choice)] += 1;
     }
     counts
@@ -150,20 +150,20 @@
 #[gtest]
 fn requests_without_prefix_are_drawn_by_load_the_same_data_centre_first() {
     let mut all = candidates(3, 2.0);
-    let counts = drawn(&all, false);
+    let counts = draw_counts(&all, false);
     expect_that!(counts, each(all!(gt(&900), lt(&1100))));
     let mut far = (*all[0].endpoint).clone();
     far.data_centre = "far".parse().expect("a name");
     all[0].endpoint = far.into();
-    let counts = drawn(&all, false);
+    let counts = draw_counts(&all, false);
     expect_that!(counts[0], all!(gt(180), lt(290)), "1 in 13: {counts:?}");
-    // A full queue weighs more than the way.
+    // A full queue weighs more than the distance to another data centre.
     all[1].load = 30.0;
     all[2].load = 30.0;
-    let counts = drawn(&all, false);
+    let counts = draw_counts(&all, false);
     expect_that!(counts[0], gt(2000), "{counts:?}");
     all[1].load = 2.0;
-    let counts = drawn(&all, false);
+    let counts = draw_counts(&all, false);
     expect_that!(counts[1], gt(2300), "{counts:?}");
     expect_that!(counts[2], lt(150), "{counts:?}");
 }
@@ -173,13 +173,13 @@
     let mut all = candidates(3, 2.0);
     all[1].load = 0.0;
     all[1].health = HealthStatus::Trial;
-    expect_that!(drawn(&all, false)[1], eq(0));
-    expect_that!(drawn(&all, true)[1], gt(1000));
+    expect_that!(draw_counts(&all, false)[1], eq(0));
+    expect_that!(draw_counts(&all, true)[1], gt(1000));
     let mut rng = Pcg32::seed_from_u64(1);
     let choices = (0..100).filter_map(|_| choose(&all, None, 0.0, &near(), true, &mut rng));
     for choice in choices {
-        let is_tried = choice.endpoint.id.endpoint.as_str() == "e1";
-        expect_that!(choice.probe, eq(is_tried));
+        let is_probe = choice.endpoint.id.endpoint.as_str() == "e1";
+        expect_that!(choice.probe, eq(is_probe));
     }
 }
 
--- a/crates/core/tests/routing/choose_plain.rs
+++ b/crates/core/tests/routing/choose_plain.rs
@@ -1,4 +1,5 @@
-//! The choice of an endpoint against a plain one that sorts all candidates by score.
+//! Compares the choice of an endpoint with a simple reference implementation that sorts all
+//! candidates by score.
 
 use std::cmp::Reverse;
 
@@ -16,10 +17,12 @@
 
 use super::support::{candidate, endpoint, prefix};
 
+/// Age from which an endpoint is taken to hold the prefixes that it ranks first for.
 const SETTLED: Millis = Millis::from_secs(30);
+/// Endpoints at most this much younger than the oldest count as settled, too.
 const COHORT: Millis = Millis::from_secs(5);
 
-/// Where a request goes, and where its cached parts are fetched from.
+/// The chosen endpoint, and the one that cached parts of the prefix are fetched from.
 type Picked = Option<(InstanceId, Option<InstanceId>)>;
 
 fn sorted<'a>(all: impl Iterator<Item = &'a Candidate>, key: u64) -> Vec<&'a Candidate> {
@@ -42,31 +45,31 @@
     (1.5 * mean(&open)).min(1.75 * mean(&staying)) + 2.0
 }
 
-fn usable<'a>(all: &'a [Candidate], shared: &SharedPrefix, trial: bool) -> Vec<&'a Candidate> {
+fn usable<'a>(all: &'a [Candidate], shared: &SharedPrefix, probe: bool) -> Vec<&'a Candidate> {
     let open = |c: &&Candidate| {
         !c.endpoint.leaving && !c.drained && !c.tried && c.allowance != Allowance::Nothing
     };
     let open: Vec<&Candidate> = all.iter().filter(open).collect();
-    let well =
-        |c: &&Candidate| c.health == HealthStatus::Good || trial && c.health == HealthStatus::Trial;
-    let well: Vec<&Candidate> = open.iter().copied().filter(well).collect();
+    let healthy =
+        |c: &&Candidate| c.health == HealthStatus::Good || probe && c.health == HealthStatus::Trial;
+    let healthy: Vec<&Candidate> = open.iter().copied().filter(healthy).collect();
     let is_long = |prefix: &SharedPrefix| prefix.tokens.0 >= 400;
     let suits = |c: &&Candidate| c.allowance.accepts(Some(shared), is_long);
-    let suited: Vec<&Candidate> = well.iter().copied().filter(suits).collect();
+    let suited: Vec<&Candidate> = healthy.iter().copied().filter(suits).collect();
     let up = open
         .iter()
         .copied()
         .filter(|c| c.health != HealthStatus::Down);
-    let groups = [suited, well, up.collect(), open];
+    let groups = [suited, healthy, up.collect(), open];
     let group = groups.into_iter().find(|group| !group.is_empty());
     group.unwrap_or_default()
 }
 
-fn plain(
+fn reference_choice(
     all: &[Candidate],
     shared: &SharedPrefix,
     share: f64,
-    trial: bool,
+    probe: bool,
     rng: &mut Pcg32,
 ) -> Picked {
     let bound = bound(all);
@@ -76,7 +79,7 @@
         .count();
     let places = (share * ready as f64 / 0.5).ceil() as usize;
     let places = places.clamp(1, ready.max(1));
-    let ranked = sorted(usable(all, shared, trial).into_iter(), shared.key);
+    let ranked = sorted(usable(all, shared, probe).into_iter(), shared.key);
     let under = ranked.iter().copied().filter(|c| c.load <= bound);
     let open: Vec<&Candidate> = under.take(places).collect();
     let total: f64 = open.iter().map(|c| bound - c.load + 1.0).sum();
@@ -156,16 +159,16 @@
         key in 0_u64..1000,
         tokens in 0_u64..2000,
         share in prop_oneof![Just(0.0), 0.0..0.3],
-        trial: bool,
+        probe: bool,
         seed: u64,
     ) {
         let all = pool(candidates);
         let mut shared = prefix(key);
         shared.tokens.0 = tokens;
         let mut rng = Pcg32::seed_from_u64(seed);
-        let expected = plain(&all, &shared, share, trial, &mut rng.clone());
+        let expected = reference_choice(&all, &shared, share, probe, &mut rng.clone());
         let near = "near".parse().expect("a name");
-        let choice = choose(&all, Some(&shared), share, &near, trial, &mut rng);
+        let choice = choose(&all, Some(&shared), share, &near, probe, &mut rng);
         let picked = choice.map(|choice| {
             let source = choice.source.map(|source| source.id.clone());
             (choice.endpoint.id.clone(), source)
--- a/crates/core/tests/routing/config.rs
+++ b/crates/core/tests/routing/config.rs
@@ -54,11 +54,11 @@
     expect_that!(pool(0.899), some(eq("most")));
     expect_that!(pool(0.901), some(eq("few")));
     expect_that!(pool(1.0), some(eq("most")));
-    let bare = Route {
+    let no_pools = Route {
         shares: Vec::new(),
         ..at("/a/")
     };
-    expect_that!(bare.pool(0.5), none());
+    expect_that!(no_pools.pool(0.5), none());
 }
 
 #[gtest]
--- a/crates/core/tests/routing/drains.rs
+++ b/crates/core/tests/routing/drains.rs
@@ -1,4 +1,4 @@
-//! Data centres whose endpoints take no new work.
+//! Drained data centres: their endpoints get no new requests.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -14,14 +14,14 @@
 use super::support::{endpoint, id, pool, prefix, route, view};
 
 const START: Millis = Millis(60_000);
-const SPAN: Millis = Millis(3000);
+const DURATION: Millis = Millis(3000);
 
 fn data_centre(name: &str) -> DataCentreId {
     name.parse().expect("a name")
 }
 
 /// Endpoints `a` and `b` in one data centre, `c` in another.
-fn settled() -> View {
+fn three_endpoints() -> View {
     let mut view = view("near", 3);
     for (name, place) in [("a", "near"), ("b", "near"), ("c", "far")] {
         let endpoint = Endpoint {
@@ -37,44 +37,44 @@
     RetryPlan::new(&route(RetryPolicy::Always, 2), Millis(90_000))
 }
 
-/// Where requests go, with and without a shared prefix.
-fn places(view: &mut View, now: Millis) -> Vec<String> {
-    let mut places = Vec::new();
+/// Endpoints that requests with and without a shared prefix go to.
+fn destinations(view: &mut View, now: Millis) -> Vec<String> {
+    let mut destinations = Vec::new();
     for key in 0..40 {
         for shared in [Some(prefix(key)), None] {
             let choice = view.choose(&pool(), shared.as_ref(), &plan(), now);
             let id = choice.expect("a place").endpoint.id.clone();
             view.end(&id);
-            places.push(id.to_string());
+            destinations.push(id.to_string());
         }
     }
-    places.sort();
-    places.dedup();
-    places
+    destinations.sort();
+    destinations.dedup();
+    destinations
 }
 
 #[gtest]
 fn endpoints_of_a_drained_data_centre_get_nothing_until_it_is_restored() {
-    let mut view = settled();
-    expect_that!(places(&mut view, START), eq(&["a", "b", "c"]));
+    let mut view = three_endpoints();
+    expect_that!(destinations(&mut view, START), eq(&["a", "b", "c"]));
     view.drain(data_centre("near"), START);
-    expect_that!(places(&mut view, START), eq(&["c"]));
+    expect_that!(destinations(&mut view, START), eq(&["c"]));
     expect_that!(view.undrain(&data_centre("near"), START), eq(true));
-    expect_that!(places(&mut view, START), eq(&["a", "b", "c"]));
+    expect_that!(destinations(&mut view, START), eq(&["a", "b", "c"]));
     expect_that!(view.undrain(&data_centre("near"), START), eq(false));
 }
 
 #[gtest]
 fn an_endpoint_that_is_listed_later_is_drained_too() {
-    let mut view = settled();
+    let mut view = three_endpoints();
     view.drain(data_centre("near"), START);
     view.upsert(endpoint("d"), START);
-    expect_that!(places(&mut view, START), eq(&["c"]));
+    expect_that!(destinations(&mut view, START), eq(&["c"]));
 }
 
 #[gtest]
 fn a_pool_without_another_data_centre_refuses_at_once_and_has_none_to_try() {
-    let mut view = settled();
+    let mut view = three_endpoints();
     let effect = view.drain(data_centre("far"), START).expect("news");
     expect_that!(effect.endpoints, eq(1));
     expect_that!(effect.emptied, is_empty());
@@ -90,7 +90,7 @@
 
 #[gtest]
 fn what_is_left_is_weighed_against_the_work_at_hand() {
-    let mut view = settled();
+    let mut view = three_endpoints();
     let report = LoadReport {
         running: 8,
         waiting: 4,
@@ -105,7 +105,7 @@
 
 #[gtest]
 fn drained_endpoints_still_give_their_cached_parts() {
-    let mut view = settled();
+    let mut view = three_endpoints();
     let key = (0..64).find(|key| {
         let choice = view.choose(&pool(), Some(&prefix(*key)), &plan(), START);
         choice.expect("a place").endpoint.id == id("a")
@@ -122,18 +122,18 @@
 
 #[gtest]
 fn endpoints_of_a_data_centre_that_is_restored_are_taken_as_starting() {
-    let mut view = settled();
+    let mut view = three_endpoints();
     let slow = SlowStart {
         rate: Rate(8.9),
-        duration: SPAN,
+        duration: DURATION,
     };
     view.configure_slow_starts([(pool(), slow)].into());
     view.drain(data_centre("near"), START);
     view.undrain(&data_centre("near"), START);
-    // No daemon is listed, so that this one has no share.
-    expect_that!(places(&mut view, START + Millis(2900)), eq(&["c"]));
-    let warm = START + SPAN + SPAN;
-    expect_that!(places(&mut view, warm), eq(&["a", "b", "c"]));
+    // No daemon is listed, so this one has no share of the slow start's rate.
+    expect_that!(destinations(&mut view, START + Millis(2900)), eq(&["c"]));
+    let warm = START + DURATION + DURATION;
+    expect_that!(destinations(&mut view, warm), eq(&["a", "b", "c"]));
 }
 
 #[gtest]
@@ -148,7 +148,7 @@
         view.upsert(endpoint, Millis(0));
     }
     view.drain(data_centre("near"), START);
-    // Half of the requests ask for two prefixes.
+    // Half of the requests share two prefixes.
     for number in 0..600 {
         let key = if number % 2 == 0 { number % 4 } else { number };
         let choice = view.choose(&pool(), Some(&prefix(key)), &plan(), START);
--- a/crates/core/tests/routing/events.rs
+++ b/crates/core/tests/routing/events.rs
@@ -8,8 +8,8 @@
 #[gtest]
 fn whole_events_are_handed_on_and_an_unfinished_one_is_held() {
     let mut splitter = EventSplitter::new(None);
-    let whole = splitter.push(&Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
-    expect_that!(whole, eq(&Bytes::from_static(b"id: 1\ndata: a\n\n")));
+    let complete = splitter.push(&Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
+    expect_that!(complete, eq(&Bytes::from_static(b"id: 1\ndata: a\n\n")));
     expect_that!(splitter.last_id(), some(eq(1)));
     expect_that!(splitter.has_partial(), eq(true));
     splitter.discard_partial();
@@ -34,9 +34,9 @@
         let mut got = Vec::new();
         let mut from = 0;
         for to in cuts {
-            let whole = splitter.push(&Bytes::copy_from_slice(&STREAM[from..to]));
-            prop_assert!(whole.is_empty() || whole.ends_with(b"\n"));
-            got.extend_from_slice(&whole);
+            let complete = splitter.push(&Bytes::copy_from_slice(&STREAM[from..to]));
+            prop_assert!(complete.is_empty() || complete.ends_with(b"\n"));
+            got.extend_from_slice(&complete);
             from = to;
         }
         prop_assert_eq!(got.as_slice(), STREAM);
--- a/crates/core/tests/routing/evidence.rs
+++ b/crates/core/tests/routing/evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence against requests, told between daemons in model time: how soon all know it, whatever
-//! happens to datagrams, hubs and daemons, and in how many bytes.
+//! Simulates the exchange of quarantine evidence between daemons: how soon all daemons have it
+//! despite lost datagrams, hubs and daemons, and how many bytes that takes.
 
 use googletest::prelude::*;
 use medlarrill_core::clock::Millis;
@@ -8,18 +8,19 @@
 use super::world::World;
 
 const CRASHING: Fingerprint = Fingerprint(0xc0ffee);
-/// Longest time until all daemons know while all is well.
-const SOON: u64 = 1000;
-/// Users allow three to five seconds, by size; beside faults all know in that.
-const IN_TIME: u64 = 3000;
+/// Bound of the time until all daemons have the evidence without faults, in milliseconds.
+const MAX_PROPAGATION: u64 = 1000;
+/// Bound of that time with faults, in milliseconds; users allow three to five seconds, depending on
+/// the fleet's size.
+const MAX_WITH_FAULTS: u64 = 3000;
 
-fn settled(daemons: usize, centres: usize) -> World {
-    let mut world = World::new(daemons, centres, 100);
+fn converged(daemons: usize, data_centres: usize) -> World {
+    let mut world = World::new(daemons, data_centres, 100);
     world.run(3000);
     world
 }
 
-/// Loses an endpoint with a request at each of three daemons.
+/// Records the loss of an endpoint that ran the request at each of three daemons.
 fn lose_three(world: &mut World, daemons: [usize; 3]) {
     for (endpoint, number) in daemons.into_iter().enumerate() {
         let now = Millis(world.now);
@@ -28,7 +29,7 @@
     }
 }
 
-/// Daemons that would still send the request.
+/// Live daemons that don't quarantine the request yet.
 fn unaware(world: &World) -> Vec<usize> {
     let now = Millis(world.now);
     let is_unaware = |number: &usize| {
@@ -40,17 +41,17 @@
 
 #[gtest]
 fn all_daemons_know_within_a_second_at_any_size() {
-    for (daemons, centres) in [(3, 1), (9, 4), (30, 5), (100, 5), (295, 5)] {
-        let mut world = settled(daemons, centres);
+    for (daemons, data_centres) in [(3, 1), (9, 4), (30, 5), (100, 5), (295, 5)] {
+        let mut world = converged(daemons, data_centres);
         lose_three(&mut world, [0, daemons / 2, daemons - 1]);
-        world.run(SOON);
+        world.run(MAX_PROPAGATION);
         expect_that!(unaware(&world), is_empty(), "{daemons}");
     }
 }
 
 #[gtest]
 fn a_third_of_all_datagrams_may_be_lost() {
-    let mut world = settled(100, 5);
+    let mut world = converged(100, 5);
     let count = std::cell::Cell::new(0u32);
     world.delivers = Box::new(move |_, _| {
         count.set(
@@ -62,14 +63,14 @@
         count.get() >> 16 > 0xffff / 3
     });
     lose_three(&mut world, [0, 41, 99]);
-    world.run(IN_TIME);
+    world.run(MAX_WITH_FAULTS);
     expect_that!(unaware(&world), is_empty());
 }
 
 #[gtest]
 fn daemons_that_start_know_within_a_second() {
     for daemons in [9, 100] {
-        let mut world = settled(daemons, 3);
+        let mut world = converged(daemons, 3);
         world.lost = vec![3, 4, 5];
         world.run(3000);
         lose_three(&mut world, [0, 1, 7]);
@@ -77,76 +78,76 @@
         for number in [3, 4, 5] {
             world.restart(number);
         }
-        world.run(SOON);
+        world.run(MAX_PROPAGATION);
         expect_that!(unaware(&world), is_empty(), "{daemons}");
     }
 }
 
 #[gtest]
 fn it_outlives_those_who_found_it_and_their_hubs() {
-    let mut world = settled(60, 3);
+    let mut world = converged(60, 3);
     lose_three(&mut world, [6, 7, 8]);
-    world.run(SOON);
+    world.run(MAX_PROPAGATION);
     let now = Millis(world.now);
     let hubs = |number: usize| world.daemons[number].exchange.hubs(now);
-    let mut gone = vec![6, 7, 8];
+    let mut down = vec![6, 7, 8];
     for number in 0..3 {
         let found = hubs(number).into_iter();
-        gone.extend(found.map(|hub| usize::from(hub.port()) - 1));
+        down.extend(found.map(|hub| usize::from(hub.port()) - 1));
     }
-    world.lost.clone_from(&gone);
+    world.lost.clone_from(&down);
     world.run(4000);
-    for number in gone {
+    for number in down {
         world.restart(number);
     }
-    world.run(IN_TIME);
+    world.run(MAX_WITH_FAULTS);
     expect_that!(unaware(&world), is_empty());
 }
 
 #[gtest]
 fn parts_that_lost_each_other_agree_once_they_meet() {
-    let mut world = settled(60, 3);
+    let mut world = converged(60, 3);
     world.delivers = Box::new(|from, to| from % 3 == to % 3);
     world.run(3000);
     lose_three(&mut world, [0, 3, 6]);
-    world.run(IN_TIME);
+    world.run(MAX_WITH_FAULTS);
     let apart: Vec<usize> = (0..60).filter(|number| number % 3 != 0).collect();
     expect_that!(unaware(&world), eq(&apart));
     world.delivers = Box::new(|_, _| true);
-    world.run(IN_TIME);
+    world.run(MAX_WITH_FAULTS);
     expect_that!(unaware(&world), is_empty());
 }
 
 #[gtest]
 fn three_parts_that_found_one_loss_each_put_them_together() {
-    let mut world = settled(60, 3);
+    let mut world = converged(60, 3);
     world.delivers = Box::new(|from, to| from % 3 == to % 3);
     world.run(3000);
     lose_three(&mut world, [0, 1, 2]);
-    world.run(IN_TIME);
+    world.run(MAX_WITH_FAULTS);
     expect_that!(unaware(&world).len(), eq(60));
     world.delivers = Box::new(|_, _| true);
-    world.run(IN_TIME);
+    world.run(MAX_WITH_FAULTS);
     expect_that!(unaware(&world), is_empty());
 }
 
-/// Kilobytes a second that daemons send in the mean, and that the busiest one does.
-fn sent(world: &mut World) -> (f64, f64) {
+/// Kilobytes per second that daemons send: the mean, and that of the busiest one.
+fn send_rates(world: &mut World) -> (f64, f64) {
     world.count_bytes();
     world.run(5000);
-    let sent = world
+    let rates = world
         .daemons
         .iter()
         .map(|daemon| daemon.sent as f64 / 5000.0);
-    let all: Vec<f64> = sent.collect();
+    let all: Vec<f64> = rates.collect();
     let mean = all.iter().sum::<f64>() / all.len() as f64;
     (mean, all.into_iter().fold(0.0, f64::max))
 }
 
 #[gtest]
 fn evidence_that_all_know_costs_next_to_nothing() {
-    let mut world = settled(100, 5);
-    let (mean, most) = sent(&mut world);
+    let mut world = converged(100, 5);
+    let (mean, most) = send_rates(&mut world);
     for number in 0..100 {
         let now = Millis(world.now);
         let quarantine = &mut world.daemons[number].quarantine;
@@ -155,8 +156,8 @@
         }
     }
     world.run(4000);
-    let (mean_after, most_after) = sent(&mut world);
-    // A digest in each message.
+    let (mean_after, most_after) = send_rates(&mut world);
+    // Each message carries a digest.
     expect_that!(mean_after - mean, lt(0.6));
     expect_that!(most_after - most, lt(6.0));
 }
--- a/crates/core/tests/routing/exchange.rs
+++ b/crates/core/tests/routing/exchange.rs
@@ -25,25 +25,26 @@
     }
 }
 
-/// Daemons that tick together; datagrams between all but the lost ones arrive at once.
+/// Daemons that tick together; datagrams arrive without delay, except to lost daemons.
 struct Fleet {
     daemons: Vec<Exchange>,
-    heard: Vec<HashMap<u32, PeerCounts>>,
-    /// Failed attempts that each has heard of.
+    /// Counts of the others by endpoint, as each daemon last received them.
+    peers: Vec<HashMap<u32, PeerCounts>>,
+    /// Failed attempts of others that each daemon was sent.
     bad: Vec<u32>,
-    /// Hot prefixes that each has heard of.
+    /// Shares of hot prefixes, as each daemon last received them.
     hot: Vec<HashMap<u32, f64>>,
     lost: Vec<usize>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Self {
-        // Their summaries are the last in each round.
+        // The summaries of the last two are the last in each round.
         let seeds = [count - 1, count - 2].map(|number| address(number as u16));
         let daemon = |number| Exchange::new(address(number as u16), seeds.to_vec());
         Self {
             daemons: (0..count).map(daemon).collect(),
-            heard: vec![HashMap::new(); count],
+            peers: vec![HashMap::new(); count],
             bad: vec![0; count],
             hot: vec![HashMap::new(); count],
             lost: Vec::new(),
@@ -57,9 +58,9 @@
                 continue;
             }
             if self.daemons[number].has_reports() {
-                let gathered = self.daemons[number].hub_update(now);
-                if let Some(heard) = gathered {
-                    self.hear(number, heard);
+                let update = self.daemons[number].hub_update(now);
+                if let Some(update) = update {
+                    self.apply_update(number, update);
                 }
             }
             let out = self.daemons[number].tick(reports(number), now);
@@ -72,19 +73,19 @@
             }
             let bytes = message.encode();
             let message = Message::decode(&bytes).expect("a datagram").expect("known");
-            if let Some(heard) = self.daemons[to].receive(address(from as u16), message, now) {
-                self.hear(to, heard);
+            if let Some(update) = self.daemons[to].receive(address(from as u16), message, now) {
+                self.apply_update(to, update);
             }
-            let answers = self.daemons[to].replies(now).into_iter();
-            sent.extend(answers.map(|(back, message)| (to, back, message)));
+            let replies = self.daemons[to].replies(now).into_iter();
+            sent.extend(replies.map(|(back, message)| (to, back, message)));
         }
     }
 
-    fn hear(&mut self, number: usize, heard: PeerUpdate) {
-        let bad = heard.endpoints.values().map(|others| others.bad);
+    fn apply_update(&mut self, number: usize, update: PeerUpdate) {
+        let bad = update.endpoints.values().map(|others| others.bad);
         self.bad[number] += bad.sum::<u32>();
-        self.hot[number] = heard.hot;
-        self.heard[number] = heard.endpoints;
+        self.hot[number] = update.hot;
+        self.peers[number] = update.endpoints;
     }
 
     fn run(&mut self, rounds: u64, from: u64, reports: impl Fn(usize) -> Report) -> u64 {
@@ -100,7 +101,7 @@
     let mut fleet = Fleet::new(30);
     let now = fleet.run(30, 0, |_| report(7, 2, 0, 0));
     for number in 0..30 {
-        let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
+        let others = fleet.peers[number].get(&7).copied().unwrap_or_default();
         expect_that!(others.in_flight, eq(58), "daemon {number}");
         expect_that!(fleet.daemons[number].live_count(Millis(now)), eq(30));
     }
@@ -109,7 +110,7 @@
 #[gtest]
 fn summaries_of_a_few_daemons_never_hide_what_the_rest_have() {
     let mut fleet = Fleet::new(30);
-    // They start one after the other, so that they ask seeds one after the other, too.
+    // Daemons start one after the other, and so contact the seeds one after the other.
     let mut now = 0;
     for started in 1..=30 {
         fleet.lost = (started..30).collect();
@@ -119,7 +120,7 @@
     for round in 0..40 {
         fleet.round(|_| report(7, 2, 0, 0), Millis(now + round * 100));
         for number in 0..30 {
-            let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
+            let others = fleet.peers[number].get(&7).copied().unwrap_or_default();
             expect_that!(others.in_flight, eq(58), "round {round}, daemon {number}");
         }
     }
@@ -127,7 +128,7 @@
 
 #[gtest]
 fn requests_of_daemons_that_stand_still_count_at_their_endpoints_for_a_while() {
-    // Endpoints go on with them, or hold what they can't send.
+    // Endpoints still run the requests of a stalled daemon, or hold responses they can't send.
     let mut fleet = Fleet::new(30);
     let now = fleet.run(30, 0, |_| report(7, 2, 0, 0));
     let hubs = fleet.daemons[5].hubs(Millis(now));
@@ -135,8 +136,8 @@
     fleet.lost = others.take(6).collect();
     fleet.run(15, now, |_| report(7, 2, 0, 0));
     for number in (0..30).filter(|number| !fleet.lost.contains(number)) {
-        let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
-        // Half of the twelve requests of those that stand still, at least.
+        let others = fleet.peers[number].get(&7).copied().unwrap_or_default();
+        // At least half of the twelve requests of the stalled daemons.
         expect_that!(others.in_flight, ge(46 + 6), "daemon {number}");
     }
 }
@@ -156,7 +157,7 @@
     for number in (0..20).filter(|number| !lost.contains(number)) {
         let live = fleet.daemons[number].live_count(Millis(now));
         expect_that!(live, eq(18), "daemon {number}");
-        let others = fleet.heard[number].get(&7).copied().unwrap_or_default();
+        let others = fleet.peers[number].get(&7).copied().unwrap_or_default();
         expect_that!(others.in_flight, eq(17), "daemon {number}");
     }
 }
@@ -165,11 +166,11 @@
 fn each_outcome_is_heard_once() {
     let mut fleet = Fleet::new(12);
     let now = fleet.run(30, 0, |_| Report::default());
-    let told = |number: usize| match number {
+    let outcomes = |number: usize| match number {
         3 => report(9, 0, 1, 4),
         _ => Report::default(),
     };
-    fleet.round(told, Millis(now));
+    fleet.round(outcomes, Millis(now));
     fleet.run(6, now + 100, |_| Report::default());
     for number in (0..12).filter(|number| *number != 3) {
         expect_that!(fleet.bad[number], eq(4), "daemon {number}");
@@ -257,7 +258,7 @@
     let now = fleet.run(20, 0, lost);
     let mut watchers = fleet.daemons[2].watchers(true, Millis(now));
     watchers.sort();
-    // Each asks for itself all the same.
+    // Daemon 2 still follows the platform itself.
     let expected = [2, 6, 7, 8].map(address);
     expect_that!(watchers, eq(&expected.to_vec()));
     let now = fleet.run(20, now, |_| Report {
@@ -280,8 +281,8 @@
         };
         hub.receive(address(number), Message::Report(report), now);
     }
-    let told = hub.tick(Report::default(), now);
-    let summary = told.iter().find_map(|(_, message)| match message {
+    let sent = hub.tick(Report::default(), now);
+    let summary = sent.iter().find_map(|(_, message)| match message {
         Message::Summary(summary) => Some(summary),
         _ => None,
     });
@@ -322,7 +323,7 @@
     let mut fleet = Fleet::new(40);
     let strong = [3, 17, 31];
     for number in strong {
-        // They are told of other daemons than the rest.
+        // Their seeds differ from those of the rest.
         let seeds = vec![address(0), address(1)];
         let daemon = Exchange::new(address(number), seeds);
         let link = LinkRate(200.0);
--- a/crates/core/tests/routing/support.rs
+++ b/crates/core/tests/routing/support.rs
@@ -1,4 +1,4 @@
-//! Endpoints, candidates and routes for these tests.
+//! Shared helpers of the routing tests: endpoints, candidates, routes and simulated daemons.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,12 +19,12 @@
 use medlarrill_core::routing::view::View;
 use medlarrill_core::units::Tokens;
 
-/// An endpoint that doesn't say when it started.
+/// An instance without a start time.
 pub fn id(name: &str) -> InstanceId {
     InstanceId::new(name.parse().expect("a name"), None)
 }
 
-/// An endpoint that started at a time.
+/// An instance with a start time.
 pub fn started_at(name: &str, at: u64) -> InstanceId {
     InstanceId::new(name.parse().expect("a name"), Some(StartTime(at)))
 }
@@ -66,12 +66,12 @@
 
 pub fn prefix(key: u64) -> SharedPrefix {
     SharedPrefix {
-        key: xxh(key),
+        key: hash_key(key),
         tokens: Tokens(10_000),
     }
 }
 
-/// Slow starts as a daemon sees them that shares them with others.
+/// A daemon's slow starts, with the fleet among which their rates are shared.
 pub struct FleetSlowStarts {
     fleet: Fleet,
     starts: SlowStarts,
@@ -85,8 +85,8 @@
         }
     }
 
-    pub fn set_daemons(&mut self, me: SocketAddr, part: &str, daemons: Vec<SocketAddr>) {
-        self.fleet.set_listed(me, part, daemons);
+    pub fn set_daemons(&mut self, me: SocketAddr, data_centre: &str, daemons: Vec<SocketAddr>) {
+        self.fleet.set_listed(me, data_centre, daemons);
         self.starts.clear_shares();
     }
 
@@ -109,15 +109,15 @@
     }
 }
 
-/// A daemon in a data centre that knows nothing yet.
+/// The empty view of a daemon in data centre `near` that started at 0.
 pub fn view(near: &str, seed: u64) -> View {
-    let repeats = budget::Settings {
+    let retry_budget = budget::Settings {
         ratio: 0.2,
         window: Millis(10_000),
         slack: 50.0,
     };
     let near = near.parse().expect("a name");
-    View::new(near, repeats, seed, Millis(0))
+    View::new(near, retry_budget, seed, Millis(0))
 }
 
 pub fn route(retry: RetryPolicy, attempts: u32) -> Route {
@@ -141,20 +141,21 @@
     }
 }
 
-/// Spreads small numbers over all keys.
-fn xxh(key: u64) -> u64 {
+/// Hashes small numbers to keys over the full range.
+fn hash_key(key: u64) -> u64 {
     medlarrill_core::placement::key_of(&key.to_string())
 }
 
-/// Daemons that report at their own ticks; a hub tells each the sum of what the others have.
+/// A hub that collects the reports of daemons, each at its own ticks, and sends each daemon
+/// the sum of the other daemons' counts.
 pub struct SimulatedHub {
     tick: u64,
     reports: Vec<Report>,
 }
 
 impl SimulatedHub {
-    /// Nothing was reported yet; `tick` is the time between two reports of a daemon, and between
-    /// two summaries of the hub.
+    /// Starts without reports; `tick` is the interval in milliseconds of each daemon's reports and
+    /// of the hub's summaries.
     pub fn new(tick: u64) -> Self {
         Self {
             tick,
@@ -187,20 +188,20 @@
         }
         let count = daemons.len();
         for (number, daemon) in daemons.iter_mut().enumerate() {
-            let mut heard = sums.clone();
+            let mut others = sums.clone();
             for own in &self.reports[number].entries {
-                let sum = heard.entry(own.endpoint).or_default();
+                let sum = others.entry(own.endpoint).or_default();
                 sum.in_flight -= own.in_flight;
                 sum.good -= own.good;
                 sum.bad -= own.bad;
             }
-            let heard = PeerUpdate {
-                endpoints: heard,
+            let update = PeerUpdate {
+                endpoints: others,
                 ..PeerUpdate::default()
             };
-            daemon.update_peers(heard, count, Millis(now));
+            daemon.update_peers(update, count, Millis(now));
         }
-        // Outcomes are told once.
+        // Each outcome is announced only once.
         for entry in self.reports.iter_mut().flat_map(|r| &mut r.entries) {
             entry.good = 0;
             entry.bad = 0;
--- a/crates/core/tests/routing/world.rs
+++ b/crates/core/tests/routing/world.rs
@@ -1,7 +1,8 @@
-//! A fleet over some data centres in model time, its daemons telling each other what they have.
+//! Simulation of a fleet in several data centres whose daemons exchange load reports and
+//! quarantine evidence.
 //!
-//! Daemons tick at their own times; datagrams take a millisecond, and one more between data
-//! centres.
+//! Simulated time advances in steps of a millisecond. Each daemon ticks at its own offset; a
+//! datagram takes a millisecond, and one more between data centres.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -14,11 +15,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Requests begun or ended by one daemon in a second.
-const CHANGES: f64 = 11.0;
-/// Requests that one daemon has in flight.
-const FLIGHTS: usize = 7;
-/// An endpoint that no daemon uses but for a probe.
+/// Requests that one daemon starts per second; each replaces an older one once `MAX_IN_FLIGHT`
+/// are in flight.
+const STARTS_PER_SECOND: f64 = 11.0;
+/// Most requests that one daemon has in flight.
+const MAX_IN_FLIGHT: usize = 7;
+/// The first of the endpoints that only probe requests use.
 const PROBE: u32 = 1 << 20;
 
 pub struct Daemon {
@@ -26,32 +28,32 @@
     pub quarantine: Quarantine,
     pub data_centre: usize,
     pub due: u64,
-    flights: Vec<u32>,
-    /// Outcomes since the last report, at the probed endpoint.
+    in_flight: Vec<u32>,
+    /// Failed attempts at the endpoint `PROBE` since the last report.
     pub failures: u32,
-    heard: PeerUpdate,
-    /// Failed attempts heard of.
+    peers: PeerUpdate,
+    /// Failed attempts that other daemons reported.
     pub peer_failures: u32,
-    /// When it wakes, where it is frozen; its clock stands still till then.
+    /// When a frozen daemon resumes, in milliseconds; its clock stands still until then.
     pub frozen: Option<u64>,
-    /// For how long it was frozen.
+    /// How far its clock lags behind for having been frozen, in milliseconds.
     pub clock_lag: u64,
     pub sent: usize,
     pub received: usize,
 }
 
-/// A fleet over some data centres.
+/// The simulated fleet and its network.
 pub struct World {
     pub daemons: Vec<Daemon>,
     data_centres: usize,
     endpoints: u32,
     pub now: u64,
-    mail: BTreeMap<u64, Vec<(usize, usize, Vec<u8>)>>,
-    /// Daemons that are gone.
+    in_transit: BTreeMap<u64, Vec<(usize, usize, Vec<u8>)>>,
+    /// Daemons that are down.
     pub lost: Vec<usize>,
-    /// Whether datagrams pass.
+    /// Whether a datagram from one daemon reaches another.
     pub delivers: Box<dyn Fn(usize, usize) -> bool>,
-    /// Bytes between data centres.
+    /// Bytes sent between data centres.
     pub remote_bytes: usize,
     rng: Pcg32,
 }
@@ -72,7 +74,7 @@
             data_centres,
             endpoints,
             now: 1000,
-            mail: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             lost: Vec::new(),
             delivers: Box::new(|_, _| true),
             remote_bytes: 0,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Starts a lost daemon again, which knows nothing of before.
+    /// Restarts a lost daemon with empty state.
     pub fn restart(&mut self, number: usize) {
         self.lost.retain(|lost| *lost != number);
         let started = Daemon::new(number, self.data_centres, self.now);
@@ -91,11 +93,11 @@
         };
     }
 
-    pub fn run(&mut self, length: u64) {
-        for _ in 0..length {
+    pub fn run(&mut self, duration: u64) {
+        for _ in 0..duration {
             self.now += 1;
             self.deliver();
-            self.change();
+            self.start_requests();
             for number in 0..self.daemons.len() {
                 if !self.lost.contains(&number) {
                     self.step(number);
@@ -104,51 +106,51 @@
         }
     }
 
-    fn change(&mut self) {
-        let per_ms = CHANGES * self.daemons.len() as f64 / 1000.0;
-        let whole = per_ms.floor() + f64::from(u8::from(self.rng.random::<f64>() < per_ms.fract()));
-        for _ in 0..whole as usize {
+    fn start_requests(&mut self) {
+        let per_ms = STARTS_PER_SECOND * self.daemons.len() as f64 / 1000.0;
+        let count = per_ms.floor() + f64::from(u8::from(self.rng.random::<f64>() < per_ms.fract()));
+        for _ in 0..count as usize {
             let number = self.rng.random_range(0..self.daemons.len());
             let endpoint = self.rng.random_range(0..self.endpoints);
-            let flights = &mut self.daemons[number].flights;
-            if flights.len() >= FLIGHTS {
-                flights.remove(0);
+            let in_flight = &mut self.daemons[number].in_flight;
+            if in_flight.len() >= MAX_IN_FLIGHT {
+                in_flight.remove(0);
             }
-            flights.push(endpoint);
+            in_flight.push(endpoint);
         }
     }
 
     fn deliver(&mut self) {
-        for (from, to, bytes) in self.mail.remove(&self.now).unwrap_or_default() {
+        for (from, to, bytes) in self.in_transit.remove(&self.now).unwrap_or_default() {
             let now = Millis(self.now - self.daemons[to].clock_lag);
             let daemon = &mut self.daemons[to];
             if self.lost.contains(&to) {
                 continue;
             }
-            if let Some(wakes) = daemon.frozen {
-                // Waits in the socket.
-                self.mail
-                    .entry(wakes.max(self.now + 1))
+            if let Some(resumes) = daemon.frozen {
+                // The datagram waits in the socket's buffer.
+                self.in_transit
+                    .entry(resumes.max(self.now + 1))
                     .or_default()
                     .push((from, to, bytes));
                 continue;
             }
             daemon.received += bytes.len();
             let message = Message::decode(&bytes).expect("a datagram").expect("known");
-            if let Some(heard) = daemon.exchange.receive(address(from), message, now) {
-                daemon.hear(heard);
+            if let Some(update) = daemon.exchange.receive(address(from), message, now) {
+                daemon.apply_update(update);
             }
-            let learnt = daemon.exchange.take_evidence();
-            daemon.quarantine.merge(&learnt, now);
-            let answers = daemon.exchange.replies(now);
-            self.send(to, answers);
+            let evidence = daemon.exchange.take_evidence();
+            daemon.quarantine.merge(&evidence, now);
+            let replies = daemon.exchange.replies(now);
+            self.send(to, replies);
         }
     }
 
     fn step(&mut self, number: usize) {
         let daemon = &mut self.daemons[number];
-        if let Some(wakes) = daemon.frozen {
-            if wakes > self.now {
+        if let Some(resumes) = daemon.frozen {
+            if resumes > self.now {
                 daemon.clock_lag += 1;
                 return;
             }
@@ -159,9 +161,9 @@
         }
         let now = Millis(self.now - daemon.clock_lag);
         if daemon.exchange.has_reports()
-            && let Some(heard) = daemon.exchange.hub_update(now)
+            && let Some(update) = daemon.exchange.hub_update(now)
         {
-            daemon.hear(heard);
+            daemon.apply_update(update);
         }
         let report = daemon.report();
         daemon
@@ -183,7 +185,10 @@
             }
             if (self.delivers)(number, to) && !self.lost.contains(&to) {
                 let at = self.now + 1 + u64::from(is_far);
-                self.mail.entry(at).or_default().push((number, to, bytes));
+                self.in_transit
+                    .entry(at)
+                    .or_default()
+                    .push((number, to, bytes));
             }
         }
     }
@@ -192,16 +197,17 @@
         (0..self.daemons.len()).filter(|number| !self.lost.contains(number))
     }
 
-    /// Share of what the others have at all endpoints that a daemon has wrong.
+    /// Error of a daemon's view of the other daemons' requests in flight: the sum of its absolute
+    /// differences over all endpoints, relative to their total.
     pub fn load_error(&self, number: usize) -> f64 {
         let known = |endpoint: u32| {
-            let others = self.daemons[number].heard.endpoints.get(&endpoint);
+            let others = self.daemons[number].peers.endpoints.get(&endpoint);
             others.map_or(0, |others| others.in_flight)
         };
         let mut counts: HashMap<u32, u32> = HashMap::new();
         for other in self.live().filter(|other| *other != number) {
-            for flight in &self.daemons[other].flights {
-                *counts.entry(*flight).or_default() += 1;
+            for endpoint_id in &self.daemons[other].in_flight {
+                *counts.entry(*endpoint_id).or_default() += 1;
             }
         }
         let all: u32 = counts.values().sum();
@@ -213,14 +219,15 @@
         f64::from(off) / f64::from(all.max(1))
     }
 
-    /// The largest share that any daemon has wrong.
+    /// The largest load error of any daemon.
     pub fn max_load_error(&self) -> f64 {
         self.live()
             .map(|number| self.load_error(number))
             .fold(0.0, f64::max)
     }
 
-    /// Times until daemons know of a request, over some requests.
+    /// Sorted times in milliseconds until each other daemon knows of a request, over `probes`
+    /// requests; 3000 where it doesn't know by then.
     pub fn propagation_times(&mut self, probes: u32) -> Vec<u64> {
         let mut ages = Vec::new();
         for probe in 0..probes {
@@ -231,14 +238,14 @@
             let start = self.now;
             let mut waiting: Vec<usize> = self.live().filter(|n| *n != origin).collect();
             while !waiting.is_empty() && self.now < start + 3000 {
-                // It stays among the requests in flight, however many begin after it.
-                let flights = &mut self.daemons[origin].flights;
-                flights.retain(|flight| *flight != endpoint);
-                flights.push(endpoint);
+                // Keeps the probe in flight, however many requests start after it.
+                let in_flight = &mut self.daemons[origin].in_flight;
+                in_flight.retain(|endpoint_id| *endpoint_id != endpoint);
+                in_flight.push(endpoint);
                 self.run(1);
                 let age = self.now - start;
                 waiting.retain(|number| {
-                    let others = self.daemons[*number].heard.endpoints.get(&endpoint);
+                    let others = self.daemons[*number].peers.endpoints.get(&endpoint);
                     let knows = others.is_some_and(|others| others.in_flight > 0);
                     if knows {
                         ages.push(age);
@@ -248,8 +255,8 @@
             }
             ages.extend(waiting.iter().map(|_| 3000));
             self.daemons[origin]
-                .flights
-                .retain(|flight| *flight != endpoint);
+                .in_flight
+                .retain(|endpoint_id| *endpoint_id != endpoint);
         }
         ages.sort_unstable();
         ages
@@ -275,9 +282,9 @@
             quarantine: Quarantine::default(),
             data_centre,
             due,
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             failures: 0,
-            heard: PeerUpdate::default(),
+            peers: PeerUpdate::default(),
             peer_failures: 0,
             frozen: None,
             clock_lag: 0,
@@ -288,8 +295,8 @@
 
     fn report(&mut self) -> Report {
         let mut counts: BTreeMap<u32, u32> = BTreeMap::new();
-        for flight in &self.flights {
-            *counts.entry(*flight).or_default() += 1;
+        for endpoint_id in &self.in_flight {
+            *counts.entry(*endpoint_id).or_default() += 1;
         }
         let entry = |(endpoint, in_flight)| ReportEntry {
             endpoint,
@@ -313,12 +320,12 @@
         }
     }
 
-    fn hear(&mut self, heard: PeerUpdate) {
-        self.peer_failures += heard
+    fn apply_update(&mut self, update: PeerUpdate) {
+        self.peer_failures += update
             .endpoints
             .values()
             .map(|others| others.bad)
             .sum::<u32>();
-        self.heard = heard;
+        self.peers = update;
     }
 }
