--- a/crates/core/tests/routing/plain.rs
+++ b/crates/core/tests/routing/plain.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::support::{Told, endpoint, pool, route, view};
+use super::support::{SimulatedHub, endpoint, pool, route, view};
 
 const DAEMONS: usize = 60;
 const DATA_CENTRES: [&str; 3] = ["dc-a", "dc-b", "dc-c"];
@@ -69,7 +69,7 @@
     rng: Pcg32,
     servers: Vec<Server>,
     daemons: Vec<View>,
-    told: Told,
+    hub: SimulatedHub,
     got: Results,
     requests: f64,
     /// Requests sent and answered in time, by caller.
@@ -119,7 +119,7 @@
             rng: Pcg32::seed_from_u64(5),
             servers: run_times.iter().enumerate().map(server).collect(),
             daemons: (0..DAEMONS).map(daemon).collect(),
-            told: Told::new(TICK),
+            hub: SimulatedHub::new(TICK),
             got: Results::default(),
             requests: 0.0,
             by_caller: HashMap::new(),
@@ -250,7 +250,7 @@
     fn run(&mut self, per_second: f64) {
         for now in 0..DURATION {
             (0..self.servers.len()).for_each(|at| self.step_server(at, now));
-            self.told.tell(&mut self.daemons, now);
+            self.hub.exchange_reports(&mut self.daemons, now);
             self.send_due(now);
             if self.rng.random::<f64>() < per_second / 1000.0 {
                 self.arrive(now);
--- a/crates/core/tests/routing/prompts.rs
+++ b/crates/core/tests/routing/prompts.rs
@@ -18,7 +18,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::support::{Told, endpoint, pool, prefix, route, view};
+use super::support::{SimulatedHub, endpoint, pool, prefix, route, view};
 
 const DAEMONS: usize = 60;
 const ENGINES: usize = 60;
@@ -130,7 +130,7 @@
     rng: Pcg32,
     engines: Vec<Engine>,
     daemons: Vec<View>,
-    told: Told,
+    hub: SimulatedHub,
     /// Requests, and those of them in time, of the cold period and of the time after it.
     counts: [(f64, f64); 2],
     /// Requests whose engine had to read their shared prefix.
@@ -159,7 +159,7 @@
             rng: Pcg32::seed_from_u64(3),
             engines: (0..ENGINES).map(engine).collect(),
             daemons: (0..DAEMONS).map(daemon).collect(),
-            told: Told::new(TICK),
+            hub: SimulatedHub::new(TICK),
             counts: [(0.0, 0.0); 2],
             readings: 0.0,
             prefixes: HashSet::new(),
@@ -221,7 +221,7 @@
     fn simulate(mut self, scale: f64) -> Results {
         for now in 0..DURATION {
             (0..ENGINES).for_each(|at| self.step_engine(at, now));
-            self.told.tell(&mut self.daemons, now);
+            self.hub.exchange_reports(&mut self.daemons, now);
             let mut first = 0;
             for kind in KINDS {
                 let per_ms = scale * kind.rate * ENGINES as f64 / 1000.0;
