--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -127,8 +127,8 @@
 /// Picks an endpoint for a request; none if no candidate is usable.
 ///
 /// `share` is the prefix's share of the pool's traffic if it is known to be large, otherwise 0.
-/// `local` is this daemon's data centre. `may_probe` tells whether the request may be sent to an
-/// avoided endpoint as a probe.
+/// `local` is this daemon's data centre. With `may_probe`, the request may be sent to an avoided
+/// endpoint as a probe.
 pub fn choose(
     candidates: &[Candidate],
     shared: Option<&SharedPrefix>,
@@ -286,8 +286,8 @@
         !is_on(Mechanism::Settled) || c.age >= SETTLE_TIME || oldest.since(c.age) <= JOIN_WINDOW
     };
     let reachable = |c: &Candidate| c.health != HealthStatus::Down;
-    let holders = all.iter().copied();
-    first(holders.filter(|r| reachable(r.candidate) && settled(r.candidate)))
+    let ranked = all.iter().copied();
+    first(ranked.filter(|r| reachable(r.candidate) && settled(r.candidate)))
 }
 
 /// Picks an endpoint for a request without a shared prefix, at random with higher weights for lower
--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -260,9 +260,10 @@
 
     /// The daemons that follow the platform for all; in a small fleet each daemon does.
     ///
-    /// Daemons that have lost the platform aren't chosen, unless all have. A daemon that the
-    /// platform refused at its start has no copy that could be followed: when six of nine were
-    /// refused, following such daemons took 0.3 s of the 1.0 s until their first configuration.
+    /// Daemons that have lost their connection to the platform aren't chosen, unless all have. A
+    /// daemon that the platform refused at its start has no copy that could be followed: when six
+    /// of nine were refused, following such daemons took 0.3 s of the 1.0 s until their first
+    /// configuration.
     pub fn watchers(&self, cut_off: bool, now: Millis) -> Vec<SocketAddr> {
         let members = &self.members;
         let own = (members.me, members.ranks);
--- a/crates/core/src/routing/exchange/hub.rs
+++ b/crates/core/src/routing/exchange/hub.rs
@@ -215,6 +215,6 @@
 
 /// Adds moved prefixes, up to the limit for one message.
 fn add_moves(known: &mut BTreeSet<PrefixMove>, moved: &[PrefixMove]) {
-    let room = MOVES_MAX.saturating_sub(known.len());
-    known.extend(moved.iter().take(room));
+    let remaining = MOVES_MAX.saturating_sub(known.len());
+    known.extend(moved.iter().take(remaining));
 }
--- a/crates/core/src/routing/exchange/members.rs
+++ b/crates/core/src/routing/exchange/members.rs
@@ -17,12 +17,12 @@
 /// time of two more lists, one of which may be lost.
 const INDIRECT_TIMEOUT: Millis = Millis(2100);
 /// Margin by which an indirect contact must be later than a direct one to replace it. Reported ages
-/// don't include the time in transit, which would make a failed daemon seem to live longer.
+/// don't include the time in transit, which would make a failed daemon seem live for longer.
 const INDIRECT_MARGIN: Millis = Millis(300);
 /// Silence after which a daemon is removed.
 const REMOVAL_TIMEOUT: Millis = Millis::from_secs(10);
 /// Daemons that are listed for each role in a large fleet, the first in rank: enough to replace the
-/// holders several times over. Lists of all daemons took 18 KB a second for each daemon at 300.
+/// daemons that have it several times over. Lists of all daemons took 18 KB a second for each daemon at 300.
 pub const LISTED_PER_ROLE: usize = 8;
 
 /// Hash of a data centre's id, its short form in messages.
@@ -195,8 +195,8 @@
     to: DataCentreHash,
 ) -> Vec<(SocketAddr, Member)> {
     live.sort_by(|(_, a), (_, b)| a.ranks.order(&b.ranks, Role::Watcher));
-    // Half of the places go to the first in rank even if they have lost the platform, so that this
-    // is known; the others go first to daemons that reach it.
+    // Half of the entries are the first in rank, even those without a connection to the platform,
+    // so that this is known; the other half prefers daemons that reach it.
     live[LISTED_PER_ROLE / 2..].sort_by_key(|(_, member)| member.cut_off);
     let mut rest = live.split_off(LISTED_PER_ROLE);
     rest.sort_by(|(_, a), (_, b)| a.ranks.order(&b.ranks, Role::Hub));
--- a/crates/core/src/routing/exchange/message.rs
+++ b/crates/core/src/routing/exchange/message.rs
@@ -161,7 +161,8 @@
     /// Times since the last contacts, in milliseconds.
     #[prost(uint32, repeated, tag = "3")]
     ages: Vec<u32>,
-    /// Link classes of their VMs, doubled, plus one for daemons that have lost the platform.
+    /// Link classes of their VMs, doubled, plus one for daemons without a connection to
+    /// the platform.
     #[prost(uint32, repeated, tag = "4")]
     states: Vec<u32>,
     /// Short forms of their data centres.
--- a/crates/core/src/routing/exchange/short.rs
+++ b/crates/core/src/routing/exchange/short.rs
@@ -12,7 +12,7 @@
 /// Short form of an instance's id. Includes the start time, so that reports on one instance don't
 /// count for the next one.
 pub fn short_id(id: &InstanceId) -> u32 {
-    let born = id.started.map_or(0, |born| born.0);
+    let started = id.started.map_or(0, |started| started.0);
     // Among 4,500 endpoints two share a short id with a probability of 1 in 400.
-    short_key(xxh3_64_with_seed(id.endpoint.as_str().as_bytes(), born))
+    short_key(xxh3_64_with_seed(id.endpoint.as_str().as_bytes(), started))
 }
--- a/crates/core/src/routing/exchange/sums.rs
+++ b/crates/core/src/routing/exchange/sums.rs
@@ -23,7 +23,7 @@
 /// Time after which any change of a load is published.
 const LOAD_DELAY_MAX: Millis = Millis(1000);
 /// Successful attempts that are published at once. Plain services complete as many in a tick or
-/// two, and their pace is measured by it; engines complete five a second.
+/// two, and their response rates are derived from them; engines complete five a second.
 const GOOD_STEP: u32 = 8;
 /// Time after which fewer successful attempts are published. Failed attempts never wait, and are
 /// published with the successful ones, since they count in proportion to those.
@@ -98,15 +98,15 @@
 
     /// Subtracts others as far as possible; returns what is left, and what was subtracted.
     pub fn subtract(self, other: Self) -> (Self, Self) {
-        let off = Self {
+        let subtracted = Self {
             good: self.good.min(other.good),
             bad: self.bad.min(other.bad),
         };
         let left = Self {
-            good: self.good - off.good,
-            bad: self.bad - off.bad,
+            good: self.good - subtracted.good,
+            bad: self.bad - subtracted.bad,
         };
-        (left, off)
+        (left, subtracted)
     }
 }
 
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -186,11 +186,11 @@
         };
         let age = now.since(load.at);
         let (own, others) = (f64::from(load.own), f64::from(load.others));
-        let fading = age.decay_factor(HALF_LIFE);
+        let decay = age.decay_factor(HALF_LIFE);
         let has_report = load.at > Millis::ZERO;
         Estimate {
-            reported: own + others * fading,
-            extrapolated: own + (others + load.growth.since(age)) * fading,
+            reported: own + others * decay,
+            extrapolated: own + (others + load.growth.since(age)) * decay,
             age: has_report.then_some(age),
         }
     }
--- a/crates/core/src/routing/mirror.rs
+++ b/crates/core/src/routing/mirror.rs
@@ -107,8 +107,9 @@
     }
 }
 
-/// The last change of each object, in order. The revision of a removal is an upper bound, so that
-/// an entry that expired and came back within one update would otherwise count as removed.
+/// The last change of each object, in order. The revision of a removal is only an upper bound: if
+/// all changes were applied, an entry that expired and came back within one update would count as
+/// removed.
 fn last_of_each(changes: Vec<Change>) -> Vec<Change> {
     let mut names = HashSet::new();
     let from_last = changes.iter().rev();
--- a/crates/core/src/routing/notices.rs
+++ b/crates/core/src/routing/notices.rs
@@ -5,7 +5,7 @@
 //! no entry overrides it. It belongs to the process that sent the response,
 //! whichever process has the address later. That process may be newer than the
 //! listed instance: if the list then shows a later instance, its start time
-//! tells whether that one sent the response. A notice ends when its time is
+//! shows whether that one sent the response. A notice ends when its time is
 //! over, when the endpoint restarts, or some time after its entry was removed.
 
 use std::collections::HashMap;
--- a/crates/core/src/routing/overload.rs
+++ b/crates/core/src/routing/overload.rs
@@ -23,8 +23,8 @@
 const WINDOW: Millis = Millis(2000);
 /// Time for which responses must have been counted before their rate is used.
 const MIN_SAMPLE_TIME: Millis = Millis(1000);
-/// Setpoint of the response time, as a fraction of the target; leaves room for requests that take
-/// longer than the mean.
+/// Setpoint of the response time, as a fraction of the target; leaves a margin for requests that
+/// take longer than the mean.
 const SETPOINT: f64 = 0.5;
 /// Proportional gain: share refused for each multiple of the target beyond the setpoint. With a
 /// higher gain, queues oscillate between empty and full.
--- a/crates/core/src/routing/quarantine.rs
+++ b/crates/core/src/routing/quarantine.rs
@@ -51,7 +51,7 @@
 /// Served requests that are remembered.
 const SERVED_MAX: usize = 4096;
 /// Time for which new evidence is sent repeatedly, since datagrams are lost.
-const NEWS_PERIOD: Millis = Millis(1000);
+const FRESH_PERIOD: Millis = Millis(1000);
 /// Added to the daemon's clock in this module, so that events before its start have a time too.
 const CLOCK_OFFSET: Millis = RETENTION;
 
@@ -75,7 +75,7 @@
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     /// Quarantined requests, and until when they are.
-    held: HashMap<Fingerprint, Millis>,
+    quarantined: HashMap<Fingerprint, Millis>,
     /// When this daemon last got a complete response to a request.
     served: HashMap<Fingerprint, Millis>,
 }
@@ -130,7 +130,7 @@
     /// which is then sent to them.
     pub fn merge(&mut self, evidence: &[Evidence], now: Millis) -> Vec<Change> {
         let now = now + CLOCK_OFFSET;
-        let mut is_news = false;
+        let mut is_new = false;
         for received in evidence {
             let record = Record {
                 finding: received.finding,
@@ -138,7 +138,7 @@
                 learned_at: now,
                 is_own: false,
             };
-            is_news |= self.insert(received.fingerprint, record, now);
+            is_new |= self.insert(received.fingerprint, record, now);
             let served = self.served.get(&received.fingerprint).copied();
             if let Some(at) = served {
                 let cleared = Record {
@@ -147,16 +147,16 @@
                     is_own: true,
                     ..record
                 };
-                is_news |= self.insert(received.fingerprint, cleared, now);
+                is_new |= self.insert(received.fingerprint, cleared, now);
             }
         }
-        match is_news {
+        match is_new {
             true => self.reassess(now),
             false => Vec::new(),
         }
     }
 
-    /// Inserts a record; returns whether it is news.
+    /// Inserts a record; returns whether it is new.
     fn insert(&mut self, fingerprint: Fingerprint, record: Record, now: Millis) -> bool {
         let retention = match record.finding {
             Finding::Lost(_) => RETENTION,
@@ -166,13 +166,13 @@
             return false;
         }
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict();
         }
         self.suspects.entry(fingerprint).or_default().insert(record)
     }
 
-    /// Drops requests with the fewest losses, the oldest first, until there is room for a record.
-    fn make_room(&mut self) {
+    /// Drops requests with the fewest losses, the oldest first, until another record fits.
+    fn evict(&mut self) {
         let count = |suspects: &HashMap<_, Suspect>| {
             let records = suspects.values().map(|suspect| suspect.records().count());
             records.sum::<usize>()
@@ -200,7 +200,7 @@
 
     /// Time left until a quarantined request may be sent again; `None` if it may be sent now.
     pub fn remaining(&self, fingerprint: Fingerprint, now: Millis) -> Option<Millis> {
-        let until = self.held.get(&fingerprint)?;
+        let until = self.quarantined.get(&fingerprint)?;
         let left = until.since(now + CLOCK_OFFSET);
         (left > Millis::ZERO).then_some(left)
     }
@@ -214,15 +214,20 @@
                 .filter_map(|loss| loss.finding.endpoint());
             (*fingerprint, endpoints.collect())
         }));
-        let until = Suspect::held_until;
+        let until = Suspect::quarantined_until;
         let blamed = self.suspects.iter();
         let blamed = blamed.filter(|(fingerprint, suspect)| {
             until(suspect) > now && blame.is_to_blame(**fingerprint)
         });
-        let held = blamed.map(|(fingerprint, suspect)| (*fingerprint, until(suspect)));
-        let before = std::mem::replace(&mut self.held, held.collect());
-        let ended = before.keys().filter(|known| !self.held.contains_key(known));
-        let begun = self.held.keys().filter(|known| !before.contains_key(known));
+        let quarantined = blamed.map(|(fingerprint, suspect)| (*fingerprint, until(suspect)));
+        let before = std::mem::replace(&mut self.quarantined, quarantined.collect());
+        let ended = before
+            .keys()
+            .filter(|known| !self.quarantined.contains_key(known));
+        let begun = self
+            .quarantined
+            .keys()
+            .filter(|known| !before.contains_key(known));
         let ended = ended.map(|fingerprint| self.change(*fingerprint, false));
         let begun = begun.map(|fingerprint| self.change(*fingerprint, true));
         ended.chain(begun).collect()
@@ -240,7 +245,7 @@
 
     /// How many requests are quarantined.
     pub fn count(&self) -> usize {
-        self.held.len()
+        self.quarantined.len()
     }
 
     /// The evidence about one request, as it is sent to other daemons.
@@ -262,7 +267,7 @@
                 let evidence = record.evidence(*fingerprint, now);
                 snapshot.digest ^= evidence.digest();
                 snapshot.all.push(evidence);
-                if now.since(record.learned_at) >= NEWS_PERIOD {
+                if now.since(record.learned_at) >= FRESH_PERIOD {
                     continue;
                 }
                 snapshot.fresh.push(evidence);
--- a/crates/core/src/routing/quarantine/platform_sync.rs
+++ b/crates/core/src/routing/quarantine/platform_sync.rs
@@ -75,10 +75,10 @@
         if let Some(obsolete) = self.stored.keys().find(is_obsolete) {
             return Some(Step::Remove(*obsolete));
         }
-        let wanted = known.held().filter(|held| is_hub || held.is_own);
-        let mut steps = wanted.filter_map(|held| match self.stored.get(&held.fingerprint) {
-            None => Some(Step::Create(held.fingerprint)),
-            Some(losses) if *losses < held.lost => Some(Step::Replace(held.fingerprint)),
+        let wanted = known.held().filter(|change| is_hub || change.is_own);
+        let mut steps = wanted.filter_map(|change| match self.stored.get(&change.fingerprint) {
+            None => Some(Step::Create(change.fingerprint)),
+            Some(losses) if *losses < change.lost => Some(Step::Replace(change.fingerprint)),
             Some(_) => None,
         });
         steps.next()
@@ -108,7 +108,9 @@
 impl Quarantine {
     /// Quarantined requests.
     pub fn held(&self) -> impl Iterator<Item = Change> {
-        self.held.keys().map(|held| self.change(*held, true))
+        self.quarantined
+            .keys()
+            .map(|fingerprint| self.change(*fingerprint, true))
     }
 
     /// Whether there is a loss against a request that no complete response has cleared.
@@ -124,7 +126,7 @@
         now: Millis,
         wall: Millis,
     ) -> Option<StoredRequest> {
-        self.held.get(&fingerprint)?;
+        self.quarantined.get(&fingerprint)?;
         let suspect = self.suspects.get(&fingerprint)?;
         let age = (now + CLOCK_OFFSET).since(suspect.last_loss());
         let endpoints = suspect
--- a/crates/core/src/routing/quarantine/suspect.rs
+++ b/crates/core/src/routing/quarantine/suspect.rs
@@ -44,15 +44,15 @@
     }
 
     /// Until when it is quarantined, if it is to blame.
-    pub fn held_until(&self) -> Millis {
+    pub fn quarantined_until(&self) -> Millis {
         let further = self.lost.len().saturating_sub(LOSS_THRESHOLD);
         let further = u32::try_from(further).unwrap_or(u32::MAX);
-        let hold = Millis(
+        let duration = Millis(
             BASE_DURATION
                 .0
                 .saturating_mul(DURATION_FACTOR.saturating_pow(further)),
         );
-        self.last_loss() + hold.min(RETENTION)
+        self.last_loss() + duration.min(RETENTION)
     }
 
     /// The losses and the clearance.
@@ -66,7 +66,7 @@
         until.is_some_and(|until| at < until)
     }
 
-    /// Inserts a record; returns whether it is news.
+    /// Inserts a record; returns whether it is new.
     pub fn insert(&mut self, record: Record) -> bool {
         match record.finding {
             Finding::Lost(_) => self.add_loss(record),
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -106,7 +106,7 @@
         /// Time left until it may be sent again.
         wait: Millis,
     },
-    /// No endpoint is left that wasn't tried.
+    /// No untried endpoint may be sent the request.
     #[display("no endpoint")]
     Nothing,
 }
@@ -125,10 +125,10 @@
 }
 
 impl View {
-    /// An empty view for a daemon in `data_centre`; `repeats` limits the fleet's retries.
+    /// An empty view for a daemon in `data_centre`; `retries` limits the fleet's retries.
     pub fn new(
         data_centre: DataCentreId,
-        repeats: budget::Settings,
+        retries: budget::Settings,
         seed: u64,
         now: Millis,
     ) -> Self {
@@ -140,7 +140,7 @@
             health: Health::default(),
             avoided: HashSet::new(),
             daemons: 1,
-            budget: RetryBudget::new(repeats, now),
+            budget: RetryBudget::new(retries, now),
             response_rates: ResponseRates::default(),
             admission: HashMap::new(),
             outcomes: HashMap::new(),
@@ -173,7 +173,7 @@
         self.fleet.size().max(self.daemons as usize)
     }
 
-    /// The budget for retries of the whole fleet.
+    /// This daemon's retry budget.
     pub const fn budget(&mut self) -> &mut RetryBudget {
         &mut self.budget
     }
@@ -213,10 +213,17 @@
             return Err(ChooseError::Quarantined { wait });
         }
         let candidates = self.candidates(pool, shared, plan, now);
-        let probe = plan.is_idempotent();
+        let may_probe = plan.is_idempotent();
         let share = shared.map_or(0.0, |prefix| self.count_prefix(prefix));
         let rng = &mut self.rng;
-        let choice = choose(&candidates, shared, share, &self.data_centre, probe, rng);
+        let choice = choose(
+            &candidates,
+            shared,
+            share,
+            &self.data_centre,
+            may_probe,
+            rng,
+        );
         let choice = choice.ok_or(ChooseError::Nothing)?;
         if let Some(overload) = self.check_overload(pool, &choice, plan, now) {
             return Err(ChooseError::Overloaded(Box::new(overload)));
@@ -353,8 +360,8 @@
             }
             let health = &mut self.health;
             health.record_others(&endpoint.id, others.good, others.bad, now);
-            let answers = others.good + others.bad;
-            self.response_rates.record(&endpoint.id, answers, now);
+            let responses = others.good + others.bad;
+            self.response_rates.record(&endpoint.id, responses, now);
         }
     }
 
@@ -378,8 +385,8 @@
         let expected = self
             .response_rates
             .response_time(&choice.endpoint.id, choice.load, now)?;
-        let valve = self.admission.entry(pool.clone()).or_default();
-        let share = valve.update(expected, target, now);
+        let controller = self.admission.entry(pool.clone()).or_default();
+        let share = controller.update(expected, target, now);
         let may_refuse = overload::may_refuse(choice.load, choice.endpoint.slots);
         if !may_refuse || self.rng.random::<f64>() < share {
             return None;
@@ -394,8 +401,8 @@
 
     /// Time since an instance was first listed.
     fn age(&self, id: &InstanceId, now: Millis) -> Millis {
-        let joined = self.directory.listed_since(id);
-        joined.map_or(Millis::MAX, |joined| now.since(joined))
+        let listed_since = self.directory.listed_since(id);
+        listed_since.map_or(Millis::MAX, |since| now.since(since))
     }
 
     fn candidates(
@@ -408,19 +415,19 @@
         let allowances = self.allowances(pool, now);
         let prefix = shared.map(|prefix| exchange::short_key(prefix.key));
         let prefix = prefix.filter(|prefix| self.prefix_index.is_known(*prefix));
-        let sent = |id: &InstanceId| {
+        let prefix_age = |id: &InstanceId| {
             let prefix = prefix?;
             self.prefix_index.age(prefix, exchange::short_id(id), now)
         };
         let listed = self.directory.pool(pool);
-        let looks: Vec<HealthSnapshot> = listed
+        let snapshots: Vec<HealthSnapshot> = listed
             .iter()
             .map(|endpoint| self.health.snapshot(&endpoint.id, now))
             .collect();
-        let ready = listed.iter().zip(&looks).filter(|(e, _)| !e.leaving);
-        let failures: PoolFailures = ready.map(|(_, look)| *look).collect();
+        let ready = listed.iter().zip(&snapshots).filter(|(e, _)| !e.leaving);
+        let failures: PoolFailures = ready.map(|(_, snapshot)| *snapshot).collect();
         let candidate =
-            |((endpoint, look), allowance): ((&Arc<Endpoint>, &HealthSnapshot), Allowance)| {
+            |((endpoint, snapshot), allowance): ((&Arc<Endpoint>, &HealthSnapshot), Allowance)| {
                 let estimate = self.loads.estimate(&endpoint.id, now);
                 // Requests without a shared prefix are placed by load. If all daemons extrapolated
                 // random changes of load, they would avoid and fill the same endpoints together.
@@ -428,20 +435,20 @@
                     Some(_) => estimate.extrapolated,
                     None => estimate.reported,
                 };
-                let others = failures.mean_of_others(look.failures);
+                let others = failures.mean_of_others(snapshot.failures);
                 Candidate {
                     load,
                     load_age: estimate.age,
-                    health: look.status(others, self.daemons, now),
+                    health: snapshot.status(others, self.daemons, now),
                     tried: plan.has_tried(&endpoint.id),
                     drained: self.is_drained(endpoint),
                     allowance,
                     age: self.age(&endpoint.id, now),
-                    prefix_age: sent(&endpoint.id),
+                    prefix_age: prefix_age(&endpoint.id),
                     endpoint: Arc::clone(endpoint),
                 }
             };
-        let listed = listed.iter().zip(&looks).zip(allowances);
+        let listed = listed.iter().zip(&snapshots).zip(allowances);
         listed.map(candidate).collect()
     }
 }
--- a/crates/core/src/routing/view/health.rs
+++ b/crates/core/src/routing/view/health.rs
@@ -16,9 +16,9 @@
     pub endpoint: InstanceId,
     /// Its new health status.
     pub standing: HealthStatus,
-    /// Its failure share, 0 to 1.
+    /// Its failure rate, 0 to 1.
     pub failures: f64,
-    /// Mean failure share of the other endpoints of its pool, 0 to 1.
+    /// Mean failure rate of the other endpoints of its pool, 0 to 1.
     pub others: f64,
 }
 
@@ -52,13 +52,13 @@
         changes
     }
 
-    /// Failure shares of the endpoints of a pool that aren't leaving.
+    /// Sum of the failure rates of a pool's endpoints that aren't leaving.
     pub(super) fn failures(&self, pool: &[Arc<Endpoint>], now: Millis) -> PoolFailures {
         let ready = pool.iter().filter(|endpoint| !endpoint.leaving);
         self.health.pool(ready.map(|endpoint| &endpoint.id), now)
     }
 
-    /// Health status of an endpoint, and the mean failure share of the others of its pool.
+    /// Health status of an endpoint, and the mean failure rate of the others of its pool.
     pub(super) fn health_status(
         &self,
         id: &InstanceId,
--- a/crates/core/src/routing/view/notices.rs
+++ b/crates/core/src/routing/view/notices.rs
@@ -12,24 +12,24 @@
 
 impl View {
     /// Applies an endpoint's notice about itself from the response to a request; returns whether it
-    /// is news. `handed` is when the request was sent, since the Unix epoch. Applies also if the
+    /// is new. `sent_at` is when the request was sent, since the Unix epoch. Applies also if the
     /// endpoint isn't listed any more, since it may be listed again.
     pub fn apply_notice(
         &mut self,
         id: &InstanceId,
         notice: Notice,
         now: Millis,
-        handed: Millis,
+        sent_at: Millis,
     ) -> bool {
         // A later instance may have been listed while the request was in flight.
         let listed = self.directory.instance(&id.endpoint).unwrap_or(id).clone();
-        if !answered_by(&listed, id, handed) {
+        if !answered_by(&listed, id, sent_at) {
             return false;
         }
         if notice.leaving {
             self.directory.set_leaving(&listed, now);
         }
-        self.notices.record(&listed, notice, now, handed)
+        self.notices.record(&listed, notice, now, sent_at)
     }
 
     /// Time for which no endpoint of a pool takes new work: until the first pause ends, or a new
--- a/crates/core/src/routing/view/sharing.rs
+++ b/crates/core/src/routing/view/sharing.rs
@@ -1,4 +1,4 @@
-//! The daemons that share limits of the whole fleet.
+//! The daemons that share limits of the fleet.
 
 use std::net::SocketAddr;
 
