--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -294,13 +294,13 @@
         let watchers = self.watchers(cut_off, now);
         let hubs = self.hubs(now);
         let is_hub = hubs.contains(&me);
-        let has_hubs = self.is_large(now) && !is_hub;
-        let mut chosen = if has_hubs { hubs } else { Vec::new() };
+        let follows_hubs = self.is_large(now) && !is_hub;
+        let mut chosen = if follows_hubs { hubs } else { Vec::new() };
         chosen.extend(sources(me, &watchers, SOURCES));
         chosen.truncate(SOURCES);
         Following {
             is_hub,
-            is_indirect: has_hubs && !watchers.contains(&me),
+            is_indirect: follows_hubs && !watchers.contains(&me),
             sources: chosen,
             watchers,
         }
--- a/crates/core/src/routing/quarantine/platform_sync.rs
+++ b/crates/core/src/routing/quarantine/platform_sync.rs
@@ -75,7 +75,7 @@
         if let Some(obsolete) = self.stored.keys().find(is_obsolete) {
             return Some(Step::Remove(*obsolete));
         }
-        let wanted = known.held().filter(|change| is_hub || change.is_own);
+        let wanted = known.quarantined().filter(|change| is_hub || change.is_own);
         let mut steps = wanted.filter_map(|change| match self.stored.get(&change.fingerprint) {
             None => Some(Step::Create(change.fingerprint)),
             Some(losses) if *losses < change.lost => Some(Step::Replace(change.fingerprint)),
@@ -107,7 +107,7 @@
 
 impl Quarantine {
     /// Quarantined requests.
-    pub fn held(&self) -> impl Iterator<Item = Change> {
+    pub fn quarantined(&self) -> impl Iterator<Item = Change> {
         self.quarantined
             .keys()
             .map(|fingerprint| self.change(*fingerprint, true))
