--- a/crates/core/src/routing/exchange/members.rs
+++ b/crates/core/src/routing/exchange/members.rs
@@ -22,7 +22,8 @@
 /// Silence after which a daemon is removed.
 const REMOVAL_TIMEOUT: Millis = Millis::from_secs(10);
 /// Daemons that are listed for each role in a large fleet, the first in rank: enough to replace the
-/// daemons that have it several times over. Lists of all daemons took 18 KB a second for each daemon at 300.
+/// daemons that have it several times over. Lists of all daemons took 18 KB a second for each
+/// daemon at 300.
 pub const LISTED_PER_ROLE: usize = 8;
 
 /// Hash of a data centre's id, its short form in messages.
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -213,17 +213,10 @@
             return Err(ChooseError::Quarantined { wait });
         }
         let candidates = self.candidates(pool, shared, plan, now);
-        let may_probe = plan.is_idempotent();
+        let probe = plan.is_idempotent();
         let share = shared.map_or(0.0, |prefix| self.count_prefix(prefix));
         let rng = &mut self.rng;
-        let choice = choose(
-            &candidates,
-            shared,
-            share,
-            &self.data_centre,
-            may_probe,
-            rng,
-        );
+        let choice = choose(&candidates, shared, share, &self.data_centre, probe, rng);
         let choice = choice.ok_or(ChooseError::Nothing)?;
         if let Some(overload) = self.check_overload(pool, &choice, plan, now) {
             return Err(ChooseError::Overloaded(Box::new(overload)));
