--- a/crates/core/src/routing/exchange.rs
+++ b/crates/core/src/routing/exchange.rs
@@ -260,9 +260,10 @@
 
     /// The daemons that follow the platform for all; in a small fleet each daemon does.
     ///
-    /// Daemons that have lost the platform aren't chosen, unless all have. A daemon that the
-    /// platform refused at its start has no copy that could be followed: when six of nine were
-    /// refused, following such daemons took 0.3 s of the 1.0 s until their first configuration.
+    /// Daemons that have lost their connection to the platform aren't chosen, unless all have. A
+    /// daemon that the platform refused at its start has no copy that could be followed: when six
+    /// of nine were refused, following such daemons took 0.3 s of the 1.0 s until their first
+    /// configuration.
     pub fn watchers(&self, cut_off: bool, now: Millis) -> Vec<SocketAddr> {
         let members = &self.members;
         let own = (members.me, members.ranks);
@@ -293,13 +294,13 @@
         let watchers = self.watchers(cut_off, now);
         let hubs = self.hubs(now);
         let is_hub = hubs.contains(&me);
-        let has_hubs = self.is_large(now) && !is_hub;
-        let mut chosen = if has_hubs { hubs } else { Vec::new() };
+        let follows_hubs = self.is_large(now) && !is_hub;
+        let mut chosen = if follows_hubs { hubs } else { Vec::new() };
         chosen.extend(sources(me, &watchers, SOURCES));
         chosen.truncate(SOURCES);
         Following {
             is_hub,
-            is_indirect: has_hubs && !watchers.contains(&me),
+            is_indirect: follows_hubs && !watchers.contains(&me),
             sources: chosen,
             watchers,
         }
